--- a/packages/runhatch-server/src/runhatch_server/decisions/__init__.py
+++ b/packages/runhatch-server/src/runhatch_server/decisions/__init__.py
@@ -1,7 +1,7 @@
-"""What a gateway decides, as functions and small aggregates of what was observed.
+"""Decisions of a gateway as pure functions and small state objects.
 
-Nothing here does input or output, starts threads or looks at a clock: whoever
-calls passes the time in, and guards what is shared between threads.
+Nothing here does I/O, starts threads or reads a clock: callers pass the current time
+and guard state that threads share.
 """
 
 from runhatch_server.decisions._admission import (
--- a/packages/runhatch-server/src/runhatch_server/decisions/_admission.py
+++ b/packages/runhatch-server/src/runhatch_server/decisions/_admission.py
@@ -1,10 +1,8 @@
-"""Who is sent on at once, who waits a moment, and who is refused.
+"""Admission control: whether a request is sent now, delayed briefly, or refused.
 
-The load that this answers is a clump of prompts at a target that makes streams.  An
-engine reads prompts between the tokens of its streams, and an event holds several
-tokens: prompts of 300 ms read one after another part the events of every stream
-there by as much.  One prompt too many then makes some twenty answers late, where
-refusing it, or sending it a moment later, costs one.
+An engine reads prompts between the tokens of its streams, so a burst of prompts delays
+the events of every stream on that target. One prompt of 300 ms too many makes about
+twenty answers late; refusing or delaying it affects only one.
 """
 
 from collections.abc import Callable
@@ -18,36 +16,41 @@
 from runhatch_server.routing import RequestKind
 
 PAUSE_SHARES = (0.85, 0.75, 0.75, 0.6)
-"""Share of the longest allowed pause that prompts may cause, by rank.  What peers
-sent in the last 25 ms is not known yet, a prompt or two; the less urgent leave room
-for the more urgent, late ones for all."""
+"""Share of the maximum allowed pause that prompts may cause, by tier. The remainder
+covers the one or two prompts that peers sent within the last 25 ms and have not
+reported yet. Less urgent tiers leave room for more urgent ones, late requests for
+all."""
 EMPTY_QUEUE_MS = 15.0
-"""Prompt reading ahead up to which a target counts as having none: a prompt that
-alone takes longer than the share allows is sent then, or it never would be."""
+"""Queued prompt reading up to which a target's queue counts as empty. A prompt that
+alone exceeds the allowed pause is sent to an empty queue; otherwise it would never be
+sent."""
 HOLD_SHARE = 0.25
-"""Share of its goal that a request waits for a queue to shorten: queues of some
-200 ms are read in that time, and what is left of the goal covers its own prompt."""
+"""Share of its goal that a request may wait for a queue to shorten. Queues of about
+200 ms are read in that time, and the rest of the goal covers the request's own
+prompt."""
 SHORTEST_HOLD = timedelta(milliseconds=10)
-"""Between two looks at queues; prompts take some 20 ms to read."""
+"""Minimum interval between two checks of the queues; reading a prompt takes about
+20 ms."""
 BEGIN_SLACK = timedelta(milliseconds=200)
-"""A late answer is begun only if it is predicted so long before its caller leaves."""
+"""A late answer is started only if it is predicted to begin at least this long before
+its caller disconnects."""
 MOST_BUSY = (2.0, 1.3, 1.3, 1.0)
-"""Shares of a target's time that prompts sent of late may take before further
-requests are refused, by tier: beyond 1.0 streams in progress get one token a chunk
-read, some 110 ms apart, and long ones do not end in time.  Clumps and the most urgent
-may go beyond for a moment, late requests take what the others leave."""
+"""Share of a target's time that recently sent prompts may take before further
+requests are refused, by tier. Above 1.0, streams in progress get one token per prompt
+chunk, about 110 ms apart, and long streams miss their deadline. Bursts and the most
+urgent tier may exceed 1.0 briefly; late requests use only what the others leave."""
 QUEUE_MS = 200.0
-"""Prompt reading ahead, by which a target shows that it does not keep up: shares are
-worked out from speeds that are learned, and a target whose queue is short is not as
-busy as they say."""
+"""Queued prompt reading above which a target counts as overloaded. Busy shares come
+from learned speeds, so a target with a short queue is less busy than its share
+says."""
 BUSY_RETRY = timedelta(seconds=1)
-"""When a caller may come back whose targets are all too busy: what keeps them so
-lasts some seconds."""
+"""Delay before a caller should retry when all targets are too busy; overload lasts a
+few seconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class Admitted:
-    """Send it to ``best``, with the rank ``tier``."""
+    """The request is to be sent to ``best`` at priority ``tier``."""
 
     best: Scored
     tier: int
@@ -55,7 +58,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Postponed:
-    """Look again after ``pause``: the queue at ``best`` is about to be short enough."""
+    """Decide again after ``pause``, when the queue at ``best`` should be short enough.
+
+    After ``until`` the request waits no longer.
+    """
 
     best: Scored
     pause: timedelta
@@ -64,7 +70,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """No target would serve it in time; coming back may help ``after``."""
+    """No target can serve the request in time; it may be retried ``after`` this delay.
+
+    ``best`` is the target that came closest.
+    """
 
     reason: Reason
     best: Scored
@@ -73,11 +82,13 @@
 
 Judgement = Admitted | Postponed | Rejected
 FindBest = Callable[[int, float], Scored]
-"""Returns the best target for a rank and the longest pause that it may cause, in ms."""
+"""Returns the best target for a tier and a maximum stream pause in milliseconds."""
 
 
 def longest_pause_ms(max_gap: timedelta | None, tier: int) -> float:
-    """Return the longest pause that a request of ``tier`` may cause, in milliseconds.
+    """Return the maximum stream pause that ``tier`` may cause, in milliseconds.
+
+    It is infinite if ``max_gap`` is ``None``.
 
     >>> longest_pause_ms(timedelta(milliseconds=200), 3)
     120.0
@@ -88,7 +99,7 @@
 
 
 def request_tier(request: GatewayRequest) -> int:
-    """Return the rank of a request that is in time."""
+    """Return the tier of a request that can still be answered on time."""
     return min(max(request.route.priority, 0), LATE_TIER - 1)
 
 
@@ -98,65 +109,74 @@
     find_best: FindBest,
     now: timedelta,
 ) -> Judgement:
-    """Decide about ``request``, whose targets' streams may pause for ``max_gap``."""
+    """Decide whether ``request`` is admitted, postponed or rejected.
+
+    ``max_gap`` is the longest pause allowed between events of the targets' streams,
+    ``None`` if unlimited.
+    """
     tier = request_tier(request)
-    allowed_ms = longest_pause_ms(max_gap, tier)
-    best = find_best(tier, allowed_ms)
-    if _keeps_up_no_more(best, tier):
+    max_pause_ms = longest_pause_ms(max_gap, tier)
+    best = find_best(tier, max_pause_ms)
+    if _is_overloaded(best, tier):
         return Rejected(Reason.TOO_BUSY, best, BUSY_RETRY)
-    if not _late_by(request, best.predicted_ms, now):
-        return _spaced(request, best, tier, allowed_ms, now)
-    # It gives way to requests in time, and is still worth something late.
+    if not _lateness(request, best.predicted_ms, now):
+        return _check_stream_pause(request, best, tier, max_pause_ms, now)
+    # A late answer still has some value, but yields to requests that are on time.
     tier = LATE_TIER
-    allowed_ms = longest_pause_ms(max_gap, tier)
-    best = find_best(tier, allowed_ms)
-    if _keeps_up_no_more(best, tier) or _parts_events(best, allowed_ms):
+    max_pause_ms = longest_pause_ms(max_gap, tier)
+    best = find_best(tier, max_pause_ms)
+    if _is_overloaded(best, tier) or _delays_streams(best, max_pause_ms):
         return Rejected(Reason.TOO_BUSY, best, BUSY_RETRY)
-    late_by = _too_late(request, best, now)
-    if late_by > timedelta():
-        return Rejected(Reason.GOAL_UNMEETABLE, best, max(late_by, BUSY_RETRY))
+    missed_by = _missed_by(request, best, now)
+    if missed_by > timedelta():
+        return Rejected(Reason.GOAL_UNMEETABLE, best, max(missed_by, BUSY_RETRY))
     return Admitted(best, tier)
 
 
-def _spaced(
+def _check_stream_pause(
     request: GatewayRequest,
     best: Scored,
     tier: int,
-    allowed_ms: float,
+    max_pause_ms: float,
     now: timedelta,
 ) -> Judgement:
-    """Send ``request`` on unless streams would pause too long; then wait or refuse."""
-    if not _parts_events(best, allowed_ms):
+    """Admit ``request`` unless streams would pause too long, else wait or refuse."""
+    if not _delays_streams(best, max_pause_ms):
         return Admitted(best, tier)
-    beyond = timedelta(milliseconds=best.pause_ms - allowed_ms)
+    excess = timedelta(milliseconds=best.pause_ms - max_pause_ms)
     until = request.received + request.route.goal * HOLD_SHARE
-    if now + beyond >= until:
-        return Rejected(Reason.TOO_BUSY, best, max(beyond, BUSY_RETRY))
-    return Postponed(best, max(beyond, SHORTEST_HOLD), until)
+    if now + excess >= until:
+        return Rejected(Reason.TOO_BUSY, best, max(excess, BUSY_RETRY))
+    return Postponed(best, max(excess, SHORTEST_HOLD), until)
 
 
-def _parts_events(best: Scored, allowed_ms: float) -> bool:
-    """Tell whether streams at the best target would pause too long."""
-    return best.pause_ms > allowed_ms and best.queue_ms > EMPTY_QUEUE_MS
+def _delays_streams(best: Scored, max_pause_ms: float) -> bool:
+    """Return whether streams at the target would pause for too long."""
+    return best.pause_ms > max_pause_ms and best.queue_ms > EMPTY_QUEUE_MS
 
 
-def _late_by(request: GatewayRequest, predicted_ms: float, now: timedelta) -> timedelta:
-    """Return by how much the answer would begin too late, zero if in time."""
-    begins = now + timedelta(milliseconds=predicted_ms)
+def _lateness(
+    request: GatewayRequest, predicted_ms: float, now: timedelta
+) -> timedelta:
+    """Return by how much the answer would begin too late, zero if on time."""
+    starts_at = now + timedelta(milliseconds=predicted_ms)
     if request.route.kind is RequestKind.STREAM:
-        return max(timedelta(), begins - request.goal_at)
-    return max(timedelta(), begins - request.deadline)
+        return max(timedelta(), starts_at - request.goal_at)
+    return max(timedelta(), starts_at - request.deadline)
 
 
-def _keeps_up_no_more(best: Scored, tier: int) -> bool:
-    """Tell whether streams in progress at the best target would suffer."""
-    ahead_ms = best.predicted_ms - best.work_ms
-    return best.busy > MOST_BUSY[tier] and ahead_ms > QUEUE_MS
+def _is_overloaded(best: Scored, tier: int) -> bool:
+    """Return whether prompts take so much time that streams there would be late."""
+    queued_ms = best.predicted_ms - best.work_ms
+    return best.busy > MOST_BUSY[tier] and queued_ms > QUEUE_MS
 
 
-def _too_late(request: GatewayRequest, best: Scored, now: timedelta) -> timedelta:
-    """Return by how much an answer would begin or end too late to be of any use."""
-    begins = now + timedelta(milliseconds=best.predicted_ms)
-    output = 0 if request.work is None else request.work.expected_output
-    ends = begins + timedelta(milliseconds=output * best.token_ms)
-    return max(begins + BEGIN_SLACK - request.begin_by, ends - request.deadline)
+def _missed_by(request: GatewayRequest, best: Scored, now: timedelta) -> timedelta:
+    """Return by how much the answer misses the last useful start or end time.
+
+    Negative or zero if the answer is still useful.
+    """
+    starts_at = now + timedelta(milliseconds=best.predicted_ms)
+    output_tokens = 0 if request.work is None else request.work.expected_output
+    ends_at = starts_at + timedelta(milliseconds=output_tokens * best.token_ms)
+    return max(starts_at + BEGIN_SLACK - request.begin_by, ends_at - request.deadline)
--- a/packages/runhatch-server/src/runhatch_server/decisions/_candidates.py
+++ b/packages/runhatch-server/src/runhatch_server/decisions/_candidates.py
@@ -1,9 +1,8 @@
-"""Which of the targets that hold a model may be asked at all.
+"""Selects the targets that a request may be sent to.
 
-The load that this answers is a target that turns requests away: full for a moment, for
-as long as it says, or as long as the rate that it takes is used up.  Where it alone
-holds a model there is nobody else to ask, and each request would be sent to it again
-and again within milliseconds.
+Leaves out targets that recently refused requests, asked for a backoff, or have used up
+their rate limit. Without this, a request whose model is on a single refusing target
+would be resent to it every few milliseconds.
 """
 
 from collections.abc import Callable, Iterable
@@ -15,35 +14,34 @@
 from runhatch_server.refusals import Reason
 
 BUSY_HOLDS = timedelta(milliseconds=200)
-"""How long a target that refused for load is passed over if there are others."""
+"""How long a target that refused for load is avoided while others are available."""
 
 
 @dataclass(frozen=True, slots=True)
 class Tried:
-    """Incarnations of targets to which one request was sent already.
+    """Incarnations of targets to which one request was already sent.
 
-    Those that ``failed`` it are asked once more if there is nobody else, those that
-    it was ``turned_away`` from are not: what kept them from running it a moment ago
-    still does.
+    Targets that ``failed`` the request are retried if there is no other. Targets that
+    refused it (``turned_away``) are not, because the cause of the refusal still holds.
     """
 
     failed: frozenset[str] = frozenset()
     turned_away: frozenset[str] = frozenset()
 
     def failed_at(self, target: str) -> "Tried":
-        """Return the same with one more that failed it."""
+        """Return a copy that also lists ``target`` as having failed the request."""
         return replace(self, failed=self.failed | {target})
 
     def turned_away_at(self, target: str) -> "Tried":
-        """Return the same with one more that turned it away."""
+        """Return a copy that also lists ``target`` as having refused the request."""
         return replace(self, turned_away=self.turned_away | {target})
 
 
 @dataclass(frozen=True, slots=True)
 class NoneWilling:
-    """No target would take a request before ``after``, and why.
+    """No target accepts the request until ``after`` has passed, for ``reason``.
 
-    ``target`` is the one that will take requests first, if it said when.
+    ``target`` is the incarnation that accepts requests earliest, empty if not known.
     """
 
     after: timedelta
@@ -60,24 +58,25 @@
 ) -> list[Target] | NoneWilling:
     """Return those of ``holders`` that a request may be sent to.
 
-    Those that failed it, and those that are passed over for a moment, are left out
-    if there are others.  ``opens_at`` tells from when on a target's rate limit lets
-    the request pass.
+    Targets that failed the request or refused for load are left out if there are
+    others. ``opens_at`` returns when a target's rate limit next admits the request.
     """
     loads = [(target, load_of(target.incarnation)) for target in holders]
-    opening = {
+    available_at = {
         target.incarnation: max(load.rests_until, opens_at(target.incarnation))
         for target, load in loads
     }
-    awake = [target for target, _ in loads if now >= opening[target.incarnation]]
-    willing = [t for t in awake if t.incarnation not in tried.turned_away]
-    if not willing and awake:
+    available = [
+        target for target, _ in loads if now >= available_at[target.incarnation]
+    ]
+    willing = [t for t in available if t.incarnation not in tried.turned_away]
+    if not willing and available:
         return NoneWilling(BUSY_HOLDS, Reason.TARGETS_BUSY)
     if not willing:
-        first = min(opening, key=lambda target: opening[target])
-        rests = opening[first] == load_of(first).rests_until
-        reason = Reason.TARGETS_REST if rests else Reason.TARGETS_LIMITED
-        return NoneWilling(opening[first] - now, reason, first)
-    fresh = [t for t in willing if t.incarnation not in tried.failed] or willing
-    shut = {target.incarnation for target, load in loads if now < load.shut_until}
-    return [t for t in fresh if t.incarnation not in shut] or fresh
+        earliest = min(available_at, key=lambda target: available_at[target])
+        is_backing_off = available_at[earliest] == load_of(earliest).rests_until
+        reason = Reason.TARGETS_REST if is_backing_off else Reason.TARGETS_LIMITED
+        return NoneWilling(available_at[earliest] - now, reason, earliest)
+    untried = [t for t in willing if t.incarnation not in tried.failed] or willing
+    avoided = {target.incarnation for target, load in loads if now < load.shut_until}
+    return [t for t in untried if t.incarnation not in avoided] or untried
--- a/packages/runhatch-server/src/runhatch_server/decisions/_fingerprint.py
+++ b/packages/runhatch-server/src/runhatch_server/decisions/_fingerprint.py
@@ -1,17 +1,17 @@
-"""What makes two requests the same request, whoever sends them and wherever."""
+"""Fingerprints that identify equal requests across callers and nodes."""
 
 from hashlib import blake2b
 
 FINGERPRINT_BYTES = 12
-"""Two of a million requests are alike by chance once in 10^17."""
+"""Among a million requests, the chance of a collision is about 1 in 10^17."""
 
 
 def fingerprint_of(method: str, host: str, uri: str, body: bytes) -> str:
-    """Return a name for what a target is asked, in hexadecimal digits.
+    """Return the fingerprint of a request as hexadecimal digits.
 
-    Repeats of callers are new attempts with other names and times left, and reach
-    other nodes, so neither is part of it.  Nor is the caller's address: targets are
-    not told it.
+    A caller's retry has another attempt id and remaining time and may reach another
+    node, so none of these is included. Nor is the caller's address, which is not
+    forwarded to targets.
 
     >>> fingerprint_of("GET", "a", "/x", b"") == fingerprint_of("GET", "a", "/x", b"")
     True
