--- a/packages/runhatch-server/src/runhatch_server/decisions/_load.py
+++ b/packages/runhatch-server/src/runhatch_server/decisions/_load.py
@@ -1,8 +1,8 @@
-"""How busy each target is: own requests, what peers tell, and how fast it works.
+"""Load, speed and health of each target.
 
-All requests to a target come from the gateways, so what they have outstanding
-together is its load.  The work ahead of a new request is counted in milliseconds of
-prompt reading, which is what an engine does first and one after another.
+All requests to a target come from the gateways, so its load is the sum of what they
+have outstanding. Work ahead of a new request is counted in milliseconds of prompt
+reading, because an engine reads prompts first and one at a time.
 """
 
 import math
@@ -11,44 +11,50 @@
 from datetime import timedelta
 
 TIERS = 4
-"""Ranks by which targets take requests: three of requests in time, one of late ones."""
+"""Priority tiers: three for requests that are on time, one for late requests."""
 LATE_TIER = TIERS - 1
 LEAST_REMAINING = 0.15
-"""Share of a request's reading that is counted until its first token is seen."""
+"""Minimum share of a request's prompt reading counted until its first token arrives."""
 OLDER_SHARE = 0.5
-"""Share of the requests held on other nodes that go before one held here."""
+"""Share of the requests held on other nodes that are assumed to be older than one held
+on this node."""
 PEER_LOAD_VALID = timedelta(seconds=2)
-"""Age at which what a peer told of its load is no longer counted."""
+"""Age from which a peer's load report is ignored."""
 SLOWNESS_GAIN = 0.15
 SLOWNESS_HALF_LIFE = timedelta(seconds=3)
-"""How soon a target that was slower than predicted is believed in again."""
+"""Half-life of the recorded slowness of a target."""
 LEAST_SLOWNESS, MOST_SLOWNESS = 0.4, 4.0
-"""Bounds of one observation: others may have been sent there unseen."""
+"""Bounds of one observation, which unreported requests of other nodes may distort."""
 FAULT_GAIN = 0.25
 FAULT_HALF_LIFE = timedelta(seconds=3)
-"""How soon a target that failed is tried again."""
+"""Half-life of the recorded fault rate of a target."""
 SILENT_AFTER = timedelta(milliseconds=900)
 SILENT_FACTOR = 4.0
-"""A target is silent if its oldest request has waited so long and so many times
-longer than predicted, and nothing was heard from it meanwhile."""
+"""A target is silent if a request has waited for both ``SILENT_AFTER`` and
+``SILENT_FACTOR`` times its predicted time, and the target sent nothing since."""
 BUSY_TIME = timedelta(seconds=2)
-"""Over which the share of a target's time that prompts take is averaged: long enough
-for clumps of some three requests to pass, short beside the answers in progress."""
+"""Time constant for averaging the share of a target's time that prompts take. Long
+enough to smooth bursts of about three requests, short compared with the duration of
+an answer."""
 STEP_MS = 12.0
-"""Time between two tokens of a stream at an engine that reads no prompts, before any
-was measured: steps of 5 to 9 ms, longer the more runs share them."""
+"""Initial estimate of the time between two tokens of a stream at an engine that reads
+no prompts. Steps take 5 to 9 ms, longer when more runs share them."""
 LEAST_STEP_MS, MOST_STEP_MS = 1.0, 100.0
-"""Bounds of what is believed of a step, against measurements gone wrong."""
+"""Bounds of the estimated step time, against wrong measurements."""
 SHORTER_GAIN, LONGER_GAIN = 0.5, 0.05
-"""Weights of the newest stream in a target's time for a step.  Streams between whose
-events prompts were read are longer, so a shorter one tells more."""
+"""Weights of the newest stream in a target's step time. Prompt reading only lengthens
+the steps, so a shorter measurement is more reliable and gets the larger weight."""
 STREAM_TOKENS_AT_ONCE = 0.95
-"""Share of a target's cache that is filled on purpose; beyond it runs are preempted."""
+"""Share of a target's cache to fill; runs are preempted when it is exceeded."""
 
 
 @dataclass(slots=True)
 class Outstanding:
-    """A request at a target: what it was expected to cost, and how far it is."""
+    """A request sent to or held for a target, with its predicted cost and progress.
+
+    ``work_ms`` is the time to read its prompt, ``tokens`` its cache use and
+    ``predicted_ms`` the predicted time to the first byte.
+    """
 
     work_ms: float
     tokens: int
@@ -56,31 +62,31 @@
     predicted_ms: float
     tier: int = 0
     unread: int = 0
-    """Tokens of its prompt that the target must read."""
+    """Prompt tokens that are not cached at the target."""
     ahead_ms: float = 0.0
-    """Prompt reading that was ahead of it when it was sent."""
+    """Prompt reading that was queued before it when it was sent."""
     started: bool = False
     held: bool = False
-    """Whether it waits on its node for the target to load its model."""
+    """Whether it waits on the gateway until the target has loaded its model."""
 
     def remaining_ms(self, now: timedelta) -> float:
-        """Return the prompt reading that is still ahead."""
+        """Return the remaining prompt reading in milliseconds."""
         if self.started or self.held:
             return 0.0
         age = _milliseconds(now - self.sent_at)
-        done = age / max(self.predicted_ms, 1.0)
-        return self.work_ms * max(LEAST_REMAINING, 1.0 - done)
+        done_share = age / max(self.predicted_ms, 1.0)
+        return self.work_ms * max(LEAST_REMAINING, 1.0 - done_share)
 
 
 @dataclass(frozen=True, slots=True)
 class LoadShare:
-    """What one node has outstanding at one target.
+    """What one node, or several together, have outstanding at one target.
 
-    ``waiting_ms`` is prompt reading not yet done, by tier; ``waiting`` and
-    ``running`` are requests before and after their first token, ``tokens`` what
-    they occupy.  ``held_ms`` is prompt reading of requests that wait for their
-    model to be loaded there.  ``busy`` is the share of the target's time that the
-    prompts sent of late take; it fades, so that a change of it alone is no news.
+    ``waiting_ms`` is the remaining prompt reading by tier. ``waiting`` and ``running``
+    count the requests before and after their first token, and ``tokens`` is the cache
+    that they use. ``held_ms`` is the prompt reading of requests held until the target
+    has loaded their model. ``busy`` is the share of the target's time that recently
+    sent prompts take; it decays continuously, so it is not compared for equality.
     """
 
     waiting_ms: tuple[float, ...] = (0.0,) * TIERS
@@ -91,17 +97,20 @@
     busy: float = field(default=0.0, compare=False)
 
     def plus(self, other: "LoadShare") -> "LoadShare":
-        """Return what both have there together."""
+        """Return the sum of both shares."""
         return self._combined(other, 1)
 
     def minus(self, other: "LoadShare") -> "LoadShare":
-        """Return what is left without ``other``, which may be somewhat older."""
+        """Return this share without ``other``, which may be slightly older.
+
+        No value becomes negative.
+        """
         return self._combined(other, -1)
 
     def _combined(self, other: "LoadShare", sign: int) -> "LoadShare":
         pairs = zip(self.waiting_ms, other.waiting_ms, strict=False)
         return LoadShare(
-            tuple(max(0.0, ms + sign * of_other) for ms, of_other in pairs),
+            tuple(max(0.0, ms + sign * other_ms) for ms, other_ms in pairs),
             max(0, self.waiting + sign * other.waiting),
             max(0, self.running + sign * other.running),
             max(0, self.tokens + sign * other.tokens),
@@ -111,13 +120,13 @@
 
     @property
     def is_of_engine(self) -> bool:
-        """Whether it is of a target that reads prompts, now or a moment ago."""
+        """Whether the target reads prompts or did so recently."""
         return bool(self.tokens or self.held_ms or self.busy)
 
     def aged(self, age: timedelta, coming: float = 0.0) -> "LoadShare":
-        """Return what is left of it after ``age``: prompts are read meanwhile.
+        """Return the share after ``age``, less the prompts read in that time.
 
-        ``coming`` is the share of that time for which others have come.
+        ``coming`` is the share of that time taken by newly sent prompts.
         """
         read_ms = _milliseconds(age) * max(0.0, 1.0 - coming)
         return LoadShare(
@@ -126,7 +135,7 @@
             self.running,
             self.tokens,
             self.held_ms,
-            self.busy * _faded(age),
+            self.busy * _decay(age),
         )
 
 
@@ -136,10 +145,10 @@
 
     own: dict[int, Outstanding] = field(default_factory=dict)
     peers: dict[str, tuple[LoadShare, timedelta]] = field(default_factory=dict)
-    """What single nodes told, by name."""
+    """Reports of single nodes, each with its time, by node name."""
     domains: dict[str, tuple[LoadShare, timedelta]] = field(default_factory=dict)
-    """What the nodes of other failure domains have there, as their readers told; under
-    no name what all other nodes have."""
+    """Sums over the nodes of other failure domains, each with its time, by domain. The
+    sum over all other nodes has an empty key."""
     slowness: float = 1.0
     slowness_at: timedelta = timedelta()
     faults: float = 0.0
@@ -148,23 +157,23 @@
     shut_until: timedelta = timedelta()
     shut_times: int = 0
     rests_until: timedelta = timedelta()
-    """Until when it wants nothing from this node, by its own word."""
+    """End of the backoff that the target requested from this node."""
     step_ms: float = STEP_MS
-    """Time between two tokens while no prompts are read, as seen."""
+    """Measured time between two tokens while no prompts are read."""
     sent_busy: float = 0.0
     sent_busy_at: timedelta = timedelta()
 
     def sent(self, work_ms: float, now: timedelta) -> None:
-        """Take in that a prompt was sent that takes ``work_ms`` to read."""
+        """Record that a prompt was sent that takes ``work_ms`` to read."""
         added = work_ms / _milliseconds(BUSY_TIME)
         self.sent_busy = self._own_busy(now) + added
         self.sent_busy_at = now
 
     def _own_busy(self, now: timedelta) -> float:
-        return self.sent_busy * _faded(now - self.sent_busy_at)
+        return self.sent_busy * _decay(now - self.sent_busy_at)
 
     def share(self, now: timedelta) -> LoadShare:
-        """Return what this node has there."""
+        """Return what this node has outstanding at the target."""
         held = [o for o in self.own.values() if o.held]
         sent = [o for o in self.own.values() if not o.held]
         waiting = [o for o in sent if not o.started]
@@ -181,88 +190,89 @@
         )
 
     def held_ahead_ms(self, since: timedelta, now: timedelta) -> float:
-        """Return the prompt reading of held requests that go before one held since.
+        """Return the prompt reading of requests held before ``since``, in milliseconds.
 
-        Of those on other nodes half are taken to be older.
+        For other nodes it is estimated as the share ``OLDER_SHARE`` of what they hold.
         """
         own = sum(o.work_ms for o in self.own.values() if o.held and o.sent_at < since)
-        told = [*_fresh(self.peers, now), *_fresh(self.domains, now)]
-        return own + sum(share.held_ms for share, _ in told) * OLDER_SHARE
+        remote = [*_valid_reports(self.peers, now), *_valid_reports(self.domains, now)]
+        return own + sum(share.held_ms for share, _ in remote) * OLDER_SHARE
 
     def total(self, now: timedelta) -> LoadShare:
-        """Return what all nodes have there, as far as it is known.
+        """Return what all nodes are known to have outstanding at the target.
 
-        What domains told is older, and prompts of theirs have come since.
+        Sums of domains are older than reports of single nodes, so prompts that arrived
+        since are estimated from their busy share.
         """
         total = self.gathered(now)
-        for share, age in _fresh(self.domains, now):
+        for share, age in _valid_reports(self.domains, now):
             total = total.plus(share.aged(age, share.busy))
         return total
 
     def gathered(self, now: timedelta) -> LoadShare:
-        """Return what this node has there, and those that told it themselves."""
+        """Return what this node and its directly reporting peers have outstanding."""
         total = self.share(now)
-        for share, age in _fresh(self.peers, now):
+        for share, age in _valid_reports(self.peers, now):
             total = total.plus(share.aged(age))
         return total
 
     def factor(self, now: timedelta) -> float:
-        """Return how many times longer than predicted requests take here of late."""
+        """Return the recent ratio of actual to predicted time to the first byte."""
         age = (now - self.slowness_at) / SLOWNESS_HALF_LIFE
         return float(1.0 + (self.slowness - 1.0) * 0.5**age)
 
     def began(self, predicted_ms: float, took: timedelta, now: timedelta) -> None:
-        """Take in how long the first byte took, as against the prediction."""
-        seen = _milliseconds(took) / max(predicted_ms, 1.0)
-        seen = min(max(seen, LEAST_SLOWNESS), MOST_SLOWNESS)
-        known = self.factor(now)
-        self.slowness = known + (seen - known) * SLOWNESS_GAIN
+        """Record that the first byte arrived after ``took``, to correct predictions."""
+        observed = _milliseconds(took) / max(predicted_ms, 1.0)
+        observed = min(max(observed, LEAST_SLOWNESS), MOST_SLOWNESS)
+        previous = self.factor(now)
+        self.slowness = previous + (observed - previous) * SLOWNESS_GAIN
         self.slowness_at = now
 
     def stepped(self, step_ms: float) -> None:
-        """Take in the mean time between two tokens of a stream that has ended."""
-        seen = min(max(step_ms, LEAST_STEP_MS), MOST_STEP_MS)
-        gain = SHORTER_GAIN if seen < self.step_ms else LONGER_GAIN
-        self.step_ms += (seen - self.step_ms) * gain
+        """Record the mean time between two tokens of a finished stream."""
+        observed = min(max(step_ms, LEAST_STEP_MS), MOST_STEP_MS)
+        gain = SHORTER_GAIN if observed < self.step_ms else LONGER_GAIN
+        self.step_ms += (observed - self.step_ms) * gain
 
     def fault_rate(self, now: timedelta) -> float:
-        """Return the share of recent requests that the target failed; fades."""
+        """Return the decayed share of recent requests that the target failed."""
         age = (now - self.faults_at) / FAULT_HALF_LIFE
         return float(self.faults * 0.5**age)
 
     def noted(self, faulty: bool, now: timedelta) -> None:
-        """Take in how a request ended."""
+        """Record whether the target failed a request."""
         rate = self.fault_rate(now)
         self.faults = rate + ((1.0 if faulty else 0.0) - rate) * FAULT_GAIN
         self.faults_at = now
 
     def is_silent(self, now: timedelta) -> bool:
-        """Tell whether requests wait there far too long without a word."""
+        """Return whether a request has waited far too long with no response at all."""
         for outstanding in self.own.values():
             if outstanding.started or outstanding.held:
                 continue
             if self.heard_at > outstanding.sent_at:
                 continue
-            patience = max(
+            silence_limit = max(
                 SILENT_AFTER,
                 timedelta(milliseconds=outstanding.predicted_ms) * SILENT_FACTOR,
             )
-            if now - outstanding.sent_at > patience:
+            if now - outstanding.sent_at > silence_limit:
                 return True
         return False
 
 
-def _fresh(
-    told: dict[str, tuple[LoadShare, timedelta]], now: timedelta
+def _valid_reports(
+    reports: dict[str, tuple[LoadShare, timedelta]], now: timedelta
 ) -> Iterator[tuple[LoadShare, timedelta]]:
-    """Yield what others told lately, each with its age."""
-    for share, at in told.values():
+    """Yield the reports that are still valid, each with its age."""
+    for share, at in reports.values():
         if now - at < PEER_LOAD_VALID:
             yield share, now - at
 
 
-def _faded(age: timedelta) -> float:
-    """Return what is left of an average over ``BUSY_TIME`` after ``age``."""
+def _decay(age: timedelta) -> float:
+    """Return the decay factor of an average over ``BUSY_TIME`` after ``age``."""
     return math.exp(-(age / BUSY_TIME))
 
 
--- a/packages/runhatch-server/src/runhatch_server/decisions/_load_book.py
+++ b/packages/runhatch-server/src/runhatch_server/decisions/_load_book.py
@@ -1,4 +1,4 @@
-"""What is known of all targets' loads, and of how long work takes."""
+"""Tracks the loads of all targets, their prompt caches and the speed of models."""
 
 from collections.abc import Callable, Iterable, Mapping
 from datetime import timedelta
@@ -13,7 +13,7 @@
 from runhatch_server.decisions._request import GatewayRequest, ModelWork
 
 ALL_OTHERS = ""
-"""Stands for a failure domain where all other nodes are meant."""
+"""Key used in place of a failure domain for the sum over all other nodes."""
 
 
 class LoadBook:
@@ -35,21 +35,21 @@
     def began(
         self, target: str, work: ModelWork, outstanding: Outstanding, took: timedelta
     ) -> None:
-        """Learn from the first byte of an answer, which came after ``took``."""
+        """Update predictions from an answer whose first byte came after ``took``."""
         load = self.load(target)
         load.began(outstanding.predicted_ms, took, outstanding.sent_at + took)
         self.rates.first_token(work.model, outstanding, took)
         self._prefixes.stored(target, _prefix_blocks(work))
 
     def full_work_ms(self, request: GatewayRequest) -> float:
-        """Return how long reading the whole prompt of ``request`` takes."""
+        """Return the time in milliseconds to read the whole prompt of ``request``."""
         work = request.work
         if work is None:
             return 0.0
         return self.rates.prompt_ms(work.model, work.prompt_tokens)
 
     def uncached(self, target: str, work: ModelWork) -> int:
-        """Return the tokens of a prompt that ``target`` has not read lately."""
+        """Return how many prompt tokens are not cached at ``target``, at least one."""
         matched = self._prefixes.matched(target, _prefix_blocks(work))
         cached = sum(part.tokens for part in work.prompt[:matched])
         return max(1, work.prompt_tokens - cached)
@@ -63,7 +63,10 @@
     def peer_shares(
         self, node: str, shares: Mapping[str, LoadShare], whole: bool, now: timedelta
     ) -> None:
-        """Take in what ``node`` has outstanding; all of it if ``whole``."""
+        """Record what ``node`` has outstanding at each target.
+
+        If ``whole``, ``shares`` replaces all that was recorded of ``node``.
+        """
         for load in self._loads.values() if whole else ():
             load.peers.pop(node, None)
         for target, share in shares.items():
@@ -72,7 +75,11 @@
     def domain_shares(
         self, domain: str, shares: Mapping[str, LoadShare], whole: bool, now: timedelta
     ) -> None:
-        """Take in what the nodes of a failure domain have outstanding together."""
+        """Record what the nodes of a failure domain have outstanding together.
+
+        If ``whole``, ``shares`` replaces all that was recorded of the domain, and the
+        sums over all other nodes.
+        """
         for load in self._loads.values() if whole else ():
             load.domains.pop(domain, None)
             load.domains.pop(ALL_OTHERS, None)
@@ -82,7 +89,10 @@
     def all_shares(
         self, shares: Mapping[str, LoadShare], whole: bool, now: timedelta
     ) -> None:
-        """Take in what all other nodes have, in place of what single ones told."""
+        """Record the sum over all other nodes, replacing reports of single ones.
+
+        If ``whole``, targets that are not in ``shares`` are cleared too.
+        """
         for target in [*self._loads] if whole else [*shares]:
             load = self.load(target)
             load.peers.clear()
@@ -91,21 +101,22 @@
             self.load(target).domains[ALL_OTHERS] = (share, now)
 
     def gathered(self, now: timedelta) -> dict[str, LoadShare]:
-        """Return what this node has at engines, with those that told it themselves."""
-        return _of_engines(
+        """Return, by engine, what this node and its directly reporting peers have."""
+        return _engine_shares(
             (target, load.gathered(now)) for target, load in self._loads.items()
         )
 
     def totals(self, now: timedelta) -> dict[str, LoadShare]:
-        """Return what all nodes have at engines, as far as it is known."""
-        return _of_engines(
+        """Return, by engine, what all nodes are known to have outstanding."""
+        return _engine_shares(
             (target, load.total(now)) for target, load in self._loads.items()
         )
 
     def forget(self, is_known: Callable[[str], bool], now: timedelta) -> None:
-        """Drop what is kept of targets that are no more.
+        """Remove the state of targets that no longer exist.
 
-        One that rests is kept: its entry may be away with the store for a moment.
+        A target that is backing off is kept, because its entry may be missing only
+        while the store is unavailable.
         """
         for target, load in list(self._loads.items()):
             if not is_known(target) and not load.own and now >= load.rests_until:
@@ -113,17 +124,17 @@
                 self._prefixes.forget(target)
 
 
-def _of_engines(shares: Iterable[tuple[str, LoadShare]]) -> dict[str, LoadShare]:
-    """Leave out what sums are no good for.
+def _engine_shares(shares: Iterable[tuple[str, LoadShare]]) -> dict[str, LoadShare]:
+    """Return the shares of engines only.
 
-    A plain service answers in 20 to 70 ms, so that sums which are older than that say
-    nothing of it, and all nodes would turn to the same target.
+    Plain services answer in 20 to 70 ms, faster than sums are distributed. Outdated
+    sums would send all nodes to the same target.
     """
     return {target: share for target, share in shares if share.is_of_engine}
 
 
 def _prefix_blocks(work: ModelWork) -> tuple[str, ...]:
-    """Return a name for each leading run of parts, which only like prompts share."""
+    """Return a name for each prefix of the prompt, built from its model and parts."""
     names = []
     chain = f"{work.model}/{work.adapter}"
     for part in work.prompt:
