--- a/packages/runhatch-server/src/runhatch_server/decisions/_rate_limits.py
+++ b/packages/runhatch-server/src/runhatch_server/decisions/_rate_limits.py
@@ -1,10 +1,9 @@
-"""Rate limits that targets name, which all nodes keep together.
+"""Rate limits announced by targets, enforced over all nodes with permits.
 
-The load that this answers is many nodes before one target.  A target that takes one
-request a second gets nine from nine nodes that each keep to its limit, and an even
-split of the limit leaves a node without a permit for nine seconds while others have
-no request for that target at all.  So one node gives out the permits of a target, one
-a request, and the others ask it.
+One node issues the permits of a target, one per request, and the others request them.
+If each of nine nodes applied a limit of 1/s itself, the target would get nine requests
+a second; an even split would let a node send only one in nine seconds, even while the
+others have no requests for that target.
 """
 
 from dataclasses import dataclass, field
@@ -13,67 +12,71 @@
 from runhatch_server.decisions._load import TIERS
 
 TRIAL_RATE = 0.2
-"""Requests a second that a target gets at least, whatever limit it names: without any
-answer it cannot say that the limit is over."""
+"""Minimum requests per second sent to a target, even if its limit is lower. Only its
+answers show when the limit ends."""
 BURST = 3.0
 BURST_SECONDS = 0.25
-"""Permits that collect while nobody asks: so many, and what the rate gives in this
-time.  A node that asks late would find the permits of meanwhile lapsed."""
+"""Capacity of a bucket: ``BURST`` permits plus those of ``BURST_SECONDS`` at the rate.
+Without it, permits would be lost whenever a node requests one late."""
 RESERVES = (0.0, 0.5, 0.5, 1.0)
-"""Permits that each tier leaves for more urgent ones, most urgent first."""
+"""Permits that each tier leaves for more urgent tiers, most urgent tier first."""
 PERMIT_VALID = timedelta(milliseconds=250)
 VALID_PERMITS = 1.0
-"""How long a node may use a permit: so long, and while the rate gives so many more.
-Those used late add to the next ones."""
+"""Validity of a permit: ``PERMIT_VALID`` plus the time in which the rate yields
+``VALID_PERMITS``. Permits used late are sent in addition to newer ones, which limits
+how long they may be valid."""
 LONGEST_TURN = timedelta(seconds=2)
-"""How far ahead a node that gets no permit is told to ask again."""
+"""Maximum delay after which a node that was denied a permit requests one again."""
 SECOND = timedelta(seconds=1)
 
 
 @dataclass(frozen=True, slots=True)
 class LimitSeen:
-    """What an answer said of its target's limit, in requests a second.
+    """Rate limit in an answer of a target, in requests per second.
 
-    Without a ``rate`` it named none.  ``at`` is when the answer came if it named one,
-    else when its request was sent: answers overtake each other, and only one to a
-    request that was sent after the limit was named shows that it is over.
+    ``rate`` is ``None`` if the answer announced no limit. ``at`` is the arrival time of
+    an answer with a limit, and the send time of the request otherwise. Answers may
+    arrive out of order, so only a request sent after the limit was announced can show
+    that it has ended.
     """
 
     rate: float | None
     at: timedelta
 
     def supersedes(self, known: "LimitSeen | None") -> bool:
-        """Tell whether it is newer than what is ``known``."""
+        """Return whether this replaces the limit in ``known``."""
         if known is None:
             return self.rate is not None
         return self.at > known.at
 
 
 def most_permits(rate: float) -> float:
-    """Return how many permits may collect at ``rate`` a second."""
+    """Return the capacity of a bucket filled at ``rate`` permits per second."""
     return BURST + BURST_SECONDS * rate
 
 
 @dataclass(slots=True)
 class PermitBucket:
-    """The permits of one target, on the node that gives them out.
+    """Token bucket for one target, on the node that issues its permits.
 
-    It begins empty: the node that gave them out before may just have given some.
+    It starts empty, because the node that issued permits before may just have issued
+    some.
     """
 
     rate: float
     filled_at: timedelta
     level: float = 0.0
     turn: timedelta = timedelta()
-    """When the next node that gets no permit is to ask again."""
+    """Time at which the last denied node is to request a permit again."""
 
     def ask(self, tier: int, rate: float, now: timedelta) -> timedelta | None:
-        """Take a permit for a request of ``tier``; ``rate`` is the present limit.
+        """Take a permit for a request of ``tier`` at the current limit ``rate``.
 
-        Returns ``None`` if there is one, else how long to wait before asking again.
-        Waits lie a permit apart, so that nodes do not ask together.
+        Returns ``None`` if a permit was taken, else the delay before requesting one
+        again. Successive delays are one permit apart, so that nodes do not all retry
+        at once.
         """
-        self._fill(max(rate, TRIAL_RATE), now)
+        self._refill(max(rate, TRIAL_RATE), now)
         needed = 1.0 + RESERVES[tier]
         if self.level >= needed:
             self.level -= 1.0
@@ -83,37 +86,38 @@
         self.turn = max(ready, min(turn, now + LONGEST_TURN))
         return self.turn - now
 
-    def _fill(self, rate: float, now: timedelta) -> None:
-        collected = self.level + self.rate * ((now - self.filled_at) / SECOND)
+    def _refill(self, rate: float, now: timedelta) -> None:
+        refilled = self.level + self.rate * ((now - self.filled_at) / SECOND)
         self.rate = rate
-        self.level = min(collected, most_permits(rate))
+        self.level = min(refilled, most_permits(rate))
         self.filled_at = now
 
 
 @dataclass(slots=True)
 class LimitedTarget:
-    """One target's limit as a node knows it, and the permits that the node has."""
+    """The rate limit of one target as known to a node, and the node's permits."""
 
     seen: LimitSeen
     permits: list[timedelta] = field(default_factory=list)
-    """Until when each may be used."""
+    """Expiry time of each permit."""
     closed_until: list[timedelta] = field(
         default_factory=lambda: [timedelta(days=-1)] * TIERS
     )
-    """By tier, when to ask for permits again."""
+    """Time from which permits may be requested again, by tier."""
     waiting: int = 0
-    """Requests that have asked for a permit and wait for the answer."""
+    """Number of requests that wait for a permit that they requested."""
     lapsed: int = 0
-    """Permits that were not used in time and are not counted yet."""
+    """Expired permits not yet returned by :meth:`count_lapsed`."""
 
     def opens_at(self, tier: int, now: timedelta) -> timedelta:
-        """Return when a request of ``tier`` may be sent, or a permit asked for."""
+        """Return when a request of ``tier`` may be sent, or request a permit."""
         return now if self._has_permit(now) else self.closed_until[tier]
 
     def take(self, now: timedelta, asked: bool) -> bool:
-        """Use a permit; tell whether there was one for this request.
+        """Use a permit and return whether there was one for this request.
 
-        Those that have not ``asked`` leave the permits to those that wait for one.
+        Requests that have not ``asked`` for a permit leave the permits to those that
+        wait for one.
         """
         if not self._has_permit(now):
             return False
@@ -123,33 +127,33 @@
         return True
 
     def add(self, now: timedelta) -> None:
-        """Take in a permit."""
+        """Add a permit received at ``now``."""
         rate = max(self.seen.rate or 0.0, TRIAL_RATE)
         self.permits.append(now + PERMIT_VALID + SECOND * (VALID_PERMITS / rate))
 
     def close(self, tier: int, until: timedelta) -> None:
-        """Take in that there is no permit for ``tier`` and less urgent ones."""
-        for each in range(tier, TIERS):
-            self.closed_until[each] = max(self.closed_until[each], until)
+        """Record that ``tier`` and less urgent tiers get no permit before ``until``."""
+        for closed in range(tier, TIERS):
+            self.closed_until[closed] = max(self.closed_until[closed], until)
 
     def count_lapsed(self, now: timedelta) -> int:
-        """Return how many permits have lapsed since it was called last."""
+        """Return how many permits expired since the previous call."""
         self._has_permit(now)
         lapsed, self.lapsed = self.lapsed, 0
         return lapsed
 
     def _has_permit(self, now: timedelta) -> bool:
-        held = len(self.permits)
-        self.permits = [until for until in self.permits if until > now]
-        self.lapsed += held - len(self.permits)
+        count = len(self.permits)
+        self.permits = [expiry for expiry in self.permits if expiry > now]
+        self.lapsed += count - len(self.permits)
         return bool(self.permits)
 
 
 def share_of_rate(alive: int, lost: int) -> float:
-    """Return the share of a limit that a node gives out which sees ``alive`` nodes.
+    """Return the share of a limit that a node issues that sees ``alive`` nodes.
 
-    ``lost`` others were heard a while ago.  In a parted network those that most nodes
-    can reach give out all of it, the others a part that stays below a half together.
+    ``lost`` nodes were seen before but not recently. In a network partition, nodes in
+    the majority issue the whole limit, the others a proportional part below one half.
 
     >>> share_of_rate(5, 4), share_of_rate(3, 6)
     (1.0, 0.3333333333333333)
--- a/packages/runhatch-server/src/runhatch_server/decisions/_rates.py
+++ b/packages/runhatch-server/src/runhatch_server/decisions/_rates.py
@@ -1,83 +1,88 @@
-"""How long prompts of each model, and requests of each route, take; learned."""
+"""Learned estimates of prompt reading times by model and service times by route."""
 
 from datetime import timedelta
 
 from runhatch_server.decisions._load import Outstanding
 
 FIRST_BASE_MS = 25.0
-"""Time to the first token that no prompt explains, before any was seen: the way and a
-step or two."""
+"""Initial estimate of the time to the first token that does not depend on the prompt:
+the network round trip and one or two engine steps."""
 LEAST_BASE_MS, MOST_BASE_MS = 2.0, 100.0
 FIRST_MS_PER_TOKEN = 0.06
-"""Time to read a prompt token before any was measured; engines of 70 billion
-parameters read some 17 to 40 a millisecond between the tokens of other requests."""
+"""Initial estimate of the time to read a prompt token. Engines with 70 billion
+parameters read 17 to 40 tokens per millisecond between the tokens of other
+requests."""
 LEAST_MS_PER_TOKEN, MOST_MS_PER_TOKEN = 0.002, 1.0
-"""Bounds of what is believed, against measurements gone wrong."""
+"""Bounds of the learned time per token, against wrong measurements."""
 USUAL_PROMPT = 600.0
-"""Tokens of a prompt that says as much of the speed as of the base."""
+"""Prompt length in tokens whose error is split equally between base time and speed."""
 SOONER_GAIN, LATER_GAIN = 0.3, 0.15
-"""Weights of the newest first token; some ten tell all.  Others may have been ahead
-unseen, so one that came sooner than predicted tells more."""
+"""Weights of the newest first token; estimates converge after about ten. Requests
+of other nodes may have delayed it unnoticed, so a token that arrives sooner than
+predicted gets the larger weight."""
 MOST_AHEAD = 0.5
-"""Share of its own time that a prompt may have waited for others to tell of a speed."""
+"""Maximum queued reading, as a share of the prompt's own time, up to which its first
+token is used to learn the speed."""
 MOST_ERROR = 2.0
-"""Times the prediction that one measurement may differ from it."""
+"""Maximum error of one measurement, as a multiple of the prediction."""
 OTHERS_GAIN = 0.1
-"""Weight of the newest prompt in what is taken for models not seen yet."""
+"""Weight of the newest prompt in the estimate for models not measured yet."""
 FIRST_SERVICE_MS = 30.0
-"""Time of a plain request before any was measured."""
+"""Initial estimate of the time of a plain request."""
 SERVICE_GAIN = 0.1
-"""Weight of the newest plain request in its route's usual time."""
+"""Weight of the newest plain request in the average time of its route."""
 
 
 class WorkRates:
-    """Times of prompts by model, and of plain requests by route.
+    """Estimated times of prompts by model, and of plain requests by route.
 
-    The time to a first token is a base, common to all, and a time for each token of
-    the prompt that is not cached, by model.  Both are corrected by what each first
-    token misses them by, in proportion to their parts in it.
+    The time to a first token is modelled as a base common to all models, plus a time
+    per uncached prompt token that depends on the model. Each first token corrects both
+    by its prediction error, in proportion to their share in the prediction.
     """
 
     def __init__(self) -> None:
         self.base_ms = FIRST_BASE_MS
-        """Time to the first token that no prompt explains."""
+        """Time to the first token that does not depend on the prompt."""
         self._ms_per_token: dict[str, float] = {}
-        self._others = FIRST_MS_PER_TOKEN
+        self._default_ms_per_token = FIRST_MS_PER_TOKEN
         self._service_ms: dict[str, float] = {}
 
     def prompt_ms(self, model: str, tokens: int) -> float:
-        """Return how long reading ``tokens`` takes ``model``."""
-        return tokens * self._ms_per_token.get(model, self._others)
+        """Return the time in milliseconds that ``model`` takes to read ``tokens``."""
+        return tokens * self._ms_per_token.get(model, self._default_ms_per_token)
 
     def service_ms(self, route: str) -> float:
-        """Return how long a plain request of ``route`` takes."""
+        """Return the usual time in milliseconds of a plain request of ``route``."""
         return self._service_ms.get(route, FIRST_SERVICE_MS)
 
     def first_token(
         self, model: str, outstanding: Outstanding, took: timedelta
     ) -> None:
-        """Learn from a first token, if its own prompt explains most of its wait."""
-        known = self._ms_per_token.get(model, self._others)
-        own = self.base_ms + outstanding.unread * known
-        if not outstanding.unread or outstanding.ahead_ms > own * MOST_AHEAD:
+        """Learn from a first token that waited mostly for its own prompt."""
+        previous = self._ms_per_token.get(model, self._default_ms_per_token)
+        expected_ms = self.base_ms + outstanding.unread * previous
+        if not outstanding.unread or outstanding.ahead_ms > expected_ms * MOST_AHEAD:
             return
-        error = took / timedelta(milliseconds=1) - own - outstanding.ahead_ms
-        error = min(max(error, -own), own * MOST_ERROR)
-        error *= SOONER_GAIN if error < 0 else LATER_GAIN
-        part = outstanding.unread / USUAL_PROMPT
-        error /= 1.0 + part**2
-        self.base_ms = _within(self.base_ms + error, LEAST_BASE_MS, MOST_BASE_MS)
-        learned = known + error * part / USUAL_PROMPT
-        learned = _within(learned, LEAST_MS_PER_TOKEN, MOST_MS_PER_TOKEN)
+        error_ms = took / timedelta(milliseconds=1) - expected_ms - outstanding.ahead_ms
+        error_ms = min(max(error_ms, -expected_ms), expected_ms * MOST_ERROR)
+        error_ms *= SOONER_GAIN if error_ms < 0 else LATER_GAIN
+        relative_length = outstanding.unread / USUAL_PROMPT
+        error_ms /= 1.0 + relative_length**2
+        self.base_ms = _clamp(self.base_ms + error_ms, LEAST_BASE_MS, MOST_BASE_MS)
+        learned = previous + error_ms * relative_length / USUAL_PROMPT
+        learned = _clamp(learned, LEAST_MS_PER_TOKEN, MOST_MS_PER_TOKEN)
         self._ms_per_token[model] = learned
-        self._others += (learned - self._others) * OTHERS_GAIN
+        self._default_ms_per_token += (
+            learned - self._default_ms_per_token
+        ) * OTHERS_GAIN
 
     def served(self, route: str, took: timedelta) -> None:
-        """Learn from a plain request."""
-        seen = took / timedelta(milliseconds=1)
-        known = self._service_ms.get(route, seen)
-        self._service_ms[route] = known + (seen - known) * SERVICE_GAIN
+        """Learn from a plain request of ``route`` that took ``took``."""
+        observed_ms = took / timedelta(milliseconds=1)
+        previous = self._service_ms.get(route, observed_ms)
+        self._service_ms[route] = previous + (observed_ms - previous) * SERVICE_GAIN
 
 
-def _within(value: float, least: float, most: float) -> float:
-    return min(max(value, least), most)
+def _clamp(value: float, lower: float, upper: float) -> float:
+    return min(max(value, lower), upper)
--- a/packages/runhatch-server/src/runhatch_server/decisions/_request.py
+++ b/packages/runhatch-server/src/runhatch_server/decisions/_request.py
@@ -1,4 +1,4 @@
-"""A request as decisions see it: its route, what it asks of a model, its times."""
+"""Data types of a gateway request: route, model work, content and time limits."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PromptPart:
-    """One part of a prompt, shared by all requests that name the same id."""
+    """One part of a prompt; parts with the same ``name`` have the same text."""
 
     name: str
     tokens: int
@@ -18,10 +18,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelWork:
-    """What a request asks of a model.
+    """Model, adapter and prompt of a request, and the length of its answer.
 
-    ``expected_output`` is the caller's guess at the tokens of the answer,
-    ``most_output`` their bound.
+    ``expected_output`` is the caller's estimate of the output tokens, ``most_output``
+    their maximum.
     """
 
     model: str
@@ -34,10 +34,10 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayRequest:
-    """One attempt of a caller; times are on the clock's elapsed time.
+    """One attempt of a caller; times are elapsed times of the node's clock.
 
-    ``uri`` is path and query as they came.  ``goal_at`` is when an answer that
-    begins is still worth its full price, ``deadline`` when no answer helps.
+    ``uri`` is the path and query as received. An answer that begins by ``goal_at`` is
+    worth its full price; after ``deadline`` an answer is worthless.
     """
 
     attempt_id: str
@@ -53,13 +53,13 @@
     work: ModelWork | None = None
     last_event: str = ""
     configuration: int = 0
-    """Version of the configuration that its route was taken from."""
+    """Version of the configuration that contains its route."""
     fingerprint: str = ""
-    """The same for all repeats of it, see :func:`fingerprint_of`."""
+    """Equal for all retries of the request, see :func:`fingerprint_of`."""
 
     @property
     def begin_by(self) -> timedelta:
-        """When the first byte of an answer finds the caller still there."""
+        """Time until which the caller waits for the first byte of an answer."""
         patience = self.route.patience
         if patience is None:
             return self.deadline
@@ -67,10 +67,10 @@
 
     @property
     def model(self) -> str:
-        """The model asked for, empty for plain services."""
+        """The requested model, empty for plain services."""
         return "" if self.work is None else self.work.model
 
     @property
     def adapter(self) -> str:
-        """The adapter asked for, empty if none."""
+        """The requested adapter, empty if none."""
         return "" if self.work is None else self.work.adapter
--- a/packages/runhatch-server/src/runhatch_server/decisions/_scoring.py
+++ b/packages/runhatch-server/src/runhatch_server/decisions/_scoring.py
@@ -1,4 +1,4 @@
-"""How soon each target would begin to answer, and which is the best choice."""
+"""Predicts when each target would begin to answer, and selects the best target."""
 
 import random
 from collections.abc import Callable
@@ -17,38 +17,42 @@
 from runhatch_server.routing import EngineSpec, ServiceSpec
 
 ELSEWHERE_MS = 3.0
-"""What another failure domain costs: the way there and back, and bytes that are
-paid for."""
+"""Penalty for a target in another failure domain: the network round trip and the
+price of the traffic."""
 HANDSHAKE_MS = 8.0
-"""What a new connection costs: a millisecond or more at the target, a slot that may
-be held meanwhile, and its price."""
+"""Penalty for a new connection: a millisecond or more at the target, a slot that may
+be occupied meanwhile, and its price."""
 FAULT_COST = 1.5
-"""Times the goal that a failed request is taken to cost beside waiting."""
+"""Penalty for a failed request, as a multiple of the request's goal."""
 SILENT_COST_MS = 10_000.0
-"""Put on a target from which nothing is heard: any other goes first."""
+"""Penalty for a silent target, large enough that any other target is preferred."""
 SLOW_START_FACTOR = 1.5
-"""Slowness of a target that has just started, until it says otherwise."""
+"""Factor on the prediction for a target that is still in slow start."""
 RUN_MS = 1_500.0
-"""Usual time between first and last token; a request beyond the slots waits for
-one to end."""
+"""Typical time between first and last token. A request that finds no free slot waits
+until another one ends."""
 CHUNK_TOKENS = 2_048
 """Prompt tokens that an engine reads between two tokens of its streams."""
 MOST_BUSY_COUNTED = 0.98
-"""Share of an engine's time for prompts that is counted at the most."""
+"""Upper bound of the busy share of an engine that predictions use."""
 COMING_SHARE = 0.5
-"""Share of the prompts sent of late that is taken to go on coming while a queue is
-read: counting all refuses requests that would have been served in time, counting none
-lets in some that are not."""
+"""Share of the recent prompt rate expected to continue while a queue is read. Counting
+all of it refuses requests that would have been served on time; counting none admits
+some that are not."""
 SCORE_JITTER = 0.03
-"""Keeps nodes that know the same from choosing the same target at once."""
+"""Random variation of scores, so that nodes with equal information do not all choose
+the same target."""
 SUMS_JITTER = 0.2
-"""The same where loads are known by sums of many nodes, some 0.2 s old: all of them
-would send their prompts to the one that was least busy then."""
+"""Variation used when loads are sums over many nodes, which are about 0.2 s old. With
+less, all nodes would send their prompts to the target that was least busy then."""
 
 
 @dataclass(slots=True)
 class HeldPlace:
-    """A held request, and the target whose load it waits for."""
+    """Place in the queue of a request that waits for ``target`` to load its model.
+
+    ``since`` is the time at which the request was first held.
+    """
 
     number: int
     since: timedelta
@@ -57,12 +61,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Scored:
-    """A target for a request; the lowest ``score`` is the best.
+    """A target scored for a request; the lowest ``score`` is the best.
 
-    Times are in milliseconds; ``work_ms`` is this prompt's part alone.  ``busy`` is
-    the share of the target's time that prompts sent of late take, and ``token_ms``
-    the time between two tokens of an answer.  ``pause_ms`` is the longest
-    pause that streams at the target would see while the prompts there are read.
+    Times are in milliseconds. ``predicted_ms`` is the time to the first byte, of which
+    ``work_ms`` is spent on reading this prompt. ``busy`` is the share of the target's
+    time that recently sent prompts take, and ``token_ms`` the time between two tokens
+    of an answer. ``pause_ms`` is the longest pause of streams at the target while it
+    reads its queued prompts.
     """
 
     target: Target
@@ -73,9 +78,9 @@
     token_ms: float = 0.0
     pause_ms: float = 0.0
     unread: int = 0
-    """Tokens of the prompt that the target must read."""
+    """Prompt tokens that are not cached at the target."""
     queue_ms: float = 0.0
-    """Prompt reading that is ahead there, of all ranks."""
+    """Prompt reading queued at the target, of all tiers."""
 
 
 class Scorer:
@@ -103,14 +108,14 @@
         place: HeldPlace | None,
         longest_pause_ms: float,
     ) -> Scored:
-        """Return the target that would begin first, counting what goes before.
+        """Return the best of ``targets``, which must not be empty.
 
-        Those come first where streams would pause for ``longest_pause_ms`` at the
-        most.
+        Targets whose streams would pause for at most ``longest_pause_ms`` are preferred
+        to all others; among equals the lowest score wins.
         """
         scored = [self.score(request, service, t, tier, now, place) for t in targets]
         return min(
-            scored, key=lambda found: (found.pause_ms > longest_pause_ms, found.score)
+            scored, key=lambda each: (each.pause_ms > longest_pause_ms, each.score)
         )
 
     def score(
@@ -122,7 +127,7 @@
         now: timedelta,
         place: HeldPlace | None,
     ) -> Scored:
-        """Return what sending ``request`` to ``target`` now would come to."""
+        """Return the score and predictions for sending ``request`` to ``target``."""
         load = self._book.load(target.incarnation)
         total = load.total(now)
         uncached = 0
@@ -133,24 +138,24 @@
             uncached = self._book.uncached(target.incarnation, request.work)
             work_ms = self._book.rates.prompt_ms(request.work.model, uncached)
             base_ms = self._book.rates.base_ms
-            predicted = _engine_ms(
+            predicted_ms = _engine_ms(
                 service.engine, request.work, total, base_ms + work_ms, tier
             )
-            predicted *= load.factor(now)
+            predicted_ms *= load.factor(now)
             chunk_ms = self._book.rates.prompt_ms(request.work.model, CHUNK_TOKENS)
             token_ms = _token_ms(total.busy, chunk_ms, load.step_ms)
             pause_ms = _pause_ms(service.engine, load, total, work_ms, chunk_ms)
             if place is not None or tier == LATE_TIER:
                 since = now if place is None else place.since
-                predicted += load.held_ahead_ms(since, now)
+                predicted_ms += load.held_ahead_ms(since, now)
         else:
-            usual = self._book.rates.service_ms(request.route.name)
-            beyond = max(0, total.waiting + total.running + 1 - target.slots)
-            predicted = usual * (1 + beyond / max(1, target.slots))
+            usual_ms = self._book.rates.service_ms(request.route.name)
+            excess = max(0, total.waiting + total.running + 1 - target.slots)
+            predicted_ms = usual_ms * (1 + excess / max(1, target.slots))
         if target.slow_start_left > timedelta():
-            predicted *= SLOW_START_FACTOR
+            predicted_ms *= SLOW_START_FACTOR
         jitter = SUMS_JITTER if load.domains else SCORE_JITTER
-        score = predicted * self._random.uniform(1 - jitter, 1 + jitter)
+        score = predicted_ms * self._random.uniform(1 - jitter, 1 + jitter)
         if target.failure_domain != self._failure_domain:
             score += ELSEWHERE_MS
         if not self._has_connection(target.incarnation):
@@ -162,7 +167,7 @@
         return Scored(
             target,
             score,
-            predicted,
+            predicted_ms,
             work_ms,
             total.busy,
             token_ms,
@@ -181,25 +186,29 @@
 ) -> float:
     """Return the longest pause of streams at a target that takes one more prompt.
 
-    An event is made in several steps, and an engine reads up to a chunk of prompts
-    in each.  While the queue is read, prompts go on coming, and are read within the
-    same event.  Where nothing else is, nobody waits.
+    An event takes several steps, and an engine reads up to one prompt chunk in each.
+    Prompts that arrive while the queue is read lengthen the same event. A target
+    without requests has no streams that could pause.
     """
     if not total.waiting and not total.running:
         return 0.0
-    making = engine.event_tokens * load.step_ms
-    coming = min(total.busy, MOST_BUSY_COUNTED) * COMING_SHARE
-    longest = making + engine.event_tokens * chunk_ms
-    return min((making + sum(total.waiting_ms) + work_ms) / (1.0 - coming), longest)
+    event_ms = engine.event_tokens * load.step_ms
+    arriving = min(total.busy, MOST_BUSY_COUNTED) * COMING_SHARE
+    max_event_ms = event_ms + engine.event_tokens * chunk_ms
+    return min(
+        (event_ms + sum(total.waiting_ms) + work_ms) / (1.0 - arriving), max_event_ms
+    )
 
 
 def _token_ms(busy: float, chunk_ms: float, step_ms: float) -> float:
-    """Return the time between tokens of an engine that is ``busy`` with prompts.
+    """Return the time between tokens in milliseconds at an engine's ``busy`` share.
 
-    While it reads prompts it makes one token a chunk, else one a step.
+    The engine produces one token per chunk while it reads prompts, else one per step.
     """
-    reading = min(busy, MOST_BUSY_COUNTED)
-    return 1.0 / ((1.0 - reading) / step_ms + reading / max(chunk_ms, step_ms))
+    reading_share = min(busy, MOST_BUSY_COUNTED)
+    return 1.0 / (
+        (1.0 - reading_share) / step_ms + reading_share / max(chunk_ms, step_ms)
+    )
 
 
 def _engine_ms(
@@ -209,13 +218,13 @@
     own_ms: float,
     tier: int,
 ) -> float:
-    """Return the predicted time to the first token at an engine."""
-    predicted = sum(total.waiting_ms[: tier + 1]) + own_ms
-    beyond = total.waiting + total.running + 1 - engine.slots
-    if beyond > 0:
-        predicted += RUN_MS * beyond / engine.slots
-    room = engine.kv_tokens * STREAM_TOKENS_AT_ONCE
-    lacking = total.tokens + work.prompt_tokens + work.expected_output - room
-    if engine.kv_tokens and lacking > 0:
-        predicted += RUN_MS * lacking / engine.kv_tokens
-    return predicted
+    """Return the predicted time to the first token at an engine, in milliseconds."""
+    predicted_ms = sum(total.waiting_ms[: tier + 1]) + own_ms
+    excess = total.waiting + total.running + 1 - engine.slots
+    if excess > 0:
+        predicted_ms += RUN_MS * excess / engine.slots
+    capacity = engine.kv_tokens * STREAM_TOKENS_AT_ONCE
+    missing_tokens = total.tokens + work.prompt_tokens + work.expected_output - capacity
+    if engine.kv_tokens and missing_tokens > 0:
+        predicted_ms += RUN_MS * missing_tokens / engine.kv_tokens
+    return predicted_ms
--- a/packages/runhatch-server/src/runhatch_server/decisions/_spread.py
+++ b/packages/runhatch-server/src/runhatch_server/decisions/_spread.py
@@ -1,16 +1,19 @@
-"""How work spreads over the replicas of models, and where it is too much."""
+"""Estimates how work is distributed over the replicas of models."""
 
 from collections import defaultdict
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 
 PASSES = 3
-"""Rounds of pouring: by then the spread hardly changes any more."""
+"""Passes of the distribution; further ones hardly change the result."""
 
 
 @dataclass(frozen=True, slots=True)
 class Spread:
-    """Concurrent requests by target, and by model and target."""
+    """Concurrent requests by target, and by model and target.
+
+    ``capacities`` are the concurrent requests that each target can run.
+    """
 
     loads: dict[str, float]
     shares: dict[tuple[str, str], float]
@@ -21,15 +24,15 @@
         return self.shares.get((model, target), 0.0)
 
     def utilisation(self, target: str) -> float:
-        """Return the load of ``target`` over what it runs at once."""
+        """Return the load of ``target`` divided by its capacity."""
         return self.loads[target] / self.capacities[target]
 
     def overload(self, target: str, high: float) -> float:
-        """Return the concurrent requests above the share ``high``."""
+        """Return the concurrent requests above the utilisation ``high``."""
         return max(0.0, self.loads[target] - high * self.capacities[target])
 
     def headroom(self, target: str, high: float) -> float:
-        """Return the concurrent requests that fit below the share ``high``."""
+        """Return the concurrent requests that fit below the utilisation ``high``."""
         return max(0.0, high * self.capacities[target] - self.loads[target])
 
 
@@ -38,47 +41,50 @@
     hosts: Mapping[str, Sequence[str]],
     capacities: dict[str, float],
 ) -> Spread:
-    """Spread each model's work over its hosts as the routers would.
+    """Distribute each model's work over its hosts as the routers would.
 
-    Work goes to the least utilised replicas first; a few passes come close to
-    the even spread that routing by predicted wait reaches.
+    ``work`` is in concurrent requests by model. Work goes to the least utilised
+    replicas first; a few passes come close to the even distribution that routing by
+    predicted wait reaches.
     """
     loads: dict[str, float] = dict.fromkeys(capacities, 0.0)
     shares: dict[tuple[str, str], float] = defaultdict(float)
-    heaviest = sorted(hosts, key=lambda name: work.get(name, 0.0), reverse=True)
+    by_work = sorted(hosts, key=lambda model: work.get(model, 0.0), reverse=True)
     for _ in range(PASSES):
-        for name in heaviest:
-            for host in hosts[name]:
-                loads[host] -= shares[name, host]
-                shares[name, host] = 0.0
-            _fill(name, work.get(name, 0.0), hosts[name], loads, shares, capacities)
+        for model in by_work:
+            for host in hosts[model]:
+                loads[host] -= shares[model, host]
+                shares[model, host] = 0.0
+            _add_work(
+                model, work.get(model, 0.0), hosts[model], loads, shares, capacities
+            )
     return Spread(loads, dict(shares), capacities)
 
 
-def _fill(
-    name: str,
+def _add_work(
+    model: str,
     work: float,
     hosts: Sequence[str],
     loads: dict[str, float],
     shares: dict[tuple[str, str], float],
     capacities: dict[str, float],
 ) -> None:
-    """Pour ``work`` onto ``hosts`` so that their utilisations become equal."""
+    """Add ``work`` to the least utilised ``hosts``, equalising their utilisation."""
     if not hosts or work <= 0:
         return
-    by_level = sorted(hosts, key=lambda host: loads[host] / capacities[host])
-    level = 0.0
+    by_utilisation = sorted(hosts, key=lambda host: loads[host] / capacities[host])
+    utilisation_level = 0.0
     used = 0
-    for used in range(1, len(by_level) + 1):
-        wet = by_level[:used]
-        room = sum(capacities[host] for host in wet)
-        level = (work + sum(loads[host] for host in wet)) / room
-        if used == len(by_level):
+    for used in range(1, len(by_utilisation) + 1):
+        filled = by_utilisation[:used]
+        capacity = sum(capacities[host] for host in filled)
+        utilisation_level = (work + sum(loads[host] for host in filled)) / capacity
+        if used == len(by_utilisation):
             break
-        following = by_level[used]
-        if level <= loads[following] / capacities[following]:
+        next_host = by_utilisation[used]
+        if utilisation_level <= loads[next_host] / capacities[next_host]:
             break
-    for host in by_level[:used]:
-        poured = max(0.0, level * capacities[host] - loads[host])
-        loads[host] += poured
-        shares[name, host] += poured
+    for host in by_utilisation[:used]:
+        added = max(0.0, utilisation_level * capacities[host] - loads[host])
+        loads[host] += added
+        shares[model, host] += added
