--- a/packages/runhatch-server/src/runhatch_server/crashes/__init__.py
+++ b/packages/runhatch-server/src/runhatch_server/crashes/__init__.py
@@ -1,4 +1,4 @@
-"""Requests that end targets: found out, told to all nodes, held back."""
+"""Detects requests that crash targets, reports them to all nodes and refuses them."""
 
 from runhatch_server.crashes._exchange import ASK_EVERY, SuspectExchange, SuspectFact
 from runhatch_server.crashes._watch import (
--- a/packages/runhatch-server/src/runhatch_server/crashes/_exchange.py
+++ b/packages/runhatch-server/src/runhatch_server/crashes/_exchange.py
@@ -1,9 +1,9 @@
-"""Which requests end targets, told from node to node.
+"""Distributes ended targets and the requests they ran among the nodes.
 
-A request comes again at any node, within a second, so each end is told at once, and on
-from node to node while it is news.  A node that was cut off, stood still or has just
-started asks for what it missed: every second each node tells one other what it knows
-adds up to, and is told all where that differs.
+A caller may retry a crashing request at any node within a second, so each end is sent
+at once, and nodes forward what they did not know. To catch up after a partition, a
+stall or a restart, each node sends a digest of its ends to one peer every second; the
+peer replies with all its ends if the digests differ.
 """
 
 import random
@@ -24,16 +24,17 @@
 )
 
 ASK_EVERY = timedelta(seconds=1)
-"""How often a node tells another what it knows adds up to."""
+"""Interval at which a node sends its digest to a peer."""
 MOST_TOLD = 500
-"""Ends in one message, of some 50 bytes each, the gravest first."""
+"""Maximum number of ends in one message, about 50 bytes each; the strongest suspects
+come first."""
 MILLISECOND = timedelta(milliseconds=1)
 SuspectFact = TargetsEnded | RequestsCleared | SuspectsDigest
-"""What nodes tell each other of requests that end targets."""
+"""Messages between nodes about requests that crash targets."""
 
 
 class SuspectExchange:
-    """Ends of targets in and out of one node."""
+    """Sends and receives updates about ended targets for one node."""
 
     def __init__(
         self,
@@ -46,32 +47,32 @@
         self._crashes = crashes
         self._clock = clock
         self._peers = peers
-        self._tell = tell
-        self._tell_all = tell_all
+        self._send = tell
+        self._broadcast = tell_all
         self._random = random.Random()
 
     def tell_news(self) -> None:
-        """Tell all linked peers what is news."""
+        """Send new ends and cleared requests to all connected peers."""
         ends, cleared = self._crashes.take_news()
         if ends:
-            self._tell_all(self._fact_of(ends))
+            self._broadcast(self._ends_message(ends))
         if cleared:
-            self._tell_all(RequestsCleared(cleared))
+            self._broadcast(RequestsCleared(cleared))
 
     def ask(self) -> None:
-        """Have one linked peer tell what it knows, if that is something else."""
+        """Send the digest to a random connected peer, which replies on a mismatch."""
         peers = self._peers()
         if peers:
             digest = SuspectsDigest(self._crashes.digest)
-            self._tell(self._random.choice(peers), digest)
+            self._send(self._random.choice(peers), digest)
 
     @singledispatchmethod
     def take_in(self, fact: SuspectFact, sender: Member) -> None:
-        """Take in what a peer tells of ended targets, or asks."""
+        """Process a message from a peer about ended targets."""
         raise NotImplementedError(type(fact))
 
     @take_in.register
-    def _take_in_ends(self, fact: TargetsEnded, sender: Member) -> None:
+    def _record_ends(self, fact: TargetsEnded, sender: Member) -> None:
         now = self._clock.elapsed()
         self._crashes.told(
             EndedUnder(end.fingerprint, end.target, now - end.age_ms * MILLISECOND)
@@ -79,19 +80,19 @@
         )
 
     @take_in.register
-    def _take_in_cleared(self, fact: RequestsCleared, sender: Member) -> None:
+    def _record_cleared(self, fact: RequestsCleared, sender: Member) -> None:
         self._crashes.told_cleared(fact.fingerprints)
 
     @take_in.register
-    def _take_in_digest(self, fact: SuspectsDigest, sender: Member) -> None:
-        # One that knows the same asks for nothing.
+    def _answer_digest(self, fact: SuspectsDigest, sender: Member) -> None:
+        # Equal digests: the sender has nothing to catch up on.
         if fact.digest == self._crashes.digest:
             return
         known = self._crashes.known()
         if known:
-            self._tell(sender.address, self._fact_of(known))
+            self._send(sender.address, self._ends_message(known))
 
-    def _fact_of(self, ends: list[EndedUnder]) -> TargetsEnded:
+    def _ends_message(self, ends: list[EndedUnder]) -> TargetsEnded:
         now = self._clock.elapsed()
         return TargetsEnded(
             [
--- a/packages/runhatch-server/src/runhatch_server/crashes/_watch.py
+++ b/packages/runhatch-server/src/runhatch_server/crashes/_watch.py
@@ -1,4 +1,7 @@
-"""Finding out that targets end under a request, and holding that request back."""
+"""Detects targets that end while they run a request, and refuses such requests.
+
+Without it, a request that crashes its target takes down another one at each retry.
+"""
 
 import threading
 from collections.abc import Callable, Iterable
@@ -12,20 +15,21 @@
 from runhatch_server.refusals import Executed, Reason, Refusal
 
 PROBE_VALID = timedelta(milliseconds=500)
-"""How long one look at a target counts for all requests that were cut off there."""
+"""How long the result of a probe is reused for all requests aborted at the target."""
 SECOND_LOOK = timedelta(milliseconds=50)
-"""When a target that seemed to live is looked at once more: a process that ends closes
-its connections one by one, which takes longer where processors are busy."""
+"""Delay before a target that still accepted connections is probed again. A process
+that ends closes its sockets one by one, which takes longer on a busy VM."""
 LOOK_EVERY = timedelta(seconds=1)
-"""Between two looks at targets that may have ended: those that refuse connections are
-known at once, the others by their entries in the store."""
+"""Interval between checks of targets that may have ended. Targets that refuse
+connections are detected at once, the others by their entries in the store."""
 LOOKED_AT_FOR = timedelta(seconds=1.5)
-"""How long a target is looked at after it broke off; later its entry decides.  Targets
-that break off many answers and live on are not to get a connection for each."""
+"""How long a target is probed after it aborted a request; after that its store entry
+decides. This avoids a connection for each abort of a target that aborts many answers
+but keeps running."""
 
 
 class Standing(Enum):
-    """What is known of an incarnation of a target."""
+    """Known state of an incarnation of a target."""
 
     WORKS = "works"
     LEAVES = "leaves"
@@ -33,24 +37,24 @@
 
 
 class Targets(Protocol):
-    """Where the watch learns of targets, each named by its incarnation."""
+    """State of targets as needed by :class:`CrashWatch`, by incarnation."""
 
     def standing(self, target: str) -> Standing:
-        """Return what is known of ``target`` from elsewhere."""
+        """Return the state of ``target`` according to the store."""
 
     def refuses(self, target: str) -> bool:
-        """Tell whether nothing listens at its address any more."""
+        """Return whether the address of ``target`` refuses connections."""
 
     def ended(self, target: str) -> None:
-        """Take in that ``target`` has ended; what starts there is another."""
+        """Record that ``target`` has ended; a restart is another incarnation."""
 
 
 class CrashWatch:
-    """What ended targets say of the requests that they had; safe for many threads.
+    """Detects ended targets and refuses requests that ended several; thread-safe.
 
-    A connection that breaks is no end: a target may break off one answer and give a
-    hundred others.  It has ended if nothing listens there any more, or if its entry
-    leaves the store soon after.
+    A broken connection alone does not count: a target may abort one answer and complete
+    a hundred others. A target has ended if its address refuses connections, or if its
+    entry is removed from the store soon afterwards.
     """
 
     def __init__(
@@ -63,46 +67,46 @@
         self._clock = clock
         self._targets = targets
         self._metrics = metrics
-        self._on_news = on_news
+        self._notify_updates = on_news
         self._lock = threading.Lock()
         self._suspects = Suspects()
-        self._news: list[EndedUnder] = []
+        self._new_ends: list[EndedUnder] = []
         self._cleared: list[str] = []
         self._probes: dict[str, _Probe] = {}
         self.doubts = threading.Event()
-        """Set when a target that broke off is to be looked at once more."""
+        """Set when a target that aborted a request is to be probed again."""
 
     def judge(self, fingerprint: str) -> Refusal | None:
-        """Return a refusal if a request is not to be sent to any target.
+        """Return a refusal if a request must not be sent, else ``None``.
 
-        It says ``executed: no``, which holds for this attempt only.
+        The refusal states ``executed: no``, which applies to this attempt only.
         """
         now = self._clock.elapsed()
         with self._lock:
-            left = self._suspects.held_for(fingerprint, now)
-        if left is None:
+            remaining = self._suspects.held_for(fingerprint, now)
+        if remaining is None:
             return None
         detail = "targets that ran this request have ended, so it is not sent again"
-        # No time to come back: a repeat is not wanted soon.
+        # No retry time is given, because an early retry is not wanted.
         return Refusal(Reason.ENDS_TARGETS, Executed.NO, detail)
 
     def cut_off(self, fingerprint: str, target: str) -> None:
-        """Take in that ``target`` broke off a request."""
-        # One that leaves goes as planned, with whatever it still has.
+        """Record that ``target`` aborted a request, and probe whether it has ended."""
+        # A draining target ends as planned, with the requests it still has.
         if self._targets.standing(target) is not Standing.WORKS:
             return
         now = self._clock.elapsed()
         with self._lock:
             self._suspects.cut_off(fingerprint, target, now)
-        if self._listens_no_more(target):
-            self._ended(target, "connections are refused")
+        if self._refuses_connections(target):
+            self._record_ended(target, "connections are refused")
         else:
             self.doubts.set()
 
     def unfinished(self, fingerprint: str, target: str) -> None:
-        """Take in that a caller left, or its time was over, before the answer.
+        """Record that the caller disconnected or the deadline passed before the answer.
 
-        ``target`` may go on with the request and end of it.
+        ``target`` may still run the request and crash because of it.
         """
         if self._targets.standing(target) is not Standing.WORKS:
             return
@@ -113,9 +117,9 @@
     def answered(
         self, fingerprint: str, target: str, sent_at: timedelta, sound: bool = True
     ) -> None:
-        """Take in a whole answer to a request that was sent to ``target`` then.
+        """Record a complete answer to a request sent to ``target`` at ``sent_at``.
 
-        ``sound`` if the target did not fail the request.
+        ``sound`` is false if the target failed the request.
         """
         with self._lock:
             self._suspects.lives(target, sent_at)
@@ -125,83 +129,85 @@
                 return
             self._cleared.append(fingerprint)
         log_change("request_cleared", fingerprint=fingerprint, source="own")
-        self._on_news()
+        self._notify_updates()
 
     def look_again(self) -> None:
-        """Do as :meth:`settle`, a moment after a target broke off."""
+        """Wait for ``SECOND_LOOK`` after an abort, then call :meth:`settle`."""
         self._clock.sleep(SECOND_LOOK)
         self.settle()
 
     def settle(self) -> None:
-        """Look again at targets that may have ended, and forget what is old."""
+        """Check targets that may have ended, and expire old records."""
         now = self._clock.elapsed()
         with self._lock:
             unfinished = self._suspects.unfinished_at()
-        for target, broke_at in unfinished.items():
+        for target, disconnected_at in unfinished.items():
             standing = self._targets.standing(target)
             if standing is Standing.GONE:
-                self._ended(target, "its entry is gone")
+                self._record_ended(target, "its store entry was removed")
             elif standing is Standing.LEAVES:
                 with self._lock:
                     self._suspects.leaves(target)
-            elif broke_at is None or now - broke_at >= LOOKED_AT_FOR:
+            elif disconnected_at is None or now - disconnected_at >= LOOKED_AT_FOR:
                 continue
-            elif self._listens_no_more(target):
-                self._ended(target, "connections are refused")
+            elif self._refuses_connections(target):
+                self._record_ended(target, "connections are refused")
         with self._lock:
             self._suspects.expire(now)
             self._metrics.suspects.set(len(self._suspects.held(now)))
             for name in [n for n, p in self._probes.items() if p.is_old(now)]:
                 del self._probes[name]
 
-    # Between nodes.
+    # Exchange with other nodes.
 
     @property
     def digest(self) -> int:
-        """Alike on nodes that know of the same ends."""
+        """Hash of all recorded ends, equal on nodes that have recorded the same."""
         with self._lock:
             return self._suspects.digest
 
     def take_news(self) -> tuple[list[EndedUnder], list[str]]:
-        """Return the ends, and the requests cleared, that others are not told yet."""
+        """Return and clear the ends and cleared requests not yet sent to peers."""
         with self._lock:
-            news, self._news = self._news, []
+            ends, self._new_ends = self._new_ends, []
             cleared, self._cleared = self._cleared, []
-        return news, cleared
+        return ends, cleared
 
     def known(self) -> list[EndedUnder]:
-        """Return all ends that are remembered, the gravest first."""
+        """Return all recorded ends, those of the strongest suspects first."""
         with self._lock:
             return self._suspects.known()
 
     def told(self, ends: Iterable[EndedUnder]) -> None:
-        """Take in what another node knows; what is news here is told on."""
-        self._take(ends, "peer")
+        """Record ends received from a peer, and queue new ones for other peers."""
+        self._record_peer_ends(ends, "peer")
 
     def told_cleared(self, fingerprints: Iterable[str]) -> None:
-        """Take in that requests were answered elsewhere."""
+        """Record that requests were answered on other nodes."""
         now = self._clock.elapsed()
         with self._lock:
-            news = [name for name in fingerprints if self._suspects.answered(name, now)]
-            self._cleared += news
-        for name in news:
+            cleared = [
+                name for name in fingerprints if self._suspects.answered(name, now)
+            ]
+            self._cleared += cleared
+        for name in cleared:
             log_change("request_cleared", fingerprint=name, source="peer")
-        if news:
-            self._on_news()
+        if cleared:
+            self._notify_updates()
 
-    # Inside.
+    # Implementation.
 
-    def _ended(self, target: str, why: str) -> None:
+    def _record_ended(self, target: str, why: str) -> None:
         now = self._clock.elapsed()
         with self._lock:
             ends = self._suspects.ended(target, now)
-            self._news += ends
+            self._new_ends += ends
             probe = self._probes.setdefault(target, _Probe())
-            is_known, probe.ended = probe.ended, True
+            was_ended, probe.ended = probe.ended, True
         self._targets.ended(target)
         if not ends:
             return
-        if not is_known:
+        if not was_ended:
             self._metrics.ended_targets.inc()
         log_change(
             "target_ended",
@@ -210,33 +216,33 @@
             requests=sorted(end.fingerprint for end in ends),
         )
         self._log_held(ends, "own")
-        self._on_news()
+        self._notify_updates()
 
-    def _take(self, ends: Iterable[EndedUnder], source: str) -> None:
+    def _record_peer_ends(self, ends: Iterable[EndedUnder], source: str) -> None:
         with self._lock:
-            news = self._suspects.told(ends, self._clock.elapsed())
-            self._news += news
-        if news:
-            self._log_held(news, source)
-            self._on_news()
+            new_ends = self._suspects.told(ends, self._clock.elapsed())
+            self._new_ends += new_ends
+        if new_ends:
+            self._log_held(new_ends, source)
+            self._notify_updates()
 
     def _log_held(self, ends: Iterable[EndedUnder], source: str) -> None:
-        """Tell which requests are held back from now on, or for longer."""
+        """Log the requests that are now held back, or for longer than before."""
         for fingerprint in sorted({end.fingerprint for end in ends}):
             with self._lock:
-                left = self._suspects.held_for(fingerprint, self._clock.elapsed())
+                remaining = self._suspects.held_for(fingerprint, self._clock.elapsed())
                 targets = self._suspects.ended_under(fingerprint)
-            if left is not None:
+            if remaining is not None:
                 log_change(
                     "request_held",
                     fingerprint=fingerprint,
                     targets=list(targets),
-                    for_s=round(left.total_seconds(), 1),
+                    for_s=round(remaining.total_seconds(), 1),
                     source=source,
                 )
 
-    def _listens_no_more(self, target: str) -> bool:
-        """Look at ``target``, once for all requests that were just cut off there."""
+    def _refuses_connections(self, target: str) -> bool:
+        """Probe ``target`` once for all requests that were just aborted there."""
         with self._lock:
             probe = self._probes.setdefault(target, _Probe())
         with probe.lock:
@@ -249,21 +255,21 @@
 
 
 class _Probe:
-    """The newest look at one target; its lock is held while looking."""
+    """The latest probe of one target; its lock is held during a probe."""
 
     def __init__(self) -> None:
         self.lock = threading.Lock()
         self.at = timedelta(days=-1)
         self.refused = False
         self.is_second = False
-        """Whether it was the second look within the time that one is valid."""
+        """Whether the latest probe was the second one within ``PROBE_VALID``."""
         self.ended = False
-        """Whether the target was counted as ended."""
+        """Whether the target was already counted as ended."""
 
     def is_old(self, now: timedelta) -> bool:
         return now - self.at >= PROBE_VALID
 
     def is_due(self, now: timedelta) -> bool:
-        """Tell whether to look anew: twice within the time that a look is valid."""
-        again = not self.is_second and now - self.at >= SECOND_LOOK
-        return self.is_old(now) or again
+        """Return whether to probe again, at most twice within ``PROBE_VALID``."""
+        may_repeat = not self.is_second and now - self.at >= SECOND_LOOK
+        return self.is_old(now) or may_repeat
--- a/packages/runhatch-server/src/runhatch_server/decisions/_suspects.py
+++ b/packages/runhatch-server/src/runhatch_server/decisions/_suspects.py
@@ -1,9 +1,9 @@
-"""Which requests end the targets that run them, and for how long they are held back.
+"""Finds requests that crash their targets, and how long to refuse each of them.
 
-The load that this answers is one request that crashes each target that begins to run
-it, and that comes again at any node.  A crash cuts off everything that is in progress
-at the target, so each request there falls under suspicion; of these one stays with
-the targets that end, and an answer to any of the others clears it.
+A request that crashes every target that runs it may be retried at any node and take
+down one target after another. A crash aborts all requests in progress at the target,
+so all of them become suspects; an answer clears a request, and only the culprit is
+involved in further crashes.
 """
 
 from collections import OrderedDict, defaultdict
@@ -13,34 +13,36 @@
 from hashlib import blake2b
 
 ENDS_THAT_HOLD = 2
-"""Targets that must have ended under a request before it is held back.  One ends under
-each of the ten or so requests in progress there, nearly all of them sound."""
+"""Number of targets that must have ended under a request before it is held back. Each
+crash involves about ten requests in progress, nearly all of them harmless."""
 FIRST_HOLD = timedelta(seconds=20)
-"""How long a request is held back under which two targets have ended: sound ones meet
-that too where a few targets share a busy model, so they get another trial soon."""
+"""How long a request is held back after two targets ended. Harmless requests are hit
+twice too where a few targets share a busy model, so they are soon tried again."""
 LONG_HOLD = timedelta(minutes=10)
 LONGEST_HOLD = timedelta(hours=2)
-"""How long from the third target on, doubled with each further one: another trial
-costs a target and all that it has in progress."""
+"""How long a request is held back after three targets ended, doubled with each further
+one up to ``LONGEST_HOLD``. Another trial costs a target and all its requests."""
 MOST_DOUBLINGS = 4
-"""Those after which the hold is the longest."""
+"""Number of doublings after which the hold reaches its maximum."""
 REMEMBERED = timedelta(minutes=10)
-"""How long an ended target is held against a request beyond the time it is held back:
-callers that come back at all do so within minutes."""
+"""How long a suspicion is remembered after the request is no longer held back. Callers
+that retry do so within minutes."""
 END_FOUND_WITHIN = timedelta(seconds=8)
-"""How long after a request was cut off its target's end may be found out: entries of
-silent targets leave the store after some four seconds, later if that is slow."""
+"""Maximum time between the abort of a request and the detection of its target's end.
+Entries of silent targets expire in the store after about four seconds, or later if
+the store is slow."""
 SOUND_FOR = timedelta(minutes=1)
-"""How long an answer speaks for a request: the same request of many callers may be in
-progress at each of several targets that end together."""
+"""How long an answer clears a request. The same request of many callers may be in
+progress at several targets that end at the same time."""
 MOST_SUSPECTS = 2_000
 MOST_SOUND = 4_000
-"""Requests remembered: targets that end all the time must not take a node's memory."""
+"""Maximum numbers of remembered requests, which bound a node's memory if targets end
+continually."""
 
 
 @dataclass(frozen=True, slots=True)
 class EndedUnder:
-    """An incarnation of a target ended at ``at`` with a request in progress."""
+    """The incarnation ``target`` ended at ``at`` while it ran a request."""
 
     fingerprint: str
     target: str
@@ -49,10 +51,10 @@
 
 @dataclass(slots=True)
 class _Suspicion:
-    """The ends that are held against one request."""
+    """Targets that ended while they ran one request."""
 
     ended: dict[str, timedelta] = field(default_factory=dict)
-    """By incarnation of a target: when it ended."""
+    """Time of the end by incarnation of a target."""
 
     @property
     def last(self) -> timedelta:
@@ -60,7 +62,7 @@
 
     @property
     def held_until(self) -> timedelta:
-        """When it may be tried again; in the past if it is not held back."""
+        """Time until which the request is held back; past if it is not held back."""
         count = len(self.ended)
         if count < ENDS_THAT_HOLD:
             return self.last
@@ -75,59 +77,61 @@
 
 
 class Suspects:
-    """What one node knows of requests and the targets that ended under them."""
+    """Requests suspected of crashing targets, as known to one node."""
 
     def __init__(self) -> None:
         self._unfinished: defaultdict[str, dict[str, timedelta]] = defaultdict(dict)
-        """By incarnation: requests that got no whole answer there, and when; it may
-        live on."""
-        self._doubted: dict[str, timedelta] = {}
-        """When an incarnation broke a connection last, of those in ``_unfinished``."""
+        """Requests without a complete answer, with the time of their abort, by
+        incarnation of a target that may still be running."""
+        self._last_disconnects: dict[str, timedelta] = {}
+        """Time of the last disconnect by incarnation, of those in ``_unfinished``."""
         self._suspicions: dict[str, _Suspicion] = {}
-        self._sound: OrderedDict[str, timedelta] = OrderedDict()
+        self._cleared_at: OrderedDict[str, timedelta] = OrderedDict()
         self._digest = 0
 
     @property
     def digest(self) -> int:
-        """Alike on two nodes that know the same."""
+        """Hash of all recorded ends, equal on nodes that have recorded the same."""
         return self._digest
 
     def unfinished_at(self) -> dict[str, timedelta | None]:
-        """Return the incarnations that may have ended under requests.
+        """Return the incarnations that may have ended while they ran requests.
 
-        Each with when it broke a connection last, ``None`` if it broke none.
+        Each maps to the time of its last disconnect, ``None`` if there was none.
         """
-        return {target: self._doubted.get(target) for target in self._unfinished}
+        return {
+            target: self._last_disconnects.get(target) for target in self._unfinished
+        }
 
     def unfinished(self, fingerprint: str, target: str, now: timedelta) -> None:
-        """Take in that a request got no whole answer at ``target`` until now.
+        """Record that a request was abandoned before ``target`` answered completely.
 
-        Its caller left or its time was over; it may have gone on there.
+        Its caller disconnected or its deadline passed; the target may still run it.
         """
         self._unfinished[target][fingerprint] = now
 
     def cut_off(self, fingerprint: str, target: str, now: timedelta) -> None:
-        """Take in that ``target`` broke off a request, and may have ended."""
+        """Record that ``target`` aborted a request and may have ended."""
         self.unfinished(fingerprint, target, now)
-        self._doubted[target] = now
+        self._last_disconnects[target] = now
 
     def lives(self, target: str, sent_at: timedelta) -> None:
-        """Take in that ``target`` answered a request that was sent to it then."""
+        """Record that ``target`` answered a request sent at ``sent_at``."""
         requests = self._unfinished.get(target)
         if requests is None:
             return
         for fingerprint in [name for name, at in requests.items() if at <= sent_at]:
             del requests[fingerprint]
         if not requests:
-            self._drop(target)
+            self._remove_target(target)
 
     def leaves(self, target: str) -> None:
-        """Take in that ``target`` ends as planned; no request is to blame for it."""
-        self._drop(target)
+        """Record that ``target`` shuts down as planned and no request is to blame."""
+        self._remove_target(target)
 
     def ended(self, target: str, now: timedelta) -> list[EndedUnder]:
-        """Take in that ``target`` has ended; returns what other nodes are to know."""
-        requests = self._drop(target)
+        """Record that ``target`` has ended; return the ends to send to other nodes."""
+        requests = self._remove_target(target)
         return self.told(
             [
                 EndedUnder(fingerprint, target, at)
@@ -138,35 +142,35 @@
         )
 
     def told(self, ends: Iterable[EndedUnder], now: timedelta) -> list[EndedUnder]:
-        """Take in what was seen here or elsewhere; returns what is news."""
-        return [end for end in ends if self._take(end, now)]
+        """Record ends observed on any node; return those not known before."""
+        return [end for end in ends if self._record(end, now)]
 
     def answered(self, fingerprint: str, now: timedelta) -> bool:
-        """Take in that a request was answered; tell whether it was under suspicion."""
-        self._sound[fingerprint] = now
-        self._sound.move_to_end(fingerprint)
-        if len(self._sound) > MOST_SOUND:
-            self._sound.popitem(last=False)
-        return self._forget(fingerprint)
+        """Record that a request was answered; return whether it was a suspect."""
+        self._cleared_at[fingerprint] = now
+        self._cleared_at.move_to_end(fingerprint)
+        if len(self._cleared_at) > MOST_SOUND:
+            self._cleared_at.popitem(last=False)
+        return self._remove_suspect(fingerprint)
 
     def held_for(self, fingerprint: str, now: timedelta) -> timedelta | None:
-        """Return how long a request is still held back, ``None`` if it may be sent."""
+        """Return how much longer a request is held back, ``None`` if it may be sent."""
         suspicion = self._suspicions.get(fingerprint)
         if suspicion is None or now >= suspicion.held_until:
             return None
         return suspicion.held_until - now
 
     def ended_under(self, fingerprint: str) -> tuple[str, ...]:
-        """Return the incarnations that ended under a request."""
+        """Return the incarnations that ended while they ran a request."""
         suspicion = self._suspicions.get(fingerprint)
         return () if suspicion is None else tuple(suspicion.ended)
 
     def held(self, now: timedelta) -> list[str]:
-        """Return the requests that are held back."""
+        """Return the fingerprints of the requests that are held back."""
         return [name for name in self._suspicions if self.held_for(name, now)]
 
     def known(self) -> list[EndedUnder]:
-        """Return all that is remembered, the gravest first."""
+        """Return all recorded ends, those of the strongest suspects first."""
         ordered = sorted(
             self._suspicions.items(),
             key=lambda item: (-len(item[1].ended), -item[1].last),
@@ -178,52 +182,52 @@
         ]
 
     def expire(self, now: timedelta) -> None:
-        """Drop what is too old to tell anything."""
+        """Remove aborted requests and suspicions that are too old."""
         for target in [*self._unfinished]:
             requests = self._unfinished[target]
-            old = [n for n, at in requests.items() if now - at > END_FOUND_WITHIN]
-            for name in old:
-                del requests[name]
+            expired = [n for n, at in requests.items() if now - at > END_FOUND_WITHIN]
+            for fingerprint in expired:
+                del requests[fingerprint]
             if not requests:
-                self._drop(target)
-        over = [n for n, s in self._suspicions.items() if now >= s.forgotten_at]
-        for fingerprint in over:
-            self._forget(fingerprint)
+                self._remove_target(target)
+        obsolete = [n for n, s in self._suspicions.items() if now >= s.forgotten_at]
+        for fingerprint in obsolete:
+            self._remove_suspect(fingerprint)
 
-    def _drop(self, target: str) -> dict[str, timedelta]:
-        self._doubted.pop(target, None)
+    def _remove_target(self, target: str) -> dict[str, timedelta]:
+        self._last_disconnects.pop(target, None)
         return self._unfinished.pop(target, {})
 
-    def _take(self, end: EndedUnder, now: timedelta) -> bool:
-        sound_at = self._sound.get(end.fingerprint)
-        if sound_at is not None and now - sound_at < SOUND_FOR:
+    def _record(self, end: EndedUnder, now: timedelta) -> bool:
+        cleared_at = self._cleared_at.get(end.fingerprint)
+        if cleared_at is not None and now - cleared_at < SOUND_FOR:
             return False
         suspicion = self._suspicions.setdefault(end.fingerprint, _Suspicion())
         if end.target in suspicion.ended:
             return False
         suspicion.ended[end.target] = end.at
-        self._digest ^= _code(end.fingerprint, end.target)
+        self._digest ^= _hash_end(end.fingerprint, end.target)
         if len(self._suspicions) > MOST_SUSPECTS:
-            self._forget(self._least_suspect())
+            self._remove_suspect(self._weakest_suspect())
         return True
 
-    def _least_suspect(self) -> str:
-        def gravity(fingerprint: str) -> tuple[int, timedelta]:
+    def _weakest_suspect(self) -> str:
+        def severity(fingerprint: str) -> tuple[int, timedelta]:
             suspicion = self._suspicions[fingerprint]
             return len(suspicion.ended), suspicion.last
 
-        return min(self._suspicions, key=gravity)
+        return min(self._suspicions, key=severity)
 
-    def _forget(self, fingerprint: str) -> bool:
+    def _remove_suspect(self, fingerprint: str) -> bool:
         suspicion = self._suspicions.pop(fingerprint, None)
         if suspicion is None:
             return False
         for target in suspicion.ended:
-            self._digest ^= _code(fingerprint, target)
+            self._digest ^= _hash_end(fingerprint, target)
         return True
 
 
-def _code(fingerprint: str, target: str) -> int:
-    """Return a number for one end; the digest combines those of all by XOR."""
+def _hash_end(fingerprint: str, target: str) -> int:
+    """Return the hash of one end; the digest is the XOR of all of them."""
     name = f"{fingerprint} {target}".encode()
     return int.from_bytes(blake2b(name, digest_size=8).digest(), "big")
--- a/packages/runhatch-server/tests/test_suspects.py
+++ b/packages/runhatch-server/tests/test_suspects.py
@@ -155,7 +155,7 @@
         for number in range(MOST_SOUND + 10):
             suspects.answered(f"x{number}", START)
 
-        assert len(suspects._sound) == MOST_SOUND
+        assert len(suspects._cleared_at) == MOST_SOUND
 
     def test_nodes_that_know_the_same_have_the_same_digest(self):
         ends = [EndedUnder(f"x{i % 7}", f"t{i}", START) for i in range(30)]
