--- a/packages/runhatch-server/src/runhatch_server/routing/__init__.py
+++ b/packages/runhatch-server/src/runhatch_server/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Routes by host and path, and the services behind them."""
+"""Routing of requests by host and path to services."""
 
 from runhatch_server.routing._specs import (
     EngineModel,
--- a/packages/runhatch-server/src/runhatch_server/routing/_specs.py
+++ b/packages/runhatch-server/src/runhatch_server/routing/_specs.py
@@ -1,6 +1,6 @@
-"""What operators declare for requests that are passed through: routes, services.
+"""Routes, services and limits that operators declare for forwarded requests.
 
-Sizes of memory are in megabytes, of messages in bytes, of prompts in tokens.
+Memory sizes are in megabytes, message sizes in bytes, prompt sizes in tokens.
 """
 
 from dataclasses import dataclass, field
@@ -9,23 +9,23 @@
 from functools import cached_property
 
 LOAD_GUESS = timedelta(seconds=10)
-"""How long a load of weights takes where nothing is declared."""
+"""Assumed time to load weights if none is declared."""
 
 
 class RequestKind(Enum):
-    """What may be done with a request whose outcome is not known."""
+    """Whether a request with an unknown outcome may be sent again."""
 
     IDEMPOTENT = "idempotent"
-    """It may be sent again."""
+    """The request may be sent again."""
     NON_IDEMPOTENT = "non_idempotent"
-    """It must not run twice."""
+    """The request must not run twice."""
     STREAM = "stream"
-    """Answered by events; sent again only where the route may be resumed."""
+    """The answer is a stream of events; sent again only if the route is resumable."""
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceShare:
-    """A service and the weight with which a route sends requests to it."""
+    """A service and its weight among the services of a route."""
 
     service: str
     weight: float
@@ -33,12 +33,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteSpec:
-    """Requests of one host below one path, and how they are to be treated.
+    """Policy for requests to one host under one path prefix.
 
-    ``timeout`` is the longest that an answer may take, ``goal`` the time in which
-    it is worth its full price, ``priority`` the rank, 0 first.  ``max_gap`` is the
-    longest pause between two events of a stream that is still on time, ``patience``
-    how long callers wait for the first one before they leave.
+    ``timeout`` is the maximum duration of an answer, ``goal`` the time in which it is
+    worth its full price, and ``priority`` the rank, 0 being the most urgent.
+    ``max_gap`` is the longest pause between two events of a stream that is on time, and
+    ``patience`` how long callers wait for the first event before they disconnect.
     """
 
     name: str
@@ -57,7 +57,7 @@
 
     @property
     def may_repeat(self) -> bool:
-        """Whether a request may be sent again after it may have run."""
+        """Whether a request that may have run already may be sent again."""
         if self.kind is RequestKind.STREAM:
             return self.resumable
         return self.kind is RequestKind.IDEMPOTENT
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadTimes:
-    """How long a target takes to load weights, by where it finds them."""
+    """Time that a target takes to load weights, by where they are stored."""
 
     from_store: timedelta = LOAD_GUESS
     from_disk: timedelta = LOAD_GUESS
@@ -76,7 +76,7 @@
 class EngineModel:
     """A model that the targets of a service can load.
 
-    Its adapters are called ``a1``, ``a2`` and so on, ``adapters`` in number.
+    It has ``adapters`` adapters, named ``a1``, ``a2`` and so on.
     """
 
     name: str
@@ -88,12 +88,12 @@
 
 @dataclass(frozen=True)
 class EngineSpec:
-    """What the model engines of a service have in common.
+    """Properties common to the model engines of a service.
 
-    ``memory_mb`` and ``adapter_slots`` bound what one target holds,
-    ``kv_tokens`` is its cache.  ``loads_per_second`` bounds the loads from the
-    weight store over all targets.  An event of a stream holds ``event_tokens``
-    tokens, so many steps of the engine.
+    ``memory_mb`` and ``adapter_slots`` limit the models and adapters on one target, and
+    ``kv_tokens`` is the size of its cache. ``loads_per_second`` limits the loads from
+    the weight store over all targets. An event of a stream has ``event_tokens`` tokens,
+    one for each step of the engine.
     """
 
     models: tuple[EngineModel, ...]
@@ -112,10 +112,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceSpec:
-    """A service: targets that answer alike.
+    """A service, whose targets are interchangeable.
 
-    ``max_connections`` is what one target takes from all nodes together;
-    ``engine`` is set where the targets run models.
+    ``max_connections`` is the limit of one target for all nodes together. ``engine`` is
+    set if the targets run models.
     """
 
     name: str
@@ -126,7 +126,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestLimits:
-    """What a caller may send, and how long it may take or stay idle."""
+    """Limits on the size of requests, and on slow or idle callers."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -136,7 +136,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingConfiguration:
-    """One version of everything declared; versions only rise."""
+    """One version of all routes, services and limits; versions only increase."""
 
     version: int
     routes: tuple[RouteSpec, ...]
--- a/packages/runhatch-server/src/runhatch_server/routing/_table.py
+++ b/packages/runhatch-server/src/runhatch_server/routing/_table.py
@@ -1,4 +1,4 @@
-"""Finding the route of a request, and the service that it goes to."""
+"""Lookup of the route of a request, and selection of its service."""
 
 import random
 from collections import defaultdict
@@ -12,7 +12,7 @@
 
 
 class RouteTable:
-    """The routes of one configuration; never changes, so readers take no lock.
+    """The routes of one configuration; immutable, so readers need no lock.
 
     >>> RouteTable(RoutingConfiguration(1, (), ())).find("a.example", "/x/") is None
     True
@@ -24,29 +24,29 @@
             service.name: service for service in configuration.services
         }
         self.max_gaps: dict[str, timedelta] = {}
-        """The shortest pause that any route of a service allows, by service."""
+        """The smallest ``max_gap`` of all routes of a service, by service name."""
         self._by_host: dict[str, dict[str, RouteSpec]] = defaultdict(dict)
         for route in configuration.routes:
             self._by_host[route.host.lower()][route.path_prefix] = route
-            self._note_gap(route)
+            self._record_max_gap(route)
 
     @property
     def version(self) -> int:
         """The version of the configuration."""
         return self.configuration.version
 
-    def _note_gap(self, route: RouteSpec) -> None:
+    def _record_max_gap(self, route: RouteSpec) -> None:
         if route.max_gap is None:
             return
         for share in route.shares:
-            known = self.max_gaps.get(share.service, route.max_gap)
-            self.max_gaps[share.service] = min(known, route.max_gap)
+            smallest = self.max_gaps.get(share.service, route.max_gap)
+            self.max_gaps[share.service] = min(smallest, route.max_gap)
 
     def find(self, host: str, path: str) -> RouteSpec | None:
         """Return the route with the longest prefix of ``path`` at ``host``.
 
-        Costs one look-up for each slash in ``path``, however many routes there
-        are.
+        Takes one dictionary lookup per slash in ``path``, regardless of the number of
+        routes.
         """
         routes = self._by_host.get(_without_port(host).lower())
         if routes is None:
@@ -63,9 +63,9 @@
 
 
 def choose_service(route: RouteSpec, random_source: random.Random) -> str:
-    """Return the service for one request, by the weights of the route.
+    """Return a random service for one request, by the weights of the route.
 
-    Empty if the route names none.
+    The result is empty if the route has no services.
     """
     if not route.shares:
         return ""
