--- a/packages/runhatch-server/tests/test_admission.py
+++ b/packages/runhatch-server/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Prompts in clumps at targets that make streams: who is sent, who waits."""
+"""Admission of bursts of prompts at targets that produce streams."""
 
 import threading
 from dataclasses import replace
@@ -41,8 +41,8 @@
     return timedelta(milliseconds=value)
 
 
-class Bench:
-    """A balancer over targets whose streams may pause for ``MAX_GAP``."""
+class BalancerCase:
+    """A balancer over targets whose streams may pause for at most ``gaps``."""
 
     def __init__(self, clock, *names, gaps=MAX_GAP):
         self.clock = clock
@@ -51,27 +51,27 @@
         services = {**SERVICES, "engine": replace(SERVICES["engine"], engine=FAST)}
         self.balancer.configure(services, {} if gaps is None else {"engine": gaps})
 
-    def peer(self, target, waiting_ms, running=4, busy=0.0):
+    def report_peer_load(self, target, waiting_ms, running=4, busy=0.0):
         share = LoadShare((waiting_ms, 0.0, 0.0, 0.0), 1, running, busy=busy)
         self.balancer.loads.of_peer("other", {target: share}, whole=False)
 
-    def ask(self, route=CHAT, tokens=300):
+    def acquire(self, route=CHAT, tokens=300):
         request = make_request(self.clock, route, tokens=tokens)
         return self.balancer.acquire(request, Tried(), never_gone)
 
 
-class TestPauses:
-    """Streams in progress are not parted beyond what their routes allow."""
+class TestStreamPauses:
+    """New prompts do not pause streams for longer than their routes allow."""
 
-    def test_a_clump_goes_to_the_target_where_nobody_pauses(self, clock):
-        """The other begins later, but its streams stay in time."""
-        bench = Bench(clock, "t1", "t2")
-        bench.peer("t1", 190.0, running=0)
-        bench.peer("t2", 0.0)
-        assert bench.ask().target.incarnation == "t2"
+    def test_prompt_goes_to_the_target_where_no_stream_pauses(self, clock):
+        """At ``t1`` the queued prompts would cause a longer pause of streams."""
+        case = BalancerCase(clock, "t1", "t2")
+        case.report_peer_load("t1", 190.0, running=0)
+        case.report_peer_load("t2", 0.0)
+        assert case.acquire().target.incarnation == "t2"
 
     @pytest.mark.parametrize(
-        ("waiting_ms", "busy", "route", "taken"),
+        ("waiting_ms", "busy", "route", "is_admitted"),
         [
             (0.0, 0.0, CHAT, True),
             (80.0, 0.0, CHAT, True),
@@ -80,46 +80,46 @@
             (60.0, 0.0, PATIENT, True),
         ],
     )
-    def test_one_prompt_too_many_is_refused(
-        self, clock, waiting_ms, busy, route, taken
+    def test_prompt_that_would_delay_streams_is_refused(
+        self, clock, waiting_ms, busy, route, is_admitted
     ):
-        """Its answer would be in time, those of twenty others would not."""
-        bench = Bench(clock, "t1")
-        bench.peer("t1", waiting_ms, busy=busy)
-        if not taken:
+        """Its own answer would be on time, but not those of the streams it delays."""
+        case = BalancerCase(clock, "t1")
+        case.report_peer_load("t1", waiting_ms, busy=busy)
+        if not is_admitted:
             request = make_request(clock, route, tokens=300)
-            old = replace(request, received=request.received - seconds(0.2))
-            answer = bench.balancer.acquire(old, Tried(), never_gone)
+            delayed = replace(request, received=request.received - seconds(0.2))
+            answer = case.balancer.acquire(delayed, Tried(), never_gone)
             assert answer.reason is Reason.TOO_BUSY
             assert answer.judged_by.pause_ms > MAX_GAP / milliseconds(1) * 0.85
         else:
-            assert isinstance(bench.ask(route), Grant)
+            assert isinstance(case.acquire(route), Grant)
 
-    def test_without_a_declared_pause_it_is_sent(self, clock):
-        bench = Bench(clock, "t1", gaps=None)
-        bench.peer("t1", 300.0)
-        assert isinstance(bench.ask(), Grant)
+    def test_prompt_is_sent_if_no_max_gap_is_declared(self, clock):
+        case = BalancerCase(clock, "t1", gaps=None)
+        case.report_peer_load("t1", 300.0)
+        assert isinstance(case.acquire(), Grant)
 
-    def test_a_prompt_longer_than_any_pause_goes_to_an_empty_queue(self, clock):
-        """Otherwise the largest requests would never be served."""
-        bench = Bench(clock, "t1")
-        bench.peer("t1", 0.0)
-        assert isinstance(bench.ask(tokens=6_000), Grant)
+    def test_prompt_longer_than_any_pause_is_sent_to_an_empty_queue(self, clock):
+        """Otherwise the longest prompts would never be served."""
+        case = BalancerCase(clock, "t1")
+        case.report_peer_load("t1", 0.0)
+        assert isinstance(case.acquire(tokens=6_000), Grant)
 
-    def test_a_short_wait_lets_the_queue_shorten(self):
-        """A request is sent a moment later instead of being refused."""
+    def test_request_waits_for_the_queue_to_shorten(self):
+        """A request is sent shortly afterwards instead of being refused."""
         clock = SystemClock()
-        bench = Bench(clock, "t1")
-        bench.peer("t1", 220.0)
+        case = BalancerCase(clock, "t1")
+        case.report_peer_load("t1", 220.0)
         answers = []
-        asking = threading.Thread(target=lambda: answers.append(bench.ask()))
-        asking.start()
-        bench.peer("t1", 20.0)
-        asking.join(5)
+        caller = threading.Thread(target=lambda: answers.append(case.acquire()))
+        caller.start()
+        case.report_peer_load("t1", 20.0)
+        caller.join(5)
         assert isinstance(answers[0], Grant)
 
-    def test_the_shortest_pause_of_a_services_routes_counts(self):
-        """Streams of all routes share their targets' time."""
+    def test_smallest_max_gap_of_a_services_routes_applies(self):
+        """Streams of all routes to a service share its targets' time."""
         routes = [
             make_route(max_gap=gap, path_prefix=f"/{i}/", shares=(share,))
             for i, (gap, share) in enumerate(
@@ -134,12 +134,12 @@
         assert table.max_gaps == {"engine": seconds(0.25)}
 
 
-class TestLearning:
-    """What is believed of targets follows what is seen."""
+class TestLearnedRates:
+    """Estimates of speed follow the measurements."""
 
     @pytest.mark.parametrize("ms_per_token", [0.006, 0.025, 0.2])
-    def test_speeds_and_base_are_told_apart(self, ms_per_token):
-        """After some forty first tokens both are known within a fifth."""
+    def test_base_time_and_time_per_token_are_separated(self, ms_per_token):
+        """Both are estimated from first tokens of prompts of different lengths."""
         rates = WorkRates()
         base_ms = 12.0
         for i in range(200):
@@ -150,14 +150,14 @@
         assert rates.prompt_ms("m", 1_000) == pytest.approx(1_000 * ms_per_token, 0.2)
         assert rates.base_ms == pytest.approx(base_ms, 0.35)
 
-    def test_a_model_not_seen_yet_is_taken_for_one_like_the_others(self):
+    def test_unmeasured_model_gets_the_average_speed_of_others(self):
         rates = WorkRates()
         for _ in range(200):
             sent = Outstanding(0.0, 1_000, timedelta(), 0.0, 0, 1_000)
             rates.first_token("m", sent, milliseconds(35))
         assert rates.prompt_ms("other", 1_000) < 35
 
-    def test_steps_follow_streams_between_which_nothing_was_read(self):
+    def test_step_time_follows_streams_without_prompt_reading(self):
         load = TargetLoad()
         for step_ms in (6.0, 40.0, 6.0, 30.0, 6.0, 6.0):
             load.stepped(step_ms)
@@ -165,16 +165,16 @@
 
 
 class TestStreamPace:
-    """Times of the events of one stream."""
+    """Pauses between the events of one stream."""
 
-    def test_the_longest_pause_and_the_mean_are_told(self):
+    def test_longest_pause_and_mean_gap_are_computed(self):
         pace = StreamPace()
         for at in (1.0, 1.1, 1.2, 1.6, 1.7):
             pace.piece(seconds(at))
         assert pace.longest_pause == seconds(0.4)
         assert pace.mean_gap == pytest.approx(seconds(0.175), abs=milliseconds(1))
 
-    def test_few_events_tell_no_mean(self):
+    def test_mean_gap_is_none_after_one_event(self):
         pace = StreamPace()
         pace.piece(seconds(1))
         assert pace.mean_gap is None
--- a/packages/runhatch-server/tests/test_candidates.py
+++ b/packages/runhatch-server/tests/test_candidates.py
@@ -1,4 +1,4 @@
-"""Which holders of a model may be asked, of those that turn requests away."""
+"""Choice of candidates among targets that refuse requests."""
 
 import pytest
 from gateway_cases import make_target, seconds
@@ -13,12 +13,15 @@
 from runhatch_server.refusals import Reason
 
 NOW = seconds(100)
-REST = Reason.TARGETS_REST
+BACKING_OFF = Reason.TARGETS_REST
 TARGETS = {name: make_target(name) for name in ("a", "b", "c")}
 
 
-def choose(holders, failed="", turned_away="", shut=(), rests=(), limited=()):
-    """``rests``, ``shut`` and ``limited`` are until when, by target."""
+def choose_names(holders, failed="", turned_away="", shut=(), rests=(), limited=()):
+    """Return the candidates' names, or the refusal.
+
+    ``rests``, ``shut`` and ``limited`` map targets to the end time of each state.
+    """
     loads = {
         name: TargetLoad(
             rests_until=seconds(dict(rests).get(name, 0)),
@@ -27,23 +30,23 @@
         for name in TARGETS
     }
     tried = Tried(frozenset(failed), frozenset(turned_away))
-    found = choose_candidates(
+    candidates = choose_candidates(
         [TARGETS[n] for n in holders],
         tried,
         loads.get,
         NOW,
         lambda name: seconds(dict(limited).get(name, 0)),
     )
-    if isinstance(found, NoneWilling):
-        return found
-    return "".join(target.name for target in found)
+    if isinstance(candidates, NoneWilling):
+        return candidates
+    return "".join(target.name for target in candidates)
 
 
 class TestCandidates:
-    """Who is asked, who only if there is nobody else, and who not at all."""
+    """Which targets are preferred, which are fallbacks, and which are excluded."""
 
     @pytest.mark.parametrize(
-        ("holders", "known", "found"),
+        ("holders", "states", "candidates"),
         [
             ("abc", {}, "abc"),
             ("abc", {"failed": "a"}, "bc"),
@@ -62,11 +65,11 @@
             ("a", {"limited": {"a": 99}}, "a"),
         ],
     )
-    def test_found(self, holders, known, found):
-        assert choose(holders, **known) == found
+    def test_available_targets_are_returned(self, holders, states, candidates):
+        assert choose_names(holders, **states) == candidates
 
     @pytest.mark.parametrize(
-        ("holders", "known", "unwilling"),
+        ("holders", "states", "refusal"),
         [
             ("a", {"turned_away": "a"}, NoneWilling(BUSY_HOLDS, Reason.TARGETS_BUSY)),
             ("ab", {"turned_away": "ab"}, NoneWilling(BUSY_HOLDS, Reason.TARGETS_BUSY)),
@@ -78,12 +81,12 @@
             (
                 "a",
                 {"rests": {"a": 103}},
-                NoneWilling(seconds(3), REST, "a"),
+                NoneWilling(seconds(3), BACKING_OFF, "a"),
             ),
             (
                 "ab",
                 {"rests": {"a": 160, "b": 104}},
-                NoneWilling(seconds(4), REST, "b"),
+                NoneWilling(seconds(4), BACKING_OFF, "b"),
             ),
             (
                 "ab",
@@ -93,20 +96,22 @@
             (
                 "ab",
                 {"limited": {"a": 104}, "rests": {"a": 106, "b": 103}},
-                NoneWilling(seconds(3), REST, "b"),
+                NoneWilling(seconds(3), BACKING_OFF, "b"),
             ),
         ],
     )
-    def test_none_is_willing(self, holders, known, unwilling):
-        assert choose(holders, **known) == unwilling
+    def test_refusal_says_when_and_why_no_target_is_available(
+        self, holders, states, refusal
+    ):
+        assert choose_names(holders, **states) == refusal
 
 
-class TestReplay:
-    """The load of the recorded day: 40 requests a second for models that a few hold,
-    all of which turn requests away and ask for 3 s of rest."""
+class TestBackoffUnderLoad:
+    """40 requests a second for a model whose few holders all refuse and ask for 3 s of
+    backoff. Each target must not get a request again before its backoff has ended."""
 
     @pytest.mark.parametrize("holders", ["a", "ab", "abc"])
-    def test_each_is_asked_once_in_its_rest(self, holders):
+    def test_each_target_gets_one_request_per_backoff(self, holders):
         loads = {name: TargetLoad() for name in TARGETS}
         arrivals = dict.fromkeys(holders, 0)
         for number in range(110):
@@ -114,13 +119,13 @@
             tried = Tried()
             while True:
                 targets = [TARGETS[name] for name in holders]
-                found = choose_candidates(
+                candidates = choose_candidates(
                     targets, tried, loads.get, now, lambda name: NOW
                 )
-                if isinstance(found, NoneWilling):
-                    assert found.reason is REST
+                if isinstance(candidates, NoneWilling):
+                    assert candidates.reason is BACKING_OFF
                     break
-                name = found[0].name
+                name = candidates[0].name
                 arrivals[name] += 1
                 loads[name].rests_until = now + seconds(3)
                 tried = tried.turned_away_at(name)
--- a/packages/runhatch-server/tests/test_prefixes.py
+++ b/packages/runhatch-server/tests/test_prefixes.py
@@ -1,4 +1,4 @@
-"""What is believed of prefix caches."""
+"""Names of prompt blocks, and the index of prefix caches."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 
 
 class TestPrefixBlocks:
-    """Names of blocks."""
+    """Names of prompt blocks."""
 
     @pytest.mark.parametrize(
         ("model", "text", "shared"),
@@ -20,13 +20,13 @@
             ("m", "x" * 255, 0),
         ],
     )
-    def test_shared_only_with_the_whole_prefix(self, model, text, shared):
-        """A block is shared with the same model after the same text only."""
+    def test_blocks_are_shared_only_with_the_whole_prefix(self, model, text, shared):
+        """A block's name depends on the model and all text before it."""
         assert len(set(BLOCKS) & set(prefix_blocks(model, text))) == shared
 
 
 class TestPrefixIndex:
-    """Blocks by target."""
+    """The index of blocks by target."""
 
     @pytest.fixture
     def index(self):
@@ -34,15 +34,15 @@
         index.stored("w0", BLOCKS)
         return index
 
-    def test_matches_leading_blocks(self, index):
-        """Only blocks from the first on count."""
+    def test_counts_matching_leading_blocks(self, index):
+        """Blocks after the first missing one are not counted."""
         assert index.matched("w0", BLOCKS) == 4
         index.dropped("w0", BLOCKS[1])
         assert index.matched("w0", BLOCKS) == 1
         assert index.matched("w1", BLOCKS) == 0
 
     def test_forgets_one_target(self, index):
-        """A target that started anew has nothing, the others what they had."""
+        """Forgetting a restarted target keeps the blocks of the others."""
         index.stored("w1", BLOCKS[:2])
         index.forget("w0")
         assert index.targets() == ["w1"]
@@ -51,7 +51,7 @@
         assert not index.is_known(BLOCKS[2])
 
     def test_is_bounded(self, index):
-        """The newest blocks are kept, and targets without any are gone."""
+        """The newest blocks are kept, and targets without blocks are removed."""
         index.stored("w1", [f"b{i}" for i in range(10)])
         assert index.targets() == ["w1"]
         assert index.matched("w1", ("b9",)) == 1
--- a/packages/runhatch-server/tests/test_routing.py
+++ b/packages/runhatch-server/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Routes by host and longest prefix, and services by weight."""
+"""Lookup of routes by host and longest prefix, and choice of services by weight."""
 
 import random
 from collections import Counter
@@ -18,7 +18,7 @@
 SECOND = timedelta(seconds=1)
 
 
-def route(name, host="a.example", prefix="/", shares=(("s", 1.0),)):
+def make_route(name, host="a.example", prefix="/", shares=(("s", 1.0),)):
     return RouteSpec(
         name,
         host,
@@ -34,21 +34,21 @@
     RoutingConfiguration(
         3,
         (
-            route("root"),
-            route("x", prefix="/x/"),
-            route("x-y", prefix="/x/y/"),
-            route("other", host="b.example", prefix="/x/"),
+            make_route("root"),
+            make_route("x", prefix="/x/"),
+            make_route("x-y", prefix="/x/y/"),
+            make_route("other", host="b.example", prefix="/x/"),
         ),
         (),
     )
 )
 
 
-class TestFind:
-    """The route of a request."""
+class TestFindRoute:
+    """Lookup of the route of a request."""
 
     @pytest.mark.parametrize(
-        ("host", "path", "found"),
+        ("host", "path", "expected"),
         [
             ("a.example", "/", "root"),
             ("a.example", "/x", "root"),
@@ -64,14 +64,14 @@
             ("a.example", "", None),
         ],
     )
-    def test_longest_prefix_of_the_host_wins(self, host, path, found):
-        route_found = TABLE.find(host, path)
+    def test_longest_prefix_of_the_host_is_found(self, host, path, expected):
+        found = TABLE.find(host, path)
 
-        assert (route_found.name if route_found else None) == found
+        assert (found.name if found else None) == expected
 
 
 class TestChooseService:
-    """Weighted shares."""
+    """Random choice of a service by weight."""
 
     @pytest.mark.parametrize(
         ("shares", "expected"),
@@ -83,15 +83,15 @@
         ],
     )
     def test_only_services_with_weight_are_chosen(self, shares, expected):
-        source = random.Random(1)
-        spec = route("r", shares=shares)
+        random_source = random.Random(1)
+        spec = make_route("r", shares=shares)
 
-        assert {choose_service(spec, source) for _ in range(50)} == expected
+        assert {choose_service(spec, random_source) for _ in range(50)} == expected
 
-    def test_shares_follow_the_weights(self):
-        source = random.Random(1)
-        spec = route("r", shares=(("s", 90.0), ("t", 10.0)))
+    def test_choices_follow_the_weights(self):
+        random_source = random.Random(1)
+        spec = make_route("r", shares=(("s", 90.0), ("t", 10.0)))
 
-        chosen = Counter(choose_service(spec, source) for _ in range(2_000))
+        chosen = Counter(choose_service(spec, random_source) for _ in range(2_000))
 
         assert 120 < chosen["t"] < 280
