--- a/packages/runhatch-server/tests/test_crashes.py
+++ b/packages/runhatch-server/tests/test_crashes.py
@@ -1,4 +1,4 @@
-"""Finding out that targets end under requests."""
+"""Detection of targets that end while they run a request."""
 
 from dataclasses import replace
 
@@ -22,173 +22,177 @@
 TARGETS = ("t0", "t1", "t2", "t3")
 
 
-class World:
-    """A watch over targets that may end."""
+class WatchCase:
+    """A :class:`CrashWatch` over fake targets."""
 
     def __init__(self, clock):
         self.clock = clock
         self.targets = FakeTargets()
-        self.woken = 0
+        self.notifications = 0
         self.metrics = Metrics()
-        self.watch = CrashWatch(clock, self.targets, self.metrics, self.wake)
+        self.watch = CrashWatch(
+            clock, self.targets, self.metrics, self.count_notification
+        )
 
-    def wake(self):
-        self.woken += 1
+    def count_notification(self):
+        self.notifications += 1
 
-    def end(self, target, fingerprint="x"):
+    def end_target(self, target, fingerprint="x"):
         self.targets.refusing.add(target)
         self.watch.cut_off(fingerprint, target)
 
-    def answer(self, target, fingerprint):
+    def answer_request(self, target, fingerprint):
         self.watch.answered(fingerprint, target, self.clock.elapsed())
 
 
 @pytest.fixture
-def world(clock):
-    return World(clock)
+def case(clock):
+    return WatchCase(clock)
 
 
-class TestJudging:
-    """What is held back, and what its caller is told."""
+class TestRefusal:
+    """Which requests are refused, and how."""
 
-    def test_a_request_that_ended_two_targets_is_refused_at_once(self, world):
-        world.end("t0")
-        assert world.watch.judge("x") is None
-        world.end("t1")
+    def test_request_that_ended_two_targets_is_refused(self, case):
+        case.end_target("t0")
+        assert case.watch.judge("x") is None
+        case.end_target("t1")
 
-        refusal = world.watch.judge("x")
+        refusal = case.watch.judge("x")
 
         assert refusal.reason is Reason.ENDS_TARGETS
         assert refusal.executed is Executed.NO
         assert refusal.retry_after is None
-        assert world.watch.judge("another") is None
-        assert world.targets.ends == ["t0", "t1"]
+        assert case.watch.judge("another") is None
+        assert case.targets.ends == ["t0", "t1"]
 
-    def test_a_target_that_broke_off_and_lives_says_nothing(self, clock, world):
-        """One broke 23 connections within 50 s and gave 220 other answers."""
+    def test_aborts_by_a_running_target_are_ignored(self, clock, case):
+        """A target may abort many connections and still answer other requests."""
         for _ in range(23):
             for target in TARGETS:
-                world.watch.cut_off("x", target)
+                case.watch.cut_off("x", target)
             clock.advance(seconds(2))
             for target in TARGETS:
-                world.answer(target, "y")
-            world.watch.settle()
+                case.answer_request(target, "y")
+            case.watch.settle()
 
-        assert world.watch.judge("x") is None
+        assert case.watch.judge("x") is None
 
-    def test_what_was_cut_off_together_is_looked_at_once(self, clock, world):
+    def test_requests_aborted_together_cause_one_probe(self, clock, case):
         for number in range(15):
-            world.end("t0", f"x{number}")
+            case.end_target("t0", f"x{number}")
 
-        assert world.targets.looks == 1
-        assert b"ended_targets_total 1.0" in world.metrics.exposition()
+        assert case.targets.looks == 1
+        assert b"ended_targets_total 1.0" in case.metrics.exposition()
         clock.advance(PROBE_VALID)
-        world.end("t1")
-        assert world.targets.looks == 2
+        case.end_target("t1")
+        assert case.targets.looks == 2
 
     @pytest.mark.parametrize("standing", [Standing.LEAVES, Standing.GONE])
-    def test_a_target_that_leaves_as_planned_says_nothing(self, world, standing):
+    def test_planned_shutdown_of_a_target_is_ignored(self, case, standing):
         for target in TARGETS[:2]:
-            world.targets.standings[target] = standing
-            world.end(target)
-            world.watch.unfinished("x", target)
-        world.watch.settle()
+            case.targets.standings[target] = standing
+            case.end_target(target)
+            case.watch.unfinished("x", target)
+        case.watch.settle()
 
-        assert world.watch.judge("x") is None
+        assert case.watch.judge("x") is None
 
 
-class TestSettling:
-    """Ends that are found out later."""
+class TestDelayedDetection:
+    """Ends that are detected some time after the abort."""
 
     @pytest.mark.parametrize(
-        ("after", "held"), [(seconds(4), True), (seconds(20), False)]
+        ("delay", "held"), [(seconds(4), True), (seconds(20), False)]
     )
-    @pytest.mark.parametrize("heard", [CrashWatch.cut_off, CrashWatch.unfinished])
-    def test_an_entry_that_leaves_the_store_soon_after(
-        self, clock, world, heard, after, held
+    @pytest.mark.parametrize(
+        "report_abort", [CrashWatch.cut_off, CrashWatch.unfinished]
+    )
+    def test_removal_of_the_store_entry_soon_after_counts(
+        self, clock, case, report_abort, delay, held
     ):
-        """The way to the target may be cut, or its caller has left: then nothing
-        tells this node of its end."""
+        """If the target is unreachable or the caller has disconnected, only the removal
+        of the store entry shows this node that the target has ended."""
         for target in TARGETS[:2]:
-            heard(world.watch, "x", target)
-            clock.advance(after)
-            world.watch.settle()
-            world.targets.standings[target] = Standing.GONE
-            world.watch.settle()
+            report_abort(case.watch, "x", target)
+            clock.advance(delay)
+            case.watch.settle()
+            case.targets.standings[target] = Standing.GONE
+            case.watch.settle()
 
-        assert (world.watch.judge("x") is not None) == held
+        assert (case.watch.judge("x") is not None) == held
 
-    def test_one_that_stops_listening_a_moment_later(self, clock, world):
+    def test_target_that_stops_listening_later_counts(self, clock, case):
         for target in TARGETS[:2]:
-            world.watch.cut_off("x", target)
-            assert world.watch.doubts.is_set()
-            world.targets.refusing.add(target)
+            case.watch.cut_off("x", target)
+            assert case.watch.doubts.is_set()
+            case.targets.refusing.add(target)
             clock.advance(SECOND_LOOK)
-            world.watch.settle()
+            case.watch.settle()
 
-        assert world.watch.judge("x") is not None
+        assert case.watch.judge("x") is not None
 
-    def test_one_that_begins_to_leave_ends_as_planned(self, world):
+    def test_target_that_drains_first_ends_as_planned(self, case):
         for target in TARGETS[:2]:
-            world.watch.unfinished("x", target)
+            case.watch.unfinished("x", target)
             for standing in (Standing.LEAVES, Standing.GONE):
-                world.targets.standings[target] = standing
-                world.watch.settle()
+                case.targets.standings[target] = standing
+                case.watch.settle()
 
-        assert world.watch.judge("x") is None
+        assert case.watch.judge("x") is None
 
-    def test_what_its_caller_left_costs_no_look(self, world):
-        world.watch.unfinished("x", "t0")
-        world.watch.settle()
+    def test_abandoned_request_causes_no_probe(self, case):
+        case.watch.unfinished("x", "t0")
+        case.watch.settle()
 
-        assert world.targets.looks == 0
+        assert case.targets.looks == 0
 
-    def test_a_target_in_doubt_is_looked_at_few_times(self, clock, world):
+    def test_number_of_probes_of_a_target_is_limited(self, clock, case):
         for _ in range(40):
-            world.watch.cut_off("x", "t0")
+            case.watch.cut_off("x", "t0")
             clock.advance(SECOND_LOOK)
-            world.watch.settle()
-        assert world.targets.looks <= 2 * 40 * SECOND_LOOK / PROBE_VALID
-        world.targets.looks = 0
+            case.watch.settle()
+        assert case.targets.looks <= 2 * 40 * SECOND_LOOK / PROBE_VALID
+        case.targets.looks = 0
         for _ in range(200):
             clock.advance(SECOND_LOOK)
-            world.watch.settle()
+            case.watch.settle()
 
-        assert world.targets.looks <= 2 * LOOKED_AT_FOR / PROBE_VALID
+        assert case.targets.looks <= 2 * LOOKED_AT_FOR / PROBE_VALID
 
 
-class TestTelling:
-    """What other nodes are told."""
+class TestUpdates:
+    """Updates from and to other nodes."""
 
-    def test_news_is_told_once(self, world):
-        world.end("t0")
-        ends, cleared = world.watch.take_news()
+    def test_updates_are_returned_once(self, case):
+        case.end_target("t0")
+        ends, cleared = case.watch.take_news()
 
         assert [(end.fingerprint, end.target) for end in ends] == [("x", "t0")]
         assert cleared == []
-        assert world.watch.take_news() == ([], [])
+        assert case.watch.take_news() == ([], [])
 
-    def test_what_is_heard_is_told_on_while_it_is_news(self, clock, world):
+    def test_only_new_ends_from_peers_are_forwarded(self, clock, case):
         end = EndedUnder("x", "elsewhere", clock.elapsed())
-        world.watch.told([end])
-        world.watch.told([end])
+        case.watch.told([end])
+        case.watch.told([end])
 
-        assert world.watch.take_news() == ([end], [])
-        assert world.woken == 1
+        assert case.watch.take_news() == ([end], [])
+        assert case.notifications == 1
 
-    def test_an_answer_clears_it_everywhere(self, clock, world):
-        other = World(clock)
-        for watch in (world.watch, other.watch):
+    def test_answer_clears_a_request_on_all_nodes(self, clock, case):
+        other = WatchCase(clock)
+        for watch in (case.watch, other.watch):
             watch.told([EndedUnder("x", f"t{i}", clock.elapsed()) for i in range(2)])
-        world.answer("t3", "x")
-        _, cleared = world.watch.take_news()
+        case.answer_request("t3", "x")
+        _, cleared = case.watch.take_news()
         other.watch.told_cleared(cleared)
 
-        assert world.watch.judge("x") is other.watch.judge("x") is None
+        assert case.watch.judge("x") is other.watch.judge("x") is None
 
 
 class TestKnownTargets:
-    """Learned targets: what the directory says of them."""
+    """Standing of targets according to the directory."""
 
     @pytest.mark.parametrize(
         ("state", "standing"),
@@ -198,17 +202,17 @@
             (None, Standing.GONE),
         ],
     )
-    def test_standing(self, clock, state, standing):
+    def test_standing_follows_the_directory(self, clock, state, standing):
         target = make_target()
         directory = make_directory(clock, target)
         clock.advance(seconds(5))
-        shown = None if state is None else replace(target, state=state)
-        directory.changed((Entry(target.name, shown),))
+        value = None if state is None else replace(target, state=state)
+        directory.changed((Entry(target.name, value),))
         known = KnownTargets(directory, ConnectionPool(clock))
 
         assert known.standing("t1") is standing
 
-    def test_one_that_is_not_known_refuses_nothing(self, clock):
+    def test_unknown_target_does_not_count_as_refusing(self, clock):
         known = KnownTargets(make_directory(clock), ConnectionPool(clock))
 
         assert not known.refuses("t1")
