--- a/packages/runhatch-server/tests/test_starvation.py
+++ b/packages/runhatch-server/tests/test_starvation.py
@@ -1,18 +1,8 @@
-"""Models that are asked for seldom, all the time, must be served some time.
+"""Rarely requested models must be served eventually.
 
-On a day of 26 models on six targets, seven models were refused each time they were
-asked for, 4 to 12 times each, while 21 loads were planned for others.  They lay in
-the weight store alone.  A load from there keeps its target for nine seconds, and all
-of that, with what gives way for three times as long, was set against the one or two
-requests that had missed the model in the last seconds.  Requests that come one each
-ten seconds never add up to that, however long they go on.  All of the log lines of
-such a model, each two seconds for a minute, say the same:
-
-    load_left because="not worth it" won=1.0 lost=13.0 seconds=9.0
-    load_left because="not worth it" won=4.32 lost=8.41 seconds=9.0
-    load_left because="not worth it" won=5.98 lost=11.95 seconds=9.0
-
-The most that was ever won by one was 6.4; the least that was lost, 3.4.
+Loading a model from the weight store occupies its target for nine seconds and evicts
+other models. If that cost is compared only with the one or two requests that missed the
+model recently, a model requested every ten seconds is never loaded.
 """
 
 from dataclasses import dataclass, field
@@ -36,47 +26,49 @@
 
 STEP = seconds(0.25)
 LENGTH = seconds(60)
-COMES_BACK_AFTER = seconds(4)
-"""Callers of patient routes try once more after so long."""
-PATIENT = 2, seconds(8)
-URGENT = 0, seconds(0.8)
+RETRY_DELAY = seconds(4)
+"""Delay after which callers retry a failed request once."""
+PATIENT_ROUTE = 2, seconds(8)
+URGENT_ROUTE = 0, seconds(0.8)
 
 
 @dataclass
-class Replay:
-    """Requests for models on targets whose loads are planned as they come in."""
+class Simulation:
+    """Requests to targets whose model loads are planned at each step."""
 
     controls: list[TargetControl]
     book: DemandBook = field(default_factory=DemandBook)
     now: timedelta = timedelta()
-    asked: dict[str, int] = field(default_factory=dict)
+    requested: dict[str, int] = field(default_factory=dict)
     answered: dict[str, int] = field(default_factory=dict)
     most_overdue: int = 0
 
-    def play(self, arrivals):
-        """Play ``arrivals``: pairs of seconds and what is asked for then."""
-        left = sorted(arrivals)
+    def simulate(self, arrivals):
+        """Simulate ``arrivals``: tuples of time, request and whether it is retried."""
+        pending = sorted(arrivals)
         while self.now < LENGTH:
-            while left and left[0][0] <= self.now:
-                at, wanted, again = left.pop(0)
-                if not self._ask(wanted) and again:
-                    left.append((at + COMES_BACK_AFTER, wanted, False))
-                    left.sort()
+            while pending and pending[0][0] <= self.now:
+                at, wanted, may_retry = pending.pop(0)
+                if not self._request(wanted) and may_retry:
+                    pending.append((at + RETRY_DELAY, wanted, False))
+                    pending.sort()
             self._finish_loads()
             self._begin_loads()
             self.now += STEP
 
-    def never_answered(self):
-        """Return the models asked for four times or more that had no answer."""
-        return [m for m, n in self.asked.items() if n >= 4 and not self.answered.get(m)]
+    def unanswered_models(self):
+        """Return the models requested at least four times but never answered."""
+        return [
+            m for m, n in self.requested.items() if n >= 4 and not self.answered.get(m)
+        ]
 
-    def _ask(self, wanted):
+    def _request(self, wanted):
         model = wanted.model
         held = any(control.holds(model) for control in self.controls)
         self.book.add("n1", DemandShare(wanted, 1, 0 if held else 1, 100.0), self.now)
         if held:
             self.book.met("engine", model, ())
-        self.asked[model] = self.asked.get(model, 0) + 1
+        self.requested[model] = self.requested.get(model, 0) + 1
         self.answered[model] = self.answered.get(model, 0) + held
         return held
 
@@ -85,7 +77,7 @@
             if control.step is Step.LOADING and self.now >= control.ready_at:
                 held = {**control.held, control.loading: set()}
                 on_disk = control.copies_on_disk | {control.loading}
-                settle(control, held, on_disk, self.now)
+                report_models(control, held, on_disk, self.now)
                 self.book.met("engine", control.loading, ())
 
     def _begin_loads(self):
@@ -95,10 +87,10 @@
             control = by_name[load.target]
             for model in load.evict:
                 del control.held[model]
-            took = control.load_time(ENGINE.by_name[load.model])
+            duration = control.load_time(ENGINE.by_name[load.model])
             control.loading, control.step = load.model, Step.LOADING
             control.loading_reason = load.reason
-            control.ready_at = self.now + took
+            control.ready_at = self.now + duration
         overdue = sum(
             control.is_loading_from_store and control.loading_because == OVERDUE
             for control in self.controls
@@ -106,90 +98,94 @@
         self.most_overdue = max(self.most_overdue, overdue)
 
 
-def settle(control, models, on_disk, now):
-    """Have ``control`` report that it holds ``models``."""
+def report_models(control, models, on_disk, now):
+    """Report to ``control`` that its target holds ``models``."""
     held = HeldModels({model: frozenset(names) for model, names in models.items()})
     copies = StoredCopies(on_disk=frozenset(on_disk))
     control.reported(TargetReport(0, held, False, frozenset(), copies, 0, 0), now)
 
 
 def make_control(name, *models):
-    made = TargetControl(make_target(name, models=models))
-    settle(made, {model: () for model in models}, models, seconds(0))
-    return made
+    control = TargetControl(make_target(name, models=models))
+    report_models(control, {model: () for model in models}, models, seconds(0))
+    return control
 
 
-def requests(model, every, rank=PATIENT, adapter="", first=0.0):
-    """Return requests for ``model``, one each ``every`` seconds."""
-    priority, goal = rank
+def periodic_requests(model, every, route=PATIENT_ROUTE, adapter="", start=0.0):
+    """Return requests for ``model``, one every ``every`` seconds."""
+    priority, goal = route
     wanted = Wanted("engine", model, adapter, priority, goal)
-    count = int((LENGTH.total_seconds() - first) / every)
-    return [(seconds(first + i * every), wanted, True) for i in range(count)]
+    count = int((LENGTH.total_seconds() - start) / every)
+    return [(seconds(start + i * every), wanted, True) for i in range(count)]
 
 
-def seldom(models, every=10.0):
-    """Return requests for all ``models`` by turns."""
+def rare_requests(models, every=10.0):
+    """Return requests for each of ``models``, one per model every ``every`` seconds."""
     return [
         request
         for i, model in enumerate(models)
-        for request in requests(model, every, first=1.0 + i * every / len(models))
+        for request in periodic_requests(
+            model, every, start=1.0 + i * every / len(models)
+        )
     ]
 
 
-ALL = [model.name for model in ENGINE.models]
-BUSY = [
-    *requests("m0", 0.2, URGENT),
-    *requests("m0", 0.7, URGENT, "a1"),
-    *requests("m3", 0.2, URGENT),
-    *requests("m3", 0.7, URGENT, "a1"),
+ALL_MODELS = [model.name for model in ENGINE.models]
+BUSY_REQUESTS = [
+    *periodic_requests("m0", 0.2, URGENT_ROUTE),
+    *periodic_requests("m0", 0.7, URGENT_ROUTE, "a1"),
+    *periodic_requests("m3", 0.2, URGENT_ROUTE),
+    *periodic_requests("m3", 0.7, URGENT_ROUTE, "a1"),
 ]
 
 
-class TestSeldomModels:
-    """Two of eight models lie in the weight store alone; all are asked for."""
+class TestRareModels:
+    """All of eight models are requested; two are in the weight store only."""
 
     @pytest.mark.parametrize(
         "arrivals",
         [
-            pytest.param(seldom(ALL), id="all-seldom"),
-            pytest.param([*seldom(ALL), *BUSY], id="beside-busy-ones"),
+            pytest.param(rare_requests(ALL_MODELS), id="all-rare"),
+            pytest.param(
+                [*rare_requests(ALL_MODELS), *BUSY_REQUESTS], id="beside-busy-ones"
+            ),
         ],
     )
-    def test_each_is_served_some_time(self, arrivals):
-        replay = Replay(
+    def test_each_model_is_served_eventually(self, arrivals):
+        simulation = Simulation(
             [make_control("t1", "m0", "m1", "m2"), make_control("t2", "m3", "m4", "m5")]
         )
 
-        replay.play(arrivals)
+        simulation.simulate(arrivals)
 
-        assert replay.never_answered() == []
+        assert simulation.unanswered_models() == []
 
-    def test_one_of_few_targets_loads_from_the_store_at_a_time(self):
-        """Meanwhile it takes no orders for adapters."""
-        replay = Replay(
+    def test_overdue_models_load_from_the_store_on_one_target_at_a_time(self):
+        """A target cannot load adapters during a load from the weight store."""
+        simulation = Simulation(
             [make_control("t1", "m0", "m1", "m2"), make_control("t2", "m3", "m4", "m5")]
         )
 
-        replay.play([*seldom(ALL), *BUSY])
+        simulation.simulate([*rare_requests(ALL_MODELS), *BUSY_REQUESTS])
 
-        assert replay.most_overdue == 1
+        assert simulation.most_overdue == 1
 
 
-class TestChangeOfHands:
-    """How long a model was missed outlasts whoever orders the targets."""
+class TestPlannerChange:
+    """The time for which a model was missed survives a change of the planning node."""
 
     @pytest.mark.parametrize(
         ("missed_for", "planned"),
         [(0.0, []), (40.0, ["m6"])],
     )
-    def test_a_new_orderer_goes_on_from_what_nodes_tell(self, missed_for, planned):
+    def test_new_planner_uses_miss_times_reported_by_nodes(self, missed_for, planned):
         control = make_control("t1", "m0", "m1", "m2")
-        replay = Replay([control], now=seconds(20))
-        wanted = Wanted("engine", "m6", "", *PATIENT)
-        told = DemandShare(wanted, 0, 0, 0.0, seconds(missed_for))
-        replay.book.missed_before(told, replay.now)
-        replay.book.add("n1", DemandShare(wanted, 1, 1, 100.0), replay.now)
+        simulation = Simulation([control], now=seconds(20))
+        wanted = Wanted("engine", "m6", "", *PATIENT_ROUTE)
+        reported_share = DemandShare(wanted, 0, 0, 0.0, seconds(missed_for))
+        simulation.book.missed_before(reported_share, simulation.now)
+        simulation.book.add("n1", DemandShare(wanted, 1, 1, 100.0), simulation.now)
 
-        view = FleetView("engine", ENGINE, [control], replay.book, replay.now)
+        view = FleetView("engine", ENGINE, [control], simulation.book, simulation.now)
 
         assert [load.model for load in plan_models(view).loads] == planned
