--- a/packages/runhatch-server/tests/test_starvation.py
+++ b/packages/runhatch-server/tests/test_starvation.py
@@ -41,7 +41,7 @@
     now: timedelta = timedelta()
     requested: dict[str, int] = field(default_factory=dict)
     answered: dict[str, int] = field(default_factory=dict)
-    most_overdue: int = 0
+    max_overdue: int = 0
 
     def simulate(self, arrivals):
         """Simulate ``arrivals``: tuples of time, request and whether it is retried."""
@@ -95,7 +95,7 @@
             control.is_loading_from_store and control.loading_because == OVERDUE
             for control in self.controls
         )
-        self.most_overdue = max(self.most_overdue, overdue)
+        self.max_overdue = max(self.max_overdue, overdue)
 
 
 def report_models(control, models, on_disk, now):
@@ -168,7 +168,7 @@
 
         simulation.simulate([*rare_requests(ALL_MODELS), *BUSY_REQUESTS])
 
-        assert simulation.most_overdue == 1
+        assert simulation.max_overdue == 1
 
 
 class TestPlannerChange:
