--- a/packages/runhatch-server/src/runhatch_server/residency/_adapter_policy.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_adapter_policy.py
@@ -1,4 +1,4 @@
-"""Which adapters are loaded beside the models that targets hold."""
+"""Decide which adapters to load on the targets that hold their models."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -12,12 +12,12 @@
 )
 
 ADAPTER_RATE_PER_REPLICA = 1.5
-"""Requests a second for one adapter from which it is put on another target."""
+"""Requests per second for one adapter above which another replica of it is loaded."""
 
 
 @dataclass(frozen=True, slots=True)
 class LoadAdapter:
-    """Load an adapter on ``target``, after unloading ``evict`` if it has no room."""
+    """Load an adapter on ``target``, after unloading ``evict`` if no slot is free."""
 
     target: str
     model: str
@@ -29,16 +29,17 @@
     """Why an adapter that no target holds is not loaded now."""
 
     NO_HOLDER_FREE = "no holder free"
-    """Each target that holds its model has another order under way."""
+    """Each target that holds the model has another order in progress."""
     NOT_WORTH_IT = "not worth it"
-    """Each adapter that might give way is asked for more."""
+    """Each adapter that could be evicted has more demand."""
 
 
 @dataclass(frozen=True, slots=True)
 class LeftAdapter:
     """An adapter that requests wait for and that is not loaded now.
 
-    ``waiting`` and ``lost``, what would give way, are in weighted requests.
+    ``waiting`` and ``lost``, the demand for the adapter that would be evicted, are in
+    weighted requests.
     """
 
     model: str
@@ -50,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdapterPlan:
-    """The adapters to load now, no two on one target, and what is left waiting."""
+    """The adapters to load now, at most one per target, and the adapters deferred."""
 
     loads: list[LoadAdapter]
     left: list[LeftAdapter]
@@ -59,23 +60,26 @@
 def plan_adapters(view: FleetView) -> AdapterPlan:
     """Decide which adapters to load now."""
     plan = AdapterPlan([], [])
-    taken: set[str] = set()
-    for model, adapter in _adapters_wanted(view):
-        best = _adapter_place(view, model, adapter, taken)
+    used_targets: set[str] = set()
+    for model, adapter in _adapters_to_load(view):
+        best = _best_adapter_load(view, model, adapter, used_targets)
         if best is not None:
-            taken.add(best.target)
+            used_targets.add(best.target)
             plan.loads.append(best)
-        elif not any(held.holds(model, adapter) for held in view.holders(model)):
-            plan.left.append(_left(view, model, adapter, taken))
+        elif not any(holder.holds(model, adapter) for holder in view.holders(model)):
+            plan.left.append(_deferred_adapter(view, model, adapter, used_targets))
     return plan
 
 
-def _left(view: FleetView, model: str, adapter: str, taken: set[str]) -> LeftAdapter:
-    waiting = _worth(view, model, adapter)
+def _deferred_adapter(
+    view: FleetView, model: str, adapter: str, used_targets: set[str]
+) -> LeftAdapter:
+    waiting = _adapter_gain(view, model, adapter)
     free = [
         control
         for control in view.holders(model)
-        if control.is_free_at(view.now) and control.target.incarnation not in taken
+        if control.is_free_at(view.now)
+        and control.target.incarnation not in used_targets
     ]
     if not free:
         return LeftAdapter(model, adapter, AdapterLeft.NO_HOLDER_FREE, waiting)
@@ -84,40 +88,42 @@
     return LeftAdapter(model, adapter, AdapterLeft.NOT_WORTH_IT, waiting, lost)
 
 
-def _worth(view: FleetView, model: str, adapter: str) -> float:
-    """Return what loading an adapter wins, in weighted requests."""
-    own = view.adapter_demand(model, adapter)
-    return own.weighted + own.waiting(view.now) + own.unmet * UNMET_WEIGHT
+def _adapter_gain(view: FleetView, model: str, adapter: str) -> float:
+    """Return the gain of loading an adapter, in weighted requests."""
+    demand = view.adapter_demand(model, adapter)
+    return demand.weighted + demand.waiting(view.now) + demand.unmet * UNMET_WEIGHT
 
 
-def _adapters_wanted(view: FleetView) -> Iterable[tuple[str, str]]:
-    """Return adapters to load, those most waited for first."""
+def _adapters_to_load(view: FleetView) -> Iterable[tuple[str, str]]:
+    """Return the adapters to load, those with most demand first."""
     wanted: list[tuple[float, str, str]] = []
     for model, adapter in view.demand.adapters(view.service):
         holders = view.holders(model)
         demand = view.adapter_demand(model, adapter)
-        have = sum(control.holds(model, adapter) for control in holders)
-        if not holders or have == len(holders):
+        holding = sum(control.holds(model, adapter) for control in holders)
+        if not holders or holding == len(holders):
             continue
         waiting = demand.waiting(view.now) + demand.unmet * UNMET_WEIGHT
-        enough = max(1, round(demand.rate / ADAPTER_RATE_PER_REPLICA))
-        if (not have and (waiting > 0 or demand.rate > WORTH_KEEPING_RATE)) or (
-            have and have < enough
+        replicas = max(1, round(demand.rate / ADAPTER_RATE_PER_REPLICA))
+        if (not holding and (waiting > 0 or demand.rate > WORTH_KEEPING_RATE)) or (
+            holding and holding < replicas
         ):
             wanted.append((waiting + demand.weighted, model, adapter))
     wanted.sort(reverse=True)
     return [(model, adapter) for _, model, adapter in wanted]
 
 
-def _adapter_place(
-    view: FleetView, model: str, adapter: str, taken: set[str]
+def _best_adapter_load(
+    view: FleetView, model: str, adapter: str, used_targets: set[str]
 ) -> LoadAdapter | None:
-    """Return the best holder of ``model`` for ``adapter``: one with room first."""
-    places: list[tuple[float, LoadAdapter]] = []
-    worth = _worth(view, model, adapter)
+    """Return the best load of ``adapter`` on a holder of ``model``.
+
+    Holders with a free adapter slot are preferred."""
+    candidates: list[tuple[float, LoadAdapter]] = []
+    gain = _adapter_gain(view, model, adapter)
     for control in view.holders(model):
         name = control.target.incarnation
-        if name in taken or not control.is_free_at(view.now):
+        if name in used_targets or not control.is_free_at(view.now):
             continue
         if control.holds(model, adapter):
             continue
@@ -126,20 +132,22 @@
         crowding = control.adapter_count() / max(1, view.engine.adapter_slots)
         if control.adapter_count() < view.engine.adapter_slots:
             cost = view.load_of(control) + crowding
-            places.append((cost, LoadAdapter(name, model, adapter, None)))
+            candidates.append((cost, LoadAdapter(name, model, adapter, None)))
             continue
         victim = _adapter_victim(view, control)
-        if victim is not None and victim[0] < worth:
+        if victim is not None and victim[0] < gain:
             cost = 2.0 + view.load_of(control) + victim[0]
-            places.append((cost, LoadAdapter(name, model, adapter, victim[1])))
-    return min(places, key=lambda place: place[0])[1] if places else None
+            candidates.append((cost, LoadAdapter(name, model, adapter, victim[1])))
+    return (
+        min(candidates, key=lambda candidate: candidate[0])[1] if candidates else None
+    )
 
 
 def _adapter_victim(
     view: FleetView, control: TargetControl
 ) -> tuple[float, tuple[str, str]] | None:
-    """Return the adapter that is asked for least, and how much that is."""
-    found = [
+    """Return the adapter with the least demand on a target, and that demand."""
+    candidates = [
         (
             view.adapter_demand(model, adapter).weighted,
             (model, adapter),
@@ -148,4 +156,4 @@
         for adapter in adapters
         if not control.protected(model, adapter, view.now)
     ]
-    return min(found, default=None)
+    return min(candidates, default=None)
--- a/packages/runhatch-server/src/runhatch_server/residency/_needs.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_needs.py
@@ -1,4 +1,4 @@
-"""Which models are to be loaded: what waits for each, and what it would serve."""
+"""Find the models to load, the requests that wait for each, and its expected demand."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -12,30 +12,31 @@
 from runhatch_server.routing import EngineModel
 
 PERSISTENCE_SECONDS = 10.0
-"""How long demand is taken to stay with a model.  Loads that take longer win nothing
-but what waits for them."""
+"""Expected duration of demand for a model. A load that takes longer gains only the
+requests already waiting for it."""
 SELDOM_SECONDS = 4.0
-"""The same for a model that a few requests have asked for: they tell of no demand
-that stays."""
+"""Expected duration of demand after only a few requests, which do not show lasting
+demand."""
 MISSED_SECOND_VALUE = 0.25
-"""What each second adds, in weighted requests, that requests have been missing a
-model: a load from the weight store costs 3.3 and more, which requests that come one
-each ten seconds never win, so such models were refused all day.  Loads for which
-little gives way come within some ten seconds."""
+"""Gain per second, in weighted requests, for which requests have missed a model. A load
+from the weight store costs 3.3 or more, which requests that come once in ten seconds
+never gain, so that such models were never loaded. A load that evicts little starts
+within about ten seconds."""
 MISSED_FOR_LONG = timedelta(seconds=30)
-"""After which a second counts twice, and so on: the last way to be served must not
-wait for as long as busy models are worth."""
+"""Time after which each second counts twice, and so on: the last route to a model must
+not wait as long as busy models have demand."""
 MUCH_SOONER = timedelta(seconds=2)
-"""A load that is under way is passed by if another would be done so much sooner, as
-when a target with a copy on its disk has come back."""
+"""A load in progress is ignored if another would end this much sooner, for example
+because a target with a copy on disk has come back."""
 
 NOT_HELD, TOO_BUSY, OVERDUE = "not held", "too busy", "overdue"
-"""Reasons for a load, as logs tell them."""
+"""Reasons for a load, as they appear in logs."""
 
 
 @dataclass(frozen=True, slots=True)
 class Need:
-    """A model to load: what waits for it, and what it would serve a second."""
+    """A model to load, the weighted requests that wait for it, and their rate per
+    second."""
 
     model: EngineModel
     waiting: float
@@ -43,58 +44,62 @@
     reason: str
     persistence: float = PERSISTENCE_SECONDS
     missed_for: timedelta = timedelta()
-    """How long requests have been missing it."""
+    """How long requests have found no target that holds the model."""
 
     @property
     def owed(self) -> float:
-        """What the load wins for the time that the model has been missed."""
+        """Gain of the load for the time during which the model has been missed."""
         value = self.missed_for.total_seconds() * MISSED_SECOND_VALUE
         return value * (1.0 + self.missed_for / MISSED_FOR_LONG)
 
     def won(self, seconds: float) -> float:
-        """Return what a load that is done after ``seconds`` wins."""
-        lasting = max(0.0, self.persistence - seconds)
-        return self.waiting + self.rate * lasting
+        """Return the gain of a load that ends after ``seconds``."""
+        remaining = max(0.0, self.persistence - seconds)
+        return self.waiting + self.rate * remaining
 
 
 def find_needs(view: FleetView) -> list[Need]:
     """Return the models to load, the most valuable first."""
     needs = [
-        need for model in view.engine.models if (need := _need(view, model)) is not None
+        need
+        for model in view.engine.models
+        if (need := _need_for(view, model)) is not None
     ]
     needs.sort(key=lambda need: need.won(0.0), reverse=True)
     return needs
 
 
-def _need(view: FleetView, model: EngineModel) -> Need | None:
+def _need_for(view: FleetView, model: EngineModel) -> Need | None:
     coming_at = view.coming_at(model.name)
     holders = view.holders(model.name)
     if coming_at is not None and (holders or coming_at - view.now < MUCH_SOONER):
         return None
     demand = view.demand_for(model.name)
     if holders:
-        relief = _relief(view, model.name)
-        rate = relief * demand.weighted
-        return Need(model, 0.0, rate, TOO_BUSY) if relief > 0 else None
+        overloaded = _overloaded_share(view, model.name)
+        rate = overloaded * demand.weighted
+        return Need(model, 0.0, rate, TOO_BUSY) if overloaded > 0 else None
     waiting = demand.waiting(view.now)
     waiting += max(0.0, demand.unmet - 1.0) * UNMET_WEIGHT
     if waiting <= 0 and demand.rate < WORTH_KEEPING_RATE:
         return None
-    lasts = PERSISTENCE_SECONDS if demand.is_steady else SELDOM_SECONDS
+    persistence = PERSISTENCE_SECONDS if demand.is_steady else SELDOM_SECONDS
     missed_for = demand.missed_for(view.now)
-    return Need(model, waiting, demand.weighted, NOT_HELD, lasts, missed_for)
+    return Need(model, waiting, demand.weighted, NOT_HELD, persistence, missed_for)
 
 
-def _relief(view: FleetView, model: str) -> float:
-    """Return the share of a model's requests that wait too long where they go."""
+def _overloaded_share(view: FleetView, model: str) -> float:
+    """Return the share of a model's requests that overloaded targets delay."""
     holders = view.holders(model)
-    total = sum(view.spread.share(model, c.target.incarnation) for c in holders)
+    total = sum(
+        view.spread.share(model, control.target.incarnation) for control in holders
+    )
     if total <= 0:
         return 0.0
-    beyond = 0.0
+    excess = 0.0
     for control in holders:
         load = view.load_of(control)
         if load > REPLICA_LOAD:
             share = view.spread.share(model, control.target.incarnation)
-            beyond += share * (load - REPLICA_LOAD) / load
-    return min(1.0, beyond / total)
+            excess += share * (load - REPLICA_LOAD) / load
+    return min(1.0, excess / total)
--- a/packages/runhatch-server/src/runhatch_server/residency/_places.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_places.py
@@ -1,13 +1,13 @@
-"""The best target for a model that is to be loaded.
-
-The clever part is that most targets need not be looked at.  What a target costs
-whichever model is loaded there is worked out once for each plan: the least that must
-give way, the time until it is free, the work it has.  For each model the targets with
-a copy of it are weighed, and then the others, the cheapest first, until what the next
-one costs at the least shows that neither it nor any after it can be the best.  The
-choice is the same as that of weighing all: of 70 targets and 305 models, half of
-those that nobody held missed at once, a plan takes 25 ms of processor time in place
-of 400 (``benchmarks/bench_orders.py``), on a VM that answers callers too.
+"""Find the best target for a model that is to be loaded.
+
+Weighing every target for every model takes too much processor time on a VM that also
+answers callers. Costs that do not depend on the model (the least loss by eviction, the
+time until the target is free, its load) are therefore computed once per plan. For each
+model the targets with a copy are weighed first, then the others by rising cost, until
+the lower bound of the next cost shows that no remaining target can be better. The
+result equals that of weighing all targets. For 70 targets and 305 models, half of those
+not held being missed at once, a plan takes 25 ms instead of 400 ms
+(``benchmarks/bench_orders.py``).
 """
 
 import math
@@ -23,24 +23,26 @@
 from runhatch_server.routing import EngineModel
 
 STORE_LOAD_PRICE = 1.0
-"""What a load from the weight store costs, in weighted requests; one loaded from a
-target's own copy costs the time alone."""
+"""Cost of a load from the weight store, in weighted requests; a load from a target's
+own copy costs only its time."""
 LOAD_SECOND_PRICE = 0.25
-"""What each second costs that a load keeps its target from other orders."""
+"""Cost per second for which a load blocks other orders to its target."""
 BUSY_PRICE = 0.5
-"""What a load on a target costs whose time is all taken."""
+"""Cost of a load on a fully utilised target."""
 HYSTERESIS = 1.3
-"""Times what is lost that must be won: against models that take turns."""
+"""Factor by which the gain must exceed the loss, so that models do not evict each other
+in turn."""
 LEAST_DIFFERENCE = 0.2
-"""A replica goes only to targets with so much less to do."""
+"""Minimum difference in load between the busiest holder and the target of a new
+replica."""
 OVERDUE_TARGETS = 1 / 8
-"""Share of the targets, one at the least, that load from the weight store only for
-models that have been missed for long: they take no orders for adapters meanwhile."""
+"""Maximum share of the targets (at least one target) that load overdue models from the
+weight store, because they accept no adapter orders meanwhile."""
 
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """What loading a model on one target wins and costs, in weighted requests."""
+    """Gain and cost of loading a model on one target, in weighted requests."""
 
     target: str
     evict: tuple[str, ...]
@@ -48,31 +50,31 @@
     lost: float
     seconds: float
     busy: float
-    """What the target's other work makes this place worth less than others."""
+    """Penalty for the load of the target."""
     startable: bool
     from_store: bool
     owed: float
-    """What it wins besides, for the time that the model has been missed."""
+    """Additional gain for the time during which the model has been missed."""
 
     @property
     def is_worth_it(self) -> bool:
-        """Whether the load is to be made."""
+        """Whether the gain exceeds the loss."""
         return self.won > 0.0 and self.lost < self.won + self.owed
 
     @property
     def is_overdue(self) -> bool:
-        """Whether it is made only since the model has been missed for long."""
+        """Whether only the time since the first miss justifies the load."""
         return self.won <= self.lost
 
     @property
     def value(self) -> float:
-        """What is left of the gain; places are compared by it."""
+        """Net gain, by which places are compared."""
         return self.won - self.lost - self.busy
 
 
 @dataclass(frozen=True, slots=True)
-class _Droppable:
-    """A model that may give way, and what is lost by that."""
+class _EvictionCandidate:
+    """A model that may be evicted, and the loss of evicting it."""
 
     value: float
     model: str
@@ -82,24 +84,27 @@
 
 @dataclass(frozen=True, slots=True)
 class LeastLoad:
-    """The memory of the smallest model, and the time of the shortest load."""
+    """Lower bounds of a load: the least memory and the shortest time."""
 
     memory_mb: float
     took: timedelta
 
 
-def _least_load(models: Sequence[EngineModel]) -> LeastLoad:
-    """Return what a load from the weight store needs at the least."""
+def _load_lower_bound(models: Sequence[EngineModel]) -> LeastLoad:
+    """Return the lower bounds of a load from the weight store."""
     memory_mb = min((model.memory_mb for model in models), default=0.0)
     took = min((model.loads.from_store for model in models), default=timedelta())
     return LeastLoad(memory_mb, took)
 
 
 class Site:
-    """One target as a place for whichever model; made once for each plan."""
+    """Costs of loading on one target that do not depend on the model.
+
+    Created once per plan.
+    """
 
     def __init__(
-        self, view: FleetView, control: TargetControl, least: LeastLoad
+        self, view: FleetView, control: TargetControl, lower_bound: LeastLoad
     ) -> None:
         self.control = control
         self.name = control.target.incarnation
@@ -107,12 +112,12 @@
         self.startable = control.is_free_at(view.now) and control.intent is None
         self.load = view.load_of(control)
         self.second_price = LOAD_SECOND_PRICE + view.blocked_by(control)
-        self._quick: dict[str, float] = {}
+        self._delayed_rates: dict[str, float] = {}
         self._free_mb = view.free_mb(control)
         known = view.engine.by_name
-        self._droppable = sorted(
+        self._eviction_candidates = sorted(
             (
-                _Droppable(
+                _EvictionCandidate(
                     view.keep_value(control, name),
                     name,
                     known[name].memory_mb if name in known else 0.0,
@@ -121,120 +126,127 @@
                 for name in control.held
                 if not control.protected(name, "", view.now)
             ),
-            key=lambda each: (each.value, each.model),
+            key=lambda candidate: (candidate.value, candidate.model),
         )
-        self._least = least
+        self._lower_bound = lower_bound
 
     def victims(
         self, memory_mb: float, replica: bool
     ) -> tuple[tuple[str, ...], float] | None:
-        """Return what must give way for a model of that size, and what is lost by it.
+        """Return the models to evict for ``memory_mb``, and the loss, or ``None``.
 
-        For one more replica no other model loses its last one while it is asked for.
+        A new replica does not evict the only replica of another model in demand.
         """
         lacking = memory_mb - self._free_mb
         victims: list[str] = []
         lost = 0.0
-        for each in self._droppable:
+        for candidate in self._eviction_candidates:
             if lacking <= 0:
                 break
-            if replica and each.is_last_asked:
+            if replica and candidate.is_last_asked:
                 continue
-            victims.append(each.model)
-            lost += each.value
-            lacking -= each.memory_mb
+            victims.append(candidate.model)
+            lost += candidate.value
+            lacking -= candidate.memory_mb
         return (tuple(victims), lost) if lacking <= 0 else None
 
     def blocks(self, model: str, rate: float) -> None:
-        """Have other loads pay for each second that they keep ``model`` waiting.
+        """Charge other loads for each second that they delay ``model``.
 
-        It is missed, could be loaded quickly here, and would then serve ``rate``.
+        The model is missed, could be loaded quickly here, and would then serve ``rate``
+        weighted requests per second.
         """
-        self._quick[model] = rate
+        self._delayed_rates[model] = rate
         self.second_price += rate
 
     def cost(self, model: str, lost: float, seconds: float) -> float:
-        """Return what a load of ``seconds`` costs for which ``lost`` gives way."""
-        missed = lost * max(1.0, seconds / HORIZON_SECONDS) * HYSTERESIS
-        price = self.second_price - self._quick.get(model, 0.0)
-        return missed + seconds * price
+        """Return the cost of a load that takes ``seconds`` and loses ``lost``."""
+        loss = lost * max(1.0, seconds / HORIZON_SECONDS) * HYSTERESIS
+        second_price = self.second_price - self._delayed_rates.get(model, 0.0)
+        return loss + seconds * second_price
 
     @cached_property
     def least_cost(self) -> float:
-        """What any load from the weight store costs here, or more."""
-        found = self.victims(self._least.memory_mb, replica=False)
-        if found is None:
+        """Lower bound of the cost of any load from the weight store on this target."""
+        eviction = self.victims(self._lower_bound.memory_mb, replica=False)
+        if eviction is None:
             return math.inf
-        seconds = (self.free_in + self._least.took).total_seconds()
-        return self.cost("", found[1], seconds) + STORE_LOAD_PRICE
+        seconds = (self.free_in + self._lower_bound.took).total_seconds()
+        return self.cost("", eviction[1], seconds) + STORE_LOAD_PRICE
 
 
 class Draft:
-    """The places that a plan has not taken yet."""
+    """The targets that a plan has not used yet."""
 
     def __init__(self, view: FleetView, needs: Iterable[Need]) -> None:
         self._view = view
-        least = _least_load(view.engine.models)
-        sites = [Site(view, control, least) for control in view.controls]
+        lower_bound = _load_lower_bound(view.engine.models)
+        candidates = [Site(view, control, lower_bound) for control in view.controls]
         self._with_copy: dict[str, list[Site]] = defaultdict(list)
-        for site in sites:
-            control = site.control
+        for candidate in candidates:
+            control = candidate.control
             for model in control.copies_in_memory | control.copies_on_disk:
-                self._with_copy[model].append(site)
+                self._with_copy[model].append(candidate)
         for need in needs:
             if need.reason == NOT_HELD:
-                self._keep_quick_ways(need)
-        self.open_sites = sorted(sites, key=lambda site: site.least_cost)
-        """Targets not taken yet, the cheapest first."""
-        self._taken: set[str] = set()
-        self._overdue = sum(map(_loads_overdue, view.controls))
-        self._most_overdue = max(1.0, len(view.controls) * OVERDUE_TARGETS)
+                self._charge_for_delayed_loads(need)
+        self.open_sites = sorted(candidates, key=lambda candidate: candidate.least_cost)
+        """Unused targets, by rising lower bound of cost."""
+        self._used_targets: set[str] = set()
+        self._overdue_loads = sum(map(_is_loading_overdue, view.controls))
+        self._max_overdue_loads = max(1.0, len(view.controls) * OVERDUE_TARGETS)
 
     def is_open(self, place: Place) -> bool:
-        """Tell whether ``place`` is still to be had at its price."""
-        if place.target in self._taken:
+        """Return whether ``place`` is still available at its computed cost."""
+        if place.target in self._used_targets:
             return False
-        relies = place.from_store and place.is_overdue
-        return not (relies and self._overdue_must_wait)
+        needs_overdue_slot = place.from_store and place.is_overdue
+        return not (needs_overdue_slot and self._is_overdue_limit_reached)
 
     def take(self, place: Place) -> None:
-        """Give ``place`` to no other model."""
-        self._taken.add(place.target)
+        """Reserve the target of ``place``."""
+        self._used_targets.add(place.target)
         self.open_sites = [
-            site for site in self.open_sites if site.name != place.target
+            candidate for candidate in self.open_sites if candidate.name != place.target
         ]
         if place.startable and place.from_store and place.is_overdue:
-            self._overdue += 1
+            self._overdue_loads += 1
 
     def best_place(self, need: Need) -> Place | None:
-        """Return the target that would win most, also if it would win nothing."""
+        """Return the best place for ``need``, even if it is not worth the load."""
         best: Place | None = None
         with_copy = self._with_copy.get(need.model.name, [])
-        for site in with_copy:
-            if site.name not in self._taken:
-                best = _better(best, self.place(site, need))
-        copied = {site.name for site in with_copy}
+        for candidate in with_copy:
+            if candidate.name not in self._used_targets:
+                best = _better_place(best, self.place(candidate, need))
+        names_with_copy = {candidate.name for candidate in with_copy}
         won = need.won(need.model.loads.from_store.total_seconds())
-        for site in self.open_sites:
-            if best is not None and _beats(best, won, need.owed, site.least_cost):
+        for candidate in self.open_sites:
+            if best is not None and _beats_remaining(
+                best, won, need.owed, candidate.least_cost
+            ):
                 break
-            if site.name not in copied:
-                best = _better(best, self.place(site, need))
+            if candidate.name not in names_with_copy:
+                best = _better_place(best, self.place(candidate, need))
         return best
 
-    def _keep_quick_ways(self, need: Need) -> None:
-        """Have loads of other models pay for keeping ``need`` from its copies."""
-        free = [site for site in self._with_copy[need.model.name] if site.startable]
-        for site in free:
-            site.blocks(need.model.name, need.rate / len(free) ** 2)
+    def _charge_for_delayed_loads(self, need: Need) -> None:
+        """Charge other loads for blocking the targets with a copy for ``need``."""
+        free = [
+            candidate
+            for candidate in self._with_copy[need.model.name]
+            if candidate.startable
+        ]
+        for candidate in free:
+            candidate.blocks(need.model.name, need.rate / len(free) ** 2)
 
     @property
-    def _overdue_must_wait(self) -> bool:
-        """Whether enough targets load overdue models from the weight store."""
-        return self._overdue + 1 > self._most_overdue
+    def _is_overdue_limit_reached(self) -> bool:
+        """Whether the maximum number of targets already load overdue models."""
+        return self._overdue_loads + 1 > self._max_overdue_loads
 
     def place(self, site: Site, need: Need) -> Place | None:
-        """Return what loading a model at ``site`` would win, if it may be."""
+        """Return the place of ``need`` at ``site``, or ``None`` if there is none."""
         view, control, model = self._view, site.control, need.model
         if model.name in control.held:
             return None
@@ -244,15 +256,15 @@
             if busiest - site.load < LEAST_DIFFERENCE:
                 return None
         ready_in = site.free_in + control.load_time(model)
-        if self._is_coming_soon(model.name, ready_in):
+        if self._is_load_ending_soon(model.name, ready_in):
             return None
-        found = site.victims(model.memory_mb, replica=bool(holders))
-        if found is None:
+        eviction = site.victims(model.memory_mb, replica=bool(holders))
+        if eviction is None:
             return None
-        victims, lost = found
+        victims, lost = eviction
         from_store = control.loads_from_store(model.name)
         if victims and holders and from_store:
-            # What gives way would be missed all the time that the load takes.
+            # The evicted models would be missed for the whole duration of the load.
             return None
         seconds = ready_in.total_seconds()
         return Place(
@@ -262,40 +274,45 @@
             site.cost(model.name, lost, seconds)
             + (STORE_LOAD_PRICE if from_store else 0.0),
             seconds,
-            # Between places that win as much, the least busy one.
+            # Breaks ties between equal gains in favour of the least busy target.
             site.load * BUSY_PRICE,
             site.startable,
             from_store,
-            0.0 if from_store and self._overdue_must_wait else need.owed,
+            0.0 if from_store and self._is_overdue_limit_reached else need.owed,
         )
 
-    def _is_coming_soon(self, model: str, ready_in: timedelta) -> bool:
-        """Tell whether a load under way is not much later than one begun now."""
+    def _is_load_ending_soon(self, model: str, ready_in: timedelta) -> bool:
+        """Return whether a load in progress ends soon enough.
+
+        It does unless a load started now, done in ``ready_in``, ends ``MUCH_SOONER`` or
+        more before it.
+        """
         coming_at = self._view.coming_at(model)
         return coming_at is not None and (
             coming_at - self._view.now - ready_in < MUCH_SOONER
         )
 
 
-def _loads_overdue(control: TargetControl) -> bool:
+def _is_loading_overdue(control: TargetControl) -> bool:
     return control.loading_because == OVERDUE and control.is_loading_from_store
 
 
-def _better(best: Place | None, other: Place | None) -> Place | None:
-    """Return the better of two places; of equal ones that of the first name."""
+def _better_place(best: Place | None, other: Place | None) -> Place | None:
+    """Return the better of two places; ties go to the first target name."""
     if best is None or other is None:
         return best or other
-    return min(best, other, key=_order)
+    return min(best, other, key=_place_sort_key)
 
 
-def _order(place: Place) -> tuple[bool, float, str]:
+def _place_sort_key(place: Place) -> tuple[bool, float, str]:
     return not place.is_worth_it, -place.value, place.target
 
 
-def _beats(best: Place, won: float, owed: float, least_cost: float) -> bool:
-    """Tell whether ``best`` beats all places that win and cost so much.
+def _beats_remaining(best: Place, won: float, owed: float, least_cost: float) -> bool:
+    """Return whether ``best`` is better than every place within these bounds.
 
-    They win ``won`` at the most, and ``owed`` besides, and cost ``least_cost`` or more.
+    The other places gain at most ``won`` plus ``owed`` and cost at least
+    ``least_cost``.
     """
     none_is_worth_it = won <= 0.0 or least_cost >= won + owed
     return won - least_cost < best.value and (best.is_worth_it or none_is_worth_it)
--- a/packages/runhatch-server/src/runhatch_server/residency/_policy.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_policy.py
@@ -1,8 +1,8 @@
-"""Which model goes where: decided by what requests wait for and what would be lost.
+"""Decide which models to load, and on which targets.
 
-All values are in weighted requests.  What waits for a model, and what would ask for
-it within a few seconds, speaks for loading it; the same measure speaks for keeping
-what must give way.
+All values are in weighted requests. The requests that wait for a model, and those
+expected within a few seconds, are the gain of loading it; the same measure gives the
+loss of evicting others for it.
 """
 
 import heapq
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadModel:
-    """Load ``model`` on ``target`` after unloading ``evict``."""
+    """Load ``model`` on ``target`` after unloading the models in ``evict``."""
 
     target: str
     model: str
@@ -29,20 +29,20 @@
     """Why a model that no target holds is not loaded now."""
 
     NO_PLACE = "no place"
-    """No target may drop enough for it, or all that may are taken."""
+    """No target can evict enough models, or all that can are already in the plan."""
     NOT_WORTH_IT = "not worth it"
-    """What would give way, and the time that the load takes, outweigh it."""
+    """The evicted models and the duration of the load cost more than it gains."""
     TARGET_BUSY = "target busy"
-    """Its best place takes no order yet."""
+    """The best target cannot receive an order yet."""
 
 
 @dataclass(frozen=True, slots=True)
 class LeftModel:
-    """A model that requests wait for and that no load was begun for.
+    """A model that requests wait for and for which no load was started.
 
-    ``target`` is the best place, empty if there is none.  ``waiting``, ``won``,
-    ``lost`` and ``owed`` are in weighted requests, ``rate`` in those a second;
-    ``seconds`` is how long the load would take.
+    ``target`` is the best target, empty if there is none. ``waiting``, ``won``,
+    ``lost`` and ``owed`` are in weighted requests, ``rate`` in weighted requests per
+    second; ``seconds`` is the time until the load would be done.
     """
 
     model: str
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelPlan:
-    """The loads to begin now, no two on one target, and what is left waiting."""
+    """The loads to start now, at most one per target, and the models deferred."""
 
     loads: list[LoadModel]
     left: list[LeftModel]
@@ -67,50 +67,51 @@
 def plan_models(view: FleetView) -> ModelPlan:
     """Decide which models to load now.
 
-    The load that wins most goes first.  One that is less dear elsewhere must not take
-    the target that another can be loaded on quickly: taken in the order of what asks
-    for them, a replica took 9 s of the one target with a copy of a model that 12
-    requests a second missed, and which 2.3 s would have served.
+    The load with the highest gain is placed first. A load that costs little more on
+    another target must not occupy the target where another model loads quickly. When
+    models were placed in order of their demand, a replica occupied for 9 s the one
+    target with a copy of a model that 12 requests per second missed and that would have
+    loaded in 2.3 s.
     """
     plan = ModelPlan([], [])
     needs = find_needs(view)
     draft = Draft(view, needs)
     places = [draft.best_place(need) for need in needs]
-    waiting = [
+    queue = [
         (-place.value, index)
         for index, place in enumerate(places)
         if place is not None and place.is_worth_it
     ]
-    heapq.heapify(waiting)
+    heapq.heapify(queue)
     planned = set()
-    while waiting:
-        _, index = heapq.heappop(waiting)
+    while queue:
+        _, index = heapq.heappop(queue)
         place = places[index]
         assert place is not None
         if not draft.is_open(place):
             place = places[index] = draft.best_place(needs[index])
             if place is not None and place.is_worth_it:
-                heapq.heappush(waiting, (-place.value, index))
+                heapq.heappush(queue, (-place.value, index))
             continue
-        # A target that is busy for a moment may still be the best place.
+        # A busy target may still be the best place.
         draft.take(place)
         if place.startable:
             planned.add(index)
-            plan.loads.append(_load(needs[index], place))
+            plan.loads.append(_load_model(needs[index], place))
     plan.left.extend(
-        _left(need, places[index])
+        _deferred_model(need, places[index])
         for index, need in enumerate(needs)
         if index not in planned and need.reason == NOT_HELD
     )
     return plan
 
 
-def _load(need: Need, place: Place) -> LoadModel:
+def _load_model(need: Need, place: Place) -> LoadModel:
     reason = OVERDUE if place.is_overdue else need.reason
     return LoadModel(place.target, need.model.name, place.evict, reason, place.value)
 
 
-def _left(need: Need, best: Place | None) -> LeftModel:
+def _deferred_model(need: Need, best: Place | None) -> LeftModel:
     if best is None:
         because = LeftBecause.NO_PLACE
         return LeftModel(need.model.name, because, need.waiting, need.rate)
