--- a/packages/runhatch-server/src/runhatch_server/residency/_copies.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_copies.py
@@ -1,9 +1,8 @@
-"""Copies of weights that are made while nobody asks for anything.
+"""Plan loads that create copies of weights while a service receives no requests.
 
-A model that no target keeps a copy of takes several times longer to load than one
-that lies on a target's disk, and keeps its target from other orders all that time:
-9 s against 2 s.  Before callers come, and when they have all gone, that time costs
-nobody anything.
+A model without a copy on any target's disk takes several times longer to load (9 s
+instead of 2 s) and blocks other orders to its target meanwhile. While there are no
+requests, that time delays none.
 """
 
 from collections import Counter
@@ -15,124 +14,125 @@
 from runhatch_server.routing import EngineModel
 
 QUIET = timedelta(seconds=2)
-"""How long nobody must have asked a service for anything: callers of a service in use
-are a fraction of a second apart."""
+"""How long a service must have received no request; requests to a service in use are a
+fraction of a second apart."""
 SETTLED = timedelta(seconds=1)
-"""How long no target must have been new to the orderer: they are listed one after the
-other, some 0.7 s apart, and each has copies."""
+"""How long no target must have been added: targets are listed one after the other,
+about 0.7 s apart, and each may have copies."""
 TAKEN_OVER = timedelta(seconds=30)
-"""The same after another node has ordered the targets: one that peers do not reach
-hears of no callers, and must not take a busy system for a quiet one."""
+"""The same after a takeover from another node: an orderer that its peers cannot reach
+receives no demand, and must not mistake a busy system for an idle one."""
 MOST_TARGETS = 0.5
-"""Share of the targets that make copies at once: the others take orders for adapters
-when callers come meanwhile."""
+"""Maximum share of the targets that create copies at once: the others remain available
+for adapter orders."""
 PAUSE = timedelta(minutes=1)
-"""Between copies begun together and the next ones: callers may come any time, and
-should find targets busy for the rest of one load at the most."""
+"""Minimum time between batches of copies: requests that arrive meanwhile find targets
+busy for the rest of one load at most."""
 AGAIN_AFTER = timedelta(minutes=10)
-"""How long a model is not copied again.  Where targets keep fewer copies than there
-are models each new one drops another, and copying would never end."""
+"""Minimum time until a model is copied again. Where targets store fewer copies than
+there are models, each new copy replaces another, and copying would never end."""
 NO_COPY, PUT_BACK = "no copy", "put back"
-"""Reasons for such loads, as logs tell them."""
+"""Reasons for these loads, as they appear in logs."""
 
 
 class CopyPlanner:
-    """Decides about copies; used by the orderer's loop alone."""
+    """Plans copies; used only by the orderer's loop."""
 
     def __init__(self, now: timedelta) -> None:
         self._settled_at = now + SETTLED
-        self._made_at: dict[tuple[str, str], timedelta] = {}
-        self._newest_at: dict[str, timedelta] = {}
-        self._gave_way: dict[str, tuple[str, str]] = {}
-        """By target: the model copied there, and the one that gave way to it."""
+        self._copied_at: dict[tuple[str, str], timedelta] = {}
+        self._last_copied_at: dict[str, timedelta] = {}
+        self._evicted_for: dict[str, tuple[str, str]] = {}
+        """For each target, the model copied there and the model that was evicted for
+        it."""
 
     def met(self, now: timedelta) -> None:
-        """Take in that a target is new."""
+        """Record that a target was added."""
         self._settled_at = max(self._settled_at, now + SETTLED)
 
     def taken_over(self, now: timedelta) -> None:
-        """Take in that another node ordered the targets until now."""
+        """Record that another node ordered the targets until ``now``."""
         self._settled_at = now + TAKEN_OVER
 
     def made(self, service: str, load: LoadModel, now: timedelta) -> None:
-        """Take in that a load was begun."""
+        """Record that ``load`` was started."""
         if load.reason == PUT_BACK:
-            self._gave_way.pop(load.target, None)
+            self._evicted_for.pop(load.target, None)
             return
-        self._made_at[service, load.model] = now
-        self._newest_at[service] = now
+        self._copied_at[service, load.model] = now
+        self._last_copied_at[service] = now
         if load.evict:
-            self._gave_way[load.target] = (load.model, load.evict[0])
+            self._evicted_for[load.target] = (load.model, load.evict[0])
 
     def plan(self, view: FleetView) -> list[LoadModel]:
-        """Return the loads to begin now of models that no target has a copy of.
+        """Return the loads to start now of models without a copy on any target.
 
-        Each takes the place of a model that its target can load again from a copy
-        of its own, and which is put back once the copy is there: what targets held
-        at first is what most callers ask for.
+        Each evicts a model that its target can load again from its own copy. The
+        evicted model is loaded again once the new copy exists, because callers mostly
+        use the models that targets held initially.
         """
-        if not self._is_quiet(view):
+        if not self._is_idle(view):
             return []
-        put_back = self._put_back(view)
-        newest_at = self._newest_at.get(view.service)
-        if newest_at is not None and view.now - newest_at < PAUSE:
-            return put_back
-        copies = _copies(view)
+        restoring = self._restoring_loads(view)
+        last_copied_at = self._last_copied_at.get(view.service)
+        if last_copied_at is not None and view.now - last_copied_at < PAUSE:
+            return restoring
+        copies = _count_copies(view)
         free = _free_targets(view, copies)
         busy = len(view.controls) - len(free)
-        most = int(len(view.controls) * MOST_TARGETS) - busy
+        max_loads = int(len(view.controls) * MOST_TARGETS) - busy
         planned: list[LoadModel] = []
         for model in view.engine.models:
-            if len(planned) >= most:
+            if len(planned) >= max_loads:
                 break
-            known = copies[model.name] or view.coming_at(model.name) is not None
-            if known or self._was_made(view, model.name):
+            has_copy = copies[model.name] or view.coming_at(model.name) is not None
+            if has_copy or self._was_copied_recently(view, model.name):
                 continue
-            load = _place(view, free, model)
+            load = _take_load(view, free, model)
             if load is not None:
                 planned.append(load)
-        return put_back + planned
+        return restoring + planned
 
-    def _is_quiet(self, view: FleetView) -> bool:
+    def _is_idle(self, view: FleetView) -> bool:
         asked_at = view.demand.asked_at(view.service)
         if asked_at is not None and view.now - asked_at < QUIET:
             return False
         unknown = any(control.step is Step.UNKNOWN for control in view.controls)
         return view.now >= self._settled_at and not unknown
 
-    def _put_back(self, view: FleetView) -> list[LoadModel]:
-        """Return the loads of models that gave way to a copy that is made by now."""
+    def _restoring_loads(self, view: FleetView) -> list[LoadModel]:
+        """Return the loads of models that were evicted for a copy that now exists."""
         loads = []
         for control in view.controls:
-            copied, model = self._gave_way.get(control.target.incarnation, ("", ""))
-            if copied not in control.held or not _may_begin(view, control):
+            copied, model = self._evicted_for.get(control.target.incarnation, ("", ""))
+            if copied not in control.held or not _accepts_load(view, control):
                 continue
             if not view.holders(model) and not control.loads_from_store(model):
                 target = control.target.incarnation
                 loads.append(LoadModel(target, model, (copied,), PUT_BACK, 0.0))
         return loads
 
-    def _was_made(self, view: FleetView, model: str) -> bool:
-        made_at = self._made_at.get((view.service, model))
-        return made_at is not None and view.now - made_at < AGAIN_AFTER
+    def _was_copied_recently(self, view: FleetView, model: str) -> bool:
+        copied_at = self._copied_at.get((view.service, model))
+        return copied_at is not None and view.now - copied_at < AGAIN_AFTER
 
 
 def _free_targets(view: FleetView, copies: Counter[str]) -> list[TargetControl]:
-    """Return the targets that may make a copy now, the most suitable first."""
-    free = [control for control in view.controls if _may_begin(view, control)]
+    """Return the targets that may create a copy now, the most suitable first."""
+    free = [control for control in view.controls if _accepts_load(view, control)]
     return sorted(free, key=lambda control: _copies_at_risk(control, copies))
 
 
-def _may_begin(view: FleetView, control: TargetControl) -> bool:
+def _accepts_load(view: FleetView, control: TargetControl) -> bool:
     return control.is_free_at(view.now) and control.intent is None
 
 
-def _place(
+def _take_load(
     view: FleetView, free: list[TargetControl], model: EngineModel
 ) -> LoadModel | None:
-    """Return the load of ``model`` on one of ``free``, which is taken from them."""
+    """Return the load of ``model`` on one of ``free``, and remove that target."""
     for control in free:
-        evict = _gives_way(view, control, model.memory_mb)
+        evict = _models_to_evict(view, control, model.memory_mb)
         if evict is not None:
             free.remove(control)
             name = control.target.incarnation
@@ -140,8 +140,8 @@
     return None
 
 
-def _copies(view: FleetView) -> Counter[str]:
-    """Return how many targets have each model, or a copy of it."""
+def _count_copies(view: FleetView) -> Counter[str]:
+    """Return the number of targets that hold each model or a copy of it."""
     return Counter(
         model
         for control in view.controls
@@ -152,16 +152,18 @@
 def _copies_at_risk(control: TargetControl, copies: Counter[str]) -> float:
     """Return the share of a target's copies that no other target has.
 
-    A new copy drops the one there that was used least lately, which nobody tells.
+    A new copy replaces the least recently used one, which targets do not report.
     """
-    spare = control.copies_on_disk - control.held.keys()
-    return sum(copies[model] == 1 for model in spare) / max(1, len(spare))
+    unheld_copies = control.copies_on_disk - control.held.keys()
+    return sum(copies[model] == 1 for model in unheld_copies) / max(
+        1, len(unheld_copies)
+    )
 
 
-def _gives_way(
+def _models_to_evict(
     view: FleetView, control: TargetControl, needed_mb: float
 ) -> tuple[str, ...] | None:
-    """Return what is unloaded for a copy, ``None`` if nothing suitable is there."""
+    """Return the models to evict for a copy, or ``None`` if no model is suitable."""
     if view.free_mb(control) >= needed_mb:
         return ()
     known = view.engine.by_name
@@ -169,8 +171,8 @@
         spec = known.get(model)
         if spec is None or not _is_little_used(view, control, spec):
             continue
-        again = not control.loads_from_store(model)
-        if again and view.free_mb(control) + spec.memory_mb >= needed_mb:
+        has_own_copy = not control.loads_from_store(model)
+        if has_own_copy and view.free_mb(control) + spec.memory_mb >= needed_mb:
             return (model,)
     return None
 
@@ -178,10 +180,14 @@
 def _is_little_used(
     view: FleetView, control: TargetControl, model: EngineModel
 ) -> bool:
-    """Tell whether few callers are expected to ask for ``model`` soon.
+    """Return whether little demand for ``model`` is expected.
 
-    Those that stand on several targets, or have adapters, are the ones that most
-    callers use; one that was asked for lately is used.
+    Models with several replicas or with adapters have most of the demand. A model
+    requested recently is in use.
     """
-    alone = len(view.holders(model.name)) == 1
-    return alone and not model.adapters and not view.is_last_asked(control, model.name)
+    is_only_replica = len(view.holders(model.name)) == 1
+    return (
+        is_only_replica
+        and not model.adapters
+        and not view.is_last_asked(control, model.name)
+    )
--- a/packages/runhatch-server/src/runhatch_server/residency/_demand.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_demand.py
@@ -1,4 +1,4 @@
-"""What callers ask for, as a rate that rises at once and fades within seconds."""
+"""Demand of callers, as a rate that rises at once and decays within seconds."""
 
 import math
 from collections.abc import Iterable
@@ -6,40 +6,41 @@
 from datetime import timedelta
 
 TIME_CONSTANT = timedelta(seconds=5)
-"""Over which requests are averaged.  Demand moves to other models within some five
-seconds; a longer average keeps models that nobody asks for."""
+"""Time constant of the average rate. Demand moves to other models within about five
+seconds; a longer average would keep models that are no longer requested."""
 LEAST_MISS_VALID = timedelta(milliseconds=700)
 MISS_VALID_SHARE = 0.5
-"""How long a request that found no holder counts as waiting for one: so long, or this
-share of its goal, after which a load would hardly help it any more."""
+"""A request that found no holder counts as waiting for the greater of
+``LEAST_MISS_VALID`` and this share of its goal, after which a load would hardly help
+it."""
 HURRIED_GOAL = timedelta(seconds=2)
-"""Requests with a shorter goal are lost where their model must be loaded first: that
-takes 1 to 2 s from a target's own disk, and some 0.5 s more to free the memory."""
+"""Requests with a shorter goal are lost if their model must be loaded first: a load
+takes 1 to 2 s from a target's own disk, plus about 0.5 s to free the memory."""
 SILENT_RATE = 0.02
-"""Requests a second below which demand counts as ended."""
+"""Requests per second below which demand counts as ended."""
 ENOUGH_REQUESTS = 4
 SHORTEST_AGE = timedelta(seconds=1)
-"""Requests, and time since the first, from which a rate is told."""
+"""Minimum number of requests, and minimum time since the first, for a rate estimate."""
 HURRIED_LASTS = timedelta(seconds=8)
-"""How long a hurried request tells that more will follow: such routes ask for few
-models at a time, and demand stays with them for some ten seconds."""
+"""How long a hurried request predicts more: such routes use few models at a time, and
+their demand stays with these for about ten seconds."""
 UNMET_TIME_CONSTANT = timedelta(seconds=20)
-"""Over which requests that were missed are remembered, so that a model asked for
-seldom gets its turn."""
+"""Time constant with which missed requests decay, long enough that a rarely requested
+model is loaded eventually."""
 MISSES_REMEMBERED = timedelta(seconds=30)
-"""After so long without a miss it is forgotten since when a model is missed: seldom
-ones are asked for each ten seconds or so."""
+"""Time without a miss after which the start of the misses is forgotten; rarely
+requested models are requested about once in ten seconds."""
 RANK_WEIGHTS = (2.0, 1.6, 1.0)
-"""What a request counts by its route's priority: the urgent ones must not be served
-less often than those that can wait.  Ratios near those of their declared goals'
-ranks; later ranks count as the last."""
+"""Weight of a request by its route's priority, so that urgent requests are not served
+less often than those that can wait. The ratios are close to those of the ranks of
+their declared goals; lower ranks have the last weight."""
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Wanted:
-    """A model, perhaps with an adapter, that requests of one kind ask for.
+    """A model, optionally with an adapter, that requests of one kind need.
 
-    ``goal`` is the time in which an answer to them must begin.
+    ``goal`` is the time within which an answer to them must begin.
     """
 
     service: str
@@ -50,17 +51,17 @@
 
     @property
     def is_hurried(self) -> bool:
-        """Whether such a request is lost where its model must be loaded first."""
+        """Whether such a request is lost if its model must be loaded first."""
         return self.goal < HURRIED_GOAL
 
 
 @dataclass(frozen=True, slots=True)
 class DemandShare:
-    """Requests at one node for one thing, since it told last.
+    """Requests at one node for one model or adapter since its previous report.
 
-    ``missed`` of them found no target that holds it; ``work_ms`` is the time that
-    reading their prompts takes.  ``missed_for`` is how long it has been missed there,
-    told to a new orderer.
+    ``missed`` of them found no target that holds it; ``work_ms`` is the time to process
+    their prompts. ``missed_for`` is how long the node has been missing it, which is
+    reported to a new orderer.
     """
 
     wanted: Wanted
@@ -71,7 +72,7 @@
 
 
 def rank_weight(priority: int) -> float:
-    """Return what one request of ``priority`` counts."""
+    """Return the weight of one request of ``priority``."""
     return RANK_WEIGHTS[min(max(priority, 0), len(RANK_WEIGHTS) - 1)]
 
 
@@ -80,43 +81,43 @@
     """Demand for one model or adapter."""
 
     rate: float = 0.0
-    """Requests a second."""
+    """Requests per second."""
     weighted: float = 0.0
-    """The same, each request counted by its rank."""
+    """Requests per second, weighted by priority."""
     patient: float = 0.0
-    """The part of ``weighted`` that can wait for a load."""
+    """Part of ``weighted`` that can wait for a load."""
     work: float = 0.0
-    """Share of an engine's time that reading their prompts takes."""
+    """Share of an engine's time needed to process their prompts."""
     at: timedelta = timedelta()
     first_at: timedelta | None = None
-    """When the first request for it was seen, after a silence."""
+    """Time of the first request after a silence."""
     count: int = 0
-    """Requests since then."""
+    """Requests since ``first_at``."""
     unmet: float = 0.0
-    """Weighted requests that were missed since it was held last; fades slowly."""
+    """Weighted requests missed since a target last held it; decays slowly."""
     hurried_at: timedelta | None = None
-    """When a request that could not wait for a load asked for it last."""
+    """Time of the last request that could not wait for a load."""
     missed_since: timedelta | None = None
-    """When the first request was missed after it was held last."""
+    """Time of the first miss since a target last held it."""
     missed_at: timedelta = timedelta()
-    """When the newest was."""
+    """Time of the last miss."""
     misses: dict[tuple[str, Wanted], tuple[float, timedelta]] = field(
         default_factory=dict
     )
 
     def fade(self, now: timedelta) -> None:
-        """Bring the averages up to ``now``."""
+        """Decay the averages to ``now``."""
         age = max(timedelta(), now - self.at)
-        kept = math.exp(-(age / TIME_CONSTANT))
+        remaining = math.exp(-(age / TIME_CONSTANT))
         self.unmet *= math.exp(-(age / UNMET_TIME_CONSTANT))
-        self.rate *= kept
-        self.weighted *= kept
-        self.patient *= kept
-        self.work *= kept
+        self.rate *= remaining
+        self.weighted *= remaining
+        self.patient *= remaining
+        self.work *= remaining
         self.at = now
 
     def add(self, share: "DemandShare", now: timedelta) -> None:
-        """Take in requests."""
+        """Add the requests of ``share`` to the averages."""
         requests = share.requests
         weight = rank_weight(share.wanted.priority)
         self.fade(now)
@@ -134,15 +135,15 @@
         self.work += share.work_ms / 1000 / seconds
 
     def miss(self, node: str, wanted: Wanted, missed: int, now: timedelta) -> None:
-        """Take in that requests of ``node`` wait for a holder."""
+        """Record that ``missed`` requests of ``node`` wait for a holder."""
         weighted = missed * rank_weight(wanted.priority)
         self.unmet += weighted
         self.missed_before(now, now)
-        valid = max(LEAST_MISS_VALID, wanted.goal * MISS_VALID_SHARE)
-        self.misses[node, wanted] = (weighted, now + valid)
+        valid_for = max(LEAST_MISS_VALID, wanted.goal * MISS_VALID_SHARE)
+        self.misses[node, wanted] = (weighted, now + valid_for)
 
     def missed_before(self, since: timedelta, now: timedelta) -> None:
-        """Take in that it is missed at ``now``, and first was at ``since``."""
+        """Record a miss at ``now`` in a series of misses since ``since``."""
         known = self.missed_since
         if known is None or now - self.missed_at > MISSES_REMEMBERED:
             known = since
@@ -150,29 +151,29 @@
         self.missed_at = max(self.missed_at, now)
 
     def missed_for(self, now: timedelta) -> timedelta:
-        """Return how long requests have been missing it, zero if they do not."""
+        """Return how long requests have found no holder, zero if they find one."""
         if self.missed_since is None or now - self.missed_at > MISSES_REMEMBERED:
             return timedelta()
         return now - self.missed_since
 
     @property
     def asked(self) -> bool:
-        """Whether any request was ever seen for it."""
+        """Whether any request was recorded."""
         return self.first_at is not None
 
     def is_hurried(self, now: timedelta) -> bool:
-        """Tell whether requests that cannot wait for a load asked for it lately."""
+        """Return whether a recent request could not wait for a load."""
         return self.hurried_at is not None and now - self.hurried_at < HURRIED_LASTS
 
     @property
     def is_steady(self) -> bool:
-        """Whether enough requests were seen to tell of a rate."""
+        """Whether enough requests were recorded for a rate estimate."""
         return self.count >= ENOUGH_REQUESTS
 
     def rise(self, now: timedelta) -> float:
-        """Return by what the averages fall short because demand has just begun.
+        """Return the factor that corrects the averages of demand that has just begun.
 
-        One request tells nothing of a rate, several within a second do.
+        One request gives no estimate of a rate, several within a second do.
         """
         if self.first_at is None or not self.is_steady:
             return 1.0
@@ -180,17 +181,17 @@
         return 1.0 / (1.0 - math.exp(-(age / TIME_CONSTANT)))
 
     def met(self) -> None:
-        """Take in that it is held, so that nothing is owed any more."""
+        """Record that a target holds it, which ends the series of misses."""
         self.unmet = 0.0
         self.missed_since = None
 
     def waiting(self, now: timedelta) -> float:
-        """Return the weighted requests that wait for a holder now."""
+        """Return the weighted requests that wait for a holder at ``now``."""
         return sum(weighted for weighted, until in self.misses.values() if now < until)
 
 
-def _risen(demand: Demand, now: timedelta) -> Demand:
-    """Return ``demand`` with its averages as they would be after a longer time."""
+def _with_corrected_averages(demand: Demand, now: timedelta) -> Demand:
+    """Return ``demand`` with averages corrected for the short time observed."""
     factor = demand.rise(now)
     if factor == 1.0:
         return demand
@@ -215,12 +216,12 @@
     def __init__(self) -> None:
         self._models: dict[tuple[str, str], Demand] = {}
         self._adapters: dict[tuple[str, str, str], Demand] = {}
-        self._asked_at: dict[str, timedelta] = {}
+        self._last_request_at: dict[str, timedelta] = {}
 
     def add(self, node: str, share: DemandShare, now: timedelta) -> None:
-        """Take in what ``node`` was asked for."""
+        """Record the requests that ``node`` received."""
         wanted = share.wanted
-        self._asked_at[wanted.service] = now
+        self._last_request_at[wanted.service] = now
         model = wanted.service, wanted.model
         _add(self._models.setdefault(model, Demand(at=now)), node, share, now)
         if wanted.adapter:
@@ -228,7 +229,7 @@
             _add(self._adapters.setdefault(adapter, Demand(at=now)), node, share, now)
 
     def missed_before(self, share: DemandShare, now: timedelta) -> None:
-        """Take in how long a node has been missing something."""
+        """Record how long a node has been missing a model."""
         wanted = share.wanted
         if not share.missed_for or wanted.adapter:
             return
@@ -242,7 +243,7 @@
         if demand is None:
             return Demand(at=now)
         demand.fade(now)
-        return _risen(demand, now)
+        return _with_corrected_averages(demand, now)
 
     def adapter(self, service: str, model: str, adapter: str, now: timedelta) -> Demand:
         """Return the demand for an adapter."""
@@ -253,19 +254,19 @@
         return demand
 
     def asked_at(self, service: str) -> timedelta | None:
-        """Return when anything was asked for last, ``None`` if nothing ever was."""
-        return self._asked_at.get(service)
+        """Return the time of the last request, ``None`` if there was none."""
+        return self._last_request_at.get(service)
 
     def met(self, service: str, model: str, adapters: Iterable[str]) -> None:
-        """Take in that a target holds ``model`` with ``adapters``."""
+        """Record that a target holds ``model`` with ``adapters``."""
         demand = self._models.get((service, model))
         if demand is not None:
             demand.met()
         for adapter in adapters:
-            of_adapter = self._adapters.get((service, model, adapter))
-            if of_adapter is not None:
-                of_adapter.met()
+            adapter_demand = self._adapters.get((service, model, adapter))
+            if adapter_demand is not None:
+                adapter_demand.met()
 
     def adapters(self, service: str) -> list[tuple[str, str]]:
-        """Return model and adapter of every adapter asked for so far."""
+        """Return the model and name of every adapter requested so far."""
         return [(m, a) for s, m, a in self._adapters if s == service]
--- a/packages/runhatch-server/src/runhatch_server/residency/_demand_inbox.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_demand_inbox.py
@@ -1,4 +1,4 @@
-"""What peers tell of demand, until the next round takes it in."""
+"""Queue demand received from peers until the next round applies it."""
 
 import threading
 from collections import deque
@@ -9,13 +9,13 @@
 from runhatch_server.residency._demand import DemandBook, DemandShare
 
 MOST_WAITING = 8_192
-"""Messages that may wait for a round.  90 nodes send some 500 a second and a round
-comes within a second, so that this many wait only where rounds have stopped."""
+"""Maximum number of queued messages. 90 nodes send about 500 per second and a round
+runs at least once a second, so that this many wait only if rounds have stopped."""
 
 
 @dataclass(frozen=True, slots=True)
 class DemandNews:
-    """What ``node`` was asked for within ``age`` of ``at``, when it told."""
+    """Demand that ``node`` received within ``age`` of ``at``, when it was sent."""
 
     node: str
     shares: tuple[DemandShare, ...]
@@ -24,32 +24,32 @@
 
 
 class DemandInbox:
-    """Holds news for the one task that takes it in; safe for many threads.
+    """Queues demand messages for the one task that applies them; thread-safe.
 
-    Whoever brings news never waits for a round.
+    Callers of :meth:`put` never wait for a round.
     """
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._news: deque[DemandNews] = deque()
+        self._queue: deque[DemandNews] = deque()
         self.dropped = 0
-        """Messages that found no room since the last round."""
+        """Messages dropped since the last round because the queue was full."""
 
     def __len__(self) -> int:
-        return len(self._news)
+        return len(self._queue)
 
     def put(self, news: DemandNews) -> None:
-        """Leave ``news`` for the next round; what is older gives way to it."""
+        """Queue ``news`` for the next round; a full queue drops its oldest message."""
         with self._lock:
-            if len(self._news) >= MOST_WAITING:
-                self._news.popleft()
+            if len(self._queue) >= MOST_WAITING:
+                self._queue.popleft()
                 self.dropped += 1
-            self._news.append(news)
+            self._queue.append(news)
 
     def empty_into(self, book: DemandBook) -> None:
-        """Take in all that waits, in the order in which it came."""
+        """Add all queued demand to ``book``, in the order received."""
         with self._lock:
-            waiting, self._news = self._news, deque()
+            waiting, self._queue = self._queue, deque()
             dropped, self.dropped = self.dropped, 0
         if dropped:
             log_change("demand_dropped", messages=dropped, reason="no round was made")
--- a/packages/runhatch-server/src/runhatch_server/residency/_view.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_view.py
@@ -1,4 +1,4 @@
-"""The targets of one service as they are to be planned for, and what they are worth.
+"""Snapshot of the targets of one service for planning, and the values of their models.
 
 All values are in weighted requests.
 """
@@ -12,42 +12,41 @@
 from runhatch_server.routing import EngineSpec
 
 HORIZON_SECONDS = 3.0
-"""How long a model that gave way is missed: it is back that much after it is asked
-for, where a target kept a copy on disk."""
+"""How long an evicted model is missed: it takes this long to load it again when
+requested, if a target has a copy on disk."""
 ADAPTER_MISSES = 0.3
-"""Share of requests for adapters whose adapter must first be loaded: a target that
-loads a model takes no order for an adapter meanwhile."""
+"""Share of requests for adapters whose adapter must first be loaded: a target accepts
+no adapter orders while it loads a model."""
 REPLICA_LOAD = 0.5
-"""Share of a target's time for prompts beyond which requests wait long enough for
-another replica to be worth its load: at 0.5 a prompt of 100 ms waits half as long
-again, and requests come in clumps."""
+"""Share of a target's time spent on prompts above which another replica is worth its
+load: at 0.5 a prompt of 100 ms waits half as long again, and requests arrive in
+bursts."""
 EASY_LOAD = 0.25
-"""Share of a target's time up to which it takes over another replica's requests
-without a loss; at ``REPLICA_LOAD`` all of them are counted as lost."""
+"""Share of a target's time up to which it takes over another replica's requests without
+a loss; at ``REPLICA_LOAD`` all of them are counted as lost."""
 UNKNOWN_MODEL = 2.5
-"""What the last replica of a model is worth, in weighted requests, that nobody has
-asked for yet, or that requests which cannot wait for a load once asked for.  Demand
-moves to other models without warning: within ten seconds to one in seven of those that
-are not asked for, and some 40 weighted requests are missed until such a model is
-loaded."""
+"""Value, in weighted requests, of the last replica of a model that was never requested,
+or that requests which cannot wait for a load have used. Demand moves to other models
+without warning: within ten seconds, to one in seven of those not in demand, and
+about 40 weighted requests are missed until such a model is loaded."""
 HURRIED_MODEL = 3.0
-"""What it is worth besides if requests that cannot wait for a load have asked for it
-lately: the rate of demand that has just begun is told too low."""
+"""Additional value of the last replica if requests that cannot wait for a load have
+used it recently: the rate of demand that has just begun is underestimated."""
 KNOWN_MODEL = 0.2
-"""The same of a model that only requests which can wait have asked for; its rate tells
-the rest."""
+"""Value of the last replica of a model that only requests which can wait have used; its
+rate accounts for the rest."""
 PATIENT_MISSES = 0.6
-"""Share of the requests that can wait for a load which are lost all the same if their
-model must be loaded first: its target may be busy with another."""
+"""Share of the requests that can wait for a load but are lost anyway if their model
+must be loaded first, because its target may be busy with another."""
 WORTH_KEEPING_RATE = 0.05
-"""Requests a second from which a model that no target holds any more is loaded again
+"""Requests per second above which a model that no target holds any more is loaded again
 without waiting for the next request."""
 UNMET_WEIGHT = 0.7
-"""What each missed request but the first still counts, until its model is held."""
+"""Weight of each missed request after the first, until a target holds its model."""
 
 
 class FleetView:
-    """The targets of one service as they are to be planned for."""
+    """Snapshot of the targets of one service for planning."""
 
     def __init__(
         self,
@@ -58,9 +57,9 @@
         now: timedelta,
         rate_limits: Mapping[str, float] | None = None,
     ) -> None:
-        """Take in the targets; ``rate_limits`` are requests a second, by incarnation.
+        """Index the targets; ``rate_limits`` are requests per second, by incarnation.
 
-        Targets that have named none take what their time allows.
+        A target without a limit is limited only by its processing time.
         """
         self.service = service
         self.engine = engine
@@ -75,7 +74,7 @@
         self._coming_at: dict[str, timedelta] = {}
         self._holders: dict[str, list[TargetControl]] = {}
         for control in controls:
-            self._note_coming(control)
+            self._record_expected_load(control)
             for model in control.held:
                 if control.holds(model):
                     self._holders.setdefault(model, []).append(control)
@@ -98,38 +97,38 @@
             self._adapter_rates[model] = self._adapter_rates.get(model, 0.0) + rate
 
     def demand_for(self, model: str) -> Demand:
-        """Return the demand for ``model``, looked up once for each view."""
-        known = self._demands.get(model)
-        if known is None:
-            known = self.demand.model(self.service, model, self.now)
-            self._demands[model] = known
-        return known
+        """Return the demand for ``model``, cached in this view."""
+        cached = self._demands.get(model)
+        if cached is None:
+            cached = self.demand.model(self.service, model, self.now)
+            self._demands[model] = cached
+        return cached
 
     def adapter_demand(self, model: str, adapter: str) -> Demand:
-        """Return the demand for an adapter, looked up once for each view."""
-        known = self._adapter_demands.get((model, adapter))
-        if known is None:
-            known = self.demand.adapter(self.service, model, adapter, self.now)
-            self._adapter_demands[model, adapter] = known
-        return known
+        """Return the demand for an adapter, cached in this view."""
+        cached = self._adapter_demands.get((model, adapter))
+        if cached is None:
+            cached = self.demand.adapter(self.service, model, adapter, self.now)
+            self._adapter_demands[model, adapter] = cached
+        return cached
 
     def holders(self, model: str) -> list[TargetControl]:
         """Return the targets that hold ``model``."""
         return self._holders.get(model, [])
 
     def coming_at(self, model: str) -> timedelta | None:
-        """Return when a load of ``model`` that is under way or planned is done."""
+        """Return when a load of ``model`` in progress or planned ends."""
         return self._coming_at.get(model)
 
     def free_mb(self, control: TargetControl) -> float:
-        """Return the memory for models that is free, room for adapters apart."""
+        """Return the free memory for models in MB, less the adapter reserve."""
         used = control.used_mb(self.engine)
         return self.engine.memory_mb - self._reserve_mb - used
 
     def blocked_by(self, control: TargetControl) -> float:
-        """Return the weighted requests a second for adapters that would wait.
+        """Return the weighted adapter requests per second that a load would delay.
 
-        Other holders that are free take their share of them.
+        Other free holders serve their share of them.
         """
         blocked = 0.0
         for model in control.held:
@@ -143,17 +142,17 @@
         return blocked
 
     def load_of(self, control: TargetControl) -> float:
-        """Return the share of a target's time that prompts take."""
+        """Return the share of a target's time spent on prompts."""
         return self.spread.utilisation(control.target.incarnation)
 
     def is_last_asked(self, control: TargetControl, model: str) -> bool:
-        """Tell whether ``control`` alone holds a model that is asked for."""
+        """Return whether ``control`` is the only holder of a model in demand."""
         if any(holder is not control for holder in self.holders(model)):
             return False
         return self.demand_for(model).rate >= WORTH_KEEPING_RATE
 
     def keep_value(self, control: TargetControl, model: str) -> float:
-        """Return what would be lost if ``control`` dropped ``model``."""
+        """Return the loss if ``control`` dropped ``model``."""
         demand = self.demand_for(model)
         hurried = demand.weighted - demand.patient
         missed = hurried + demand.patient * PATIENT_MISSES
@@ -161,15 +160,15 @@
         others = [c for c in self.holders(model) if c is not control]
         if not others:
             patient = demand.asked and demand.hurried_at is None
-            unasked = KNOWN_MODEL if patient else UNKNOWN_MODEL
+            unrequested_value = KNOWN_MODEL if patient else UNKNOWN_MODEL
             if demand.is_hurried(self.now):
-                unasked += HURRIED_MODEL
-            return unasked + value + demand.waiting(self.now)
+                unrequested_value += HURRIED_MODEL
+            return unrequested_value + value + demand.waiting(self.now)
         share = self.spread.share(model, control.target.incarnation)
         moved = share / len(others)
-        after = min(self.load_of(other) + moved for other in others)
-        crowded = (after - EASY_LOAD) / (REPLICA_LOAD - EASY_LOAD)
-        return value / (len(others) + 1) * min(max(crowded, 0.0), 1.0)
+        load_after = min(self.load_of(other) + moved for other in others)
+        crowding = (load_after - EASY_LOAD) / (REPLICA_LOAD - EASY_LOAD)
+        return value / (len(others) + 1) * min(max(crowding, 0.0), 1.0)
 
     def _capacity(self, control: TargetControl, limit: float | None) -> float:
         """Return the share of its time that prompts may take under its rate limit."""
@@ -182,20 +181,20 @@
             return 1.0
         return min(1.0, max(limit, TRIAL_RATE) * work / rate)
 
-    def _note_coming(self, control: TargetControl) -> None:
-        coming = {control.loading}
+    def _record_expected_load(self, control: TargetControl) -> None:
+        models = {control.loading}
         if control.intent is not None:
-            coming.add(control.intent.model)
-        for model in coming - {""}:
+            models.add(control.intent.model)
+        for model in models - {""}:
             ready_at = control.free_at(self.engine, self.now)
-            known = self._coming_at.get(model, ready_at)
-            self._coming_at[model] = min(known, ready_at)
+            known_ready_at = self._coming_at.get(model, ready_at)
+            self._coming_at[model] = min(known_ready_at, ready_at)
 
 
 def by_service(
     controls: Iterable[TargetControl],
 ) -> Mapping[str, list[TargetControl]]:
-    """Return the targets of each service, in a fixed order."""
+    """Return the targets of each service, ordered by incarnation."""
     services: dict[str, list[TargetControl]] = {}
     for control in sorted(controls, key=lambda each: each.target.incarnation):
         services.setdefault(control.target.service, []).append(control)
