--- a/packages/runhatch-server/src/runhatch_server/residency/_control.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_control.py
@@ -1,10 +1,10 @@
-"""One target under the orderer: what it holds, and the order that is on its way.
+"""State of one target under the orderer: what it holds, and the order in progress.
 
-The clever part is that memory stays safe with a lagging report and late orders.
-Each order names how many the target must have taken before; so at any moment one
-further order at most can take effect, whichever of those sent that is.  An order
-is only sent when it fits what the target holds after all that it is known to have
-taken, and unloaded memory counts as free only once a report has shown it.
+Memory stays safe although reports lag and orders may arrive late. Each order names the
+number of orders that the target must have accepted before it, so that at most one more
+order can take effect at any moment, whichever of those sent it is. An order is sent
+only if it fits what the target holds after all orders known to be accepted, and memory
+of an unloaded model counts as free only after a report shows it.
 """
 
 from dataclasses import dataclass, field
@@ -17,40 +17,41 @@
 from runhatch_server.targets import OrderKind, OrderOutcome
 
 REPORT_LAG = timedelta(milliseconds=160)
-"""Age that a report may have; what an order has changed is asked for after it."""
+"""Maximum age of a report; the effect of an order is requested after this time."""
 UNLOAD_TIME = timedelta(milliseconds=300)
-"""Usual time until an unloaded model's memory is seen to be free."""
+"""Usual time until a report shows the memory of an unloaded model as free."""
 ADAPTER_TIME = timedelta(milliseconds=70)
-"""Time in which an adapter is loaded: 6 to 19 ms where the target has a copy, ten
-times as long from the store."""
+"""Time to load an adapter: 6 to 19 ms where the target has a copy, ten times as long
+from the store."""
 LOAD_POLL = timedelta(milliseconds=250)
-"""Between two reports of a load that takes longer than expected."""
+"""Interval of report requests for a load that takes longer than expected."""
 UNLOAD_POLL = timedelta(milliseconds=400)
-"""Between two reports while requests of an unloaded model still run."""
+"""Interval of report requests while requests of an unloaded model still run."""
 DOUBT_POLL = timedelta(milliseconds=600)
-"""Between two reports while it is not known whether an order was taken."""
+"""Interval of report requests while it is unknown whether an order was accepted."""
 ADAPTER_PROTECTED = timedelta(seconds=1)
-"""An adapter stays so long at least: requests that waited for it are on their way."""
+"""Minimum time for which an adapter stays loaded: requests that waited for it are still
+being sent."""
 MODEL_PROTECTED = timedelta(seconds=2.5)
-"""The same for a model."""
+"""Minimum time for which a model stays loaded."""
 
 
 class Step(Enum):
-    """What the control of a target waits for."""
+    """State that determines what the control of a target waits for."""
 
     UNKNOWN = "unknown"
-    """A first report."""
+    """Waits for a first report."""
     IDLE = "idle"
-    """Nothing; it may be given an order."""
+    """Waits for nothing; an order may be sent."""
     LOADING = "loading"
     UNLOADING = "unloading"
     DOUBT = "doubt"
-    """A report that tells whether the last order was taken."""
+    """Waits for a report that shows whether the last order was accepted."""
 
 
 @dataclass(frozen=True, slots=True)
 class Intent:
-    """A model to be loaded once ``evict`` have been unloaded."""
+    """A model to load after the models in ``evict`` have been unloaded."""
 
     model: str
     evict: tuple[str, ...]
@@ -59,14 +60,14 @@
 
 @dataclass(slots=True)
 class TargetControl:
-    """State of one life of one target; used by the orderer's loop alone."""
+    """State of one incarnation of one target; used only by the orderer's loop."""
 
     target: Target
     step: Step = Step.UNKNOWN
     orders: int = 0
     held: dict[str, set[str]] = field(default_factory=dict)
     coming: dict[tuple[str, str], timedelta] = field(default_factory=dict)
-    """When adapters that were ordered will be there."""
+    """When each adapter that was ordered is expected to be loaded."""
     removing: set[str] = field(default_factory=set)
     loading: str = ""
     loading_reason: str = ""
@@ -78,31 +79,31 @@
     copies_in_memory: frozenset[str] = frozenset()
     copies_on_disk: frozenset[str] = frozenset()
     order_from: timedelta = timedelta()
-    """When the last node's orders are long enough ago for new ones."""
+    """From when on orders may be sent after those of the previous orderer."""
     changed: bool = True
-    """Whether others are to be told anew what it holds."""
+    """Whether the peers must be notified of what the target holds."""
 
     @property
     def is_free(self) -> bool:
-        """Whether nothing is under way that an order would meet.
+        """Whether no call, load or unload is in progress.
 
-        While a model is loaded or unloaded a target refuses orders for adapters too.
+        A target refuses adapter orders too while it loads or unloads a model.
         """
         return self.step is Step.IDLE and not self.calling
 
     def is_free_at(self, now: timedelta) -> bool:
-        """Tell whether an order may be sent at ``now``."""
+        """Return whether an order may be sent at ``now``."""
         return self.is_free and now >= self.order_from
 
     def holds(self, model: str, adapter: str = "") -> bool:
-        """Tell whether it holds ``model`` with ``adapter``, and keeps it."""
+        """Return whether ``model`` with ``adapter`` is held and not being removed."""
         adapters = self.held.get(model)
         if adapters is None or model in self.removing:
             return False
         return not adapter or adapter in adapters
 
     def view(self) -> HeldModels:
-        """Return what requests may be sent for."""
+        """Return the models and adapters that requests may use."""
         return HeldModels(
             {
                 model: frozenset(a for a in adapters if (model, a) not in self.coming)
@@ -112,17 +113,17 @@
         )
 
     def used_mb(self, engine: EngineSpec) -> float:
-        """Return the memory of the models there, those being loaded included."""
+        """Return the memory of the models held or being loaded, in MB."""
         names = {*self.held, self.loading} - {""}
         known = engine.by_name
         return sum(known[name].memory_mb for name in names if name in known)
 
     def adapter_count(self) -> int:
-        """Return how many adapters it holds."""
+        """Return the number of adapters held."""
         return sum(len(adapters) for adapters in self.held.values())
 
     def free_at(self, engine: EngineSpec, now: timedelta) -> timedelta:
-        """Return when the next order for a model may be sent, as far as is known."""
+        """Return when the next model order is expected to be possible."""
         if self.step is Step.LOADING:
             return max(now, self.ready_at) + REPORT_LAG
         if self.intent is not None:
@@ -134,7 +135,7 @@
         return max(now, self.ask_at, self.order_from) + REPORT_LAG
 
     def load_time(self, model: EngineModel) -> timedelta:
-        """Return how long a load of ``model`` takes here."""
+        """Return how long the target takes to load ``model``."""
         if model.name in self.copies_in_memory:
             return model.loads.from_memory
         if model.name in self.copies_on_disk:
@@ -142,36 +143,36 @@
         return model.loads.from_store
 
     def loads_from_store(self, model: str) -> bool:
-        """Tell whether a load of ``model`` draws on the weight store."""
+        """Return whether a load of ``model`` reads from the weight store."""
         return model not in self.copies_in_memory and model not in self.copies_on_disk
 
     @property
     def loading_because(self) -> str:
-        """Why a model is being loaded, or about to be; empty if none is."""
+        """Reason of the load in progress or about to start; empty if there is none."""
         return self.loading_reason if self.intent is None else self.intent.reason
 
     @property
     def is_loading_from_store(self) -> bool:
-        """Whether a load from the weight store is under way or about to begin."""
-        coming = self.loading if self.intent is None else self.intent.model
-        return bool(coming) and self.loads_from_store(coming)
+        """Whether a load from the weight store is in progress or about to start."""
+        model = self.loading if self.intent is None else self.intent.model
+        return bool(model) and self.loads_from_store(model)
 
     def protected(self, model: str, adapter: str, now: timedelta) -> bool:
-        """Tell whether something was loaded too lately to be dropped."""
-        at = self.since.get((model, adapter))
-        shortest = ADAPTER_PROTECTED if adapter else MODEL_PROTECTED
-        return at is not None and now - at < shortest
+        """Return whether the model or adapter was loaded too recently to be evicted."""
+        loaded_at = self.since.get((model, adapter))
+        protected_for = ADAPTER_PROTECTED if adapter else MODEL_PROTECTED
+        return loaded_at is not None and now - loaded_at < protected_for
 
     def arrive(self, now: timedelta) -> None:
-        """Take adapters for loaded whose time has passed."""
+        """Mark adapters as loaded whose expected time has passed."""
         for name in [name for name, at in self.coming.items() if now >= at]:
             del self.coming[name]
             self.changed = True
 
     def met(self, target: Target) -> None:
-        """Take in the target's newest entry."""
+        """Record the newest directory entry of the target."""
         self.target = target
-        # Entries tell of copies what reports tell too, and later.
+        # Entries list the same copies as reports, but later.
         if self.step is Step.UNKNOWN:
             self.copies_in_memory = target.copies.in_memory
             self.copies_on_disk = target.copies.on_disk
@@ -183,28 +184,29 @@
         load_time: timedelta,
         now: timedelta,
     ) -> None:
-        """Take in what became of ``order``."""
+        """Record the outcome of ``order``."""
         self.calling = False
         match outcome:
             case OrderOutcome.ACCEPTED | OrderOutcome.ALREADY:
                 self.orders += 1
                 if outcome is OrderOutcome.ALREADY and not order.adapter:
-                    # Nothing was counted, or something: a report tells.
-                    self._doubt(now)
+                    # The target may or may not have counted the order; a report shows
+                    # which.
+                    self._await_report(now)
                     return
-                self._taken(order, load_time, now)
+                self._apply_accepted(order, load_time, now)
             case OrderOutcome.NOT_SENT:
-                self._doubt(now)
+                self._await_report(now)
             case OrderOutcome.GONE:
-                self._doubt(now + DOUBT_POLL)
+                self._await_report(now + DOUBT_POLL)
             case _:
-                self._doubt(now)
+                self._await_report(now)
 
     def reported(self, report: TargetReport, now: timedelta) -> None:
-        """Take in a report; one older than what is known changes nothing."""
+        """Apply ``report``, unless it is older than the recorded state."""
         self.calling = False
-        if self._is_of_other_life(report):
-            self._ended(now)
+        if self._is_of_other_incarnation(report):
+            self._record_restart(now)
             return
         if report.orders < self.orders and self.step is not Step.DOUBT:
             self.ask_at = now + REPORT_LAG
@@ -212,19 +214,22 @@
         self.copies_in_memory = report.copies.in_memory
         self.copies_on_disk = report.copies.on_disk
         if report.busy:
-            self._still_busy(now)
+            self._schedule_busy_poll(now)
             return
         self.orders = report.orders
-        self._settle(report, now)
+        self._apply_settled_report(report, now)
 
-    def _is_of_other_life(self, report: TargetReport) -> bool:
-        known = self.target.started_at
-        return None not in (known, report.started_at) and known != report.started_at
+    def _is_of_other_incarnation(self, report: TargetReport) -> bool:
+        started_at = self.target.started_at
+        return (
+            None not in (started_at, report.started_at)
+            and started_at != report.started_at
+        )
 
-    def _ended(self, now: timedelta) -> None:
-        """Take in that the target has started again, and holds nothing of before.
+    def _record_restart(self, now: timedelta) -> None:
+        """Record that the target has restarted and lost all models.
 
-        Its new life is ordered once its entry tells of it.
+        Its new incarnation receives orders once the directory lists it.
         """
         self.held = {}
         self.coming.clear()
@@ -237,14 +242,16 @@
         self.ask_at = now + DOUBT_POLL
 
     def unanswered(self, now: timedelta) -> None:
-        """Take in that a report could not be had."""
+        """Record that a request for a report failed."""
         self.calling = False
         self.ask_at = now + DOUBT_POLL
 
-    def _taken(self, order: TargetOrder, load_time: timedelta, now: timedelta) -> None:
+    def _apply_accepted(
+        self, order: TargetOrder, load_time: timedelta, now: timedelta
+    ) -> None:
         self.changed = True
         if order.adapter:
-            self._adapter_taken(order, now)
+            self._apply_accepted_adapter(order, now)
             return
         if order.kind is OrderKind.LOAD:
             self.step = Step.LOADING
@@ -258,7 +265,7 @@
         self.removing.add(order.model)
         self.ask_at = now + REPORT_LAG
 
-    def _adapter_taken(self, order: TargetOrder, now: timedelta) -> None:
+    def _apply_accepted_adapter(self, order: TargetOrder, now: timedelta) -> None:
         adapters = self.held.setdefault(order.model, set())
         if order.kind is OrderKind.LOAD:
             adapters.add(order.adapter)
@@ -268,11 +275,11 @@
             adapters.discard(order.adapter)
             self.coming.pop((order.model, order.adapter), None)
 
-    def _doubt(self, now: timedelta) -> None:
+    def _await_report(self, now: timedelta) -> None:
         self.step = Step.DOUBT
         self.ask_at = now + REPORT_LAG
 
-    def _still_busy(self, now: timedelta) -> None:
+    def _schedule_busy_poll(self, now: timedelta) -> None:
         match self.step:
             case Step.LOADING:
                 self.ask_at = now + LOAD_POLL
@@ -281,9 +288,9 @@
             case _:
                 self.ask_at = now + DOUBT_POLL
 
-    def _settle(self, report: TargetReport, now: timedelta) -> None:
-        """Take ``report`` for what holds; nothing is under way there."""
-        before = self.view()
+    def _apply_settled_report(self, report: TargetReport, now: timedelta) -> None:
+        """Replace the state by ``report``, which shows no order in progress."""
+        previous = self.view()
         held = {
             model: set(adapters)
             for model, adapters in report.held.adapters_by_model.items()
@@ -300,5 +307,5 @@
         self.loading = ""
         self.loading_reason = ""
         self.step = Step.IDLE
-        if self.view() != before:
+        if self.view() != previous:
             self.changed = True
--- a/packages/runhatch-server/src/runhatch_server/residency/_controls.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_controls.py
@@ -1,4 +1,4 @@
-"""The controls of all targets: met as they are listed, and asked for reports."""
+"""Controls of all listed targets, which request their reports."""
 
 from collections.abc import Iterator
 from datetime import timedelta
@@ -13,14 +13,14 @@
 from runhatch_server.residency._orders import OrderClient, TargetReport
 
 RECHECK_AFTER = timedelta(seconds=4)
-"""How long a target's own entry may differ from what the orderer believes before a
-report is asked for."""
+"""How long a target's directory entry may differ from the orderer's state before a
+report is requested."""
 
 
 class TargetControls:
-    """One control for each life of each target that runs models, by incarnation.
+    """One control for each incarnation of each target that runs models.
 
-    Used by the orderer's rounds alone.
+    Keyed by incarnation; used only by the orderer's rounds.
     """
 
     def __init__(
@@ -53,83 +53,86 @@
         return self._controls[incarnation]
 
     def clear(self) -> None:
-        """Forget all targets, as another node has ordered them since."""
+        """Remove all targets, because another node has ordered them since."""
         self._controls.clear()
 
     def meet(self, epoch: int) -> bool:
-        """Take in which targets there are, and tell whether one of them is new.
+        """Add and remove controls as targets are listed; return whether one was added.
 
-        ``epoch`` is that of the lease which orders are given under.
+        ``epoch`` is that of the lease under which orders are sent.
         """
-        known = {
+        listed = {
             target.incarnation: target
             for target in self._directory.all()
             if self._declared.engine(target.service) is not None
         }
-        self._lose_all_but(known)
+        self._remove_unlisted(listed)
         now = self._clock.elapsed()
-        before = len(self._controls)
+        previous_count = len(self._controls)
         ordered_before = self._times.ordered_before(epoch)
-        for incarnation, target in known.items():
+        for incarnation, target in listed.items():
             control = self._controls.get(incarnation)
             if control is None:
                 control = _new_control(target, now)
                 self._controls[incarnation] = control
-            # Also of targets met before: the last holder's word may have come late.
+            # A resignation of the previous holder may arrive after the target was
+            # added.
             control.order_from = self._times.may_order_from(target.name)
             if target.name in ordered_before:
                 control.order_from = max(control.order_from, now + ORDER_ARRIVES)
             control.met(target)
             control.arrive(now)
-        return len(self._controls) > before
+        return len(self._controls) > previous_count
 
     def ask_reports(self, now: timedelta) -> None:
-        """Ask for the reports that are due."""
+        """Request the reports that are due."""
         for control in self:
             if control.calling:
                 continue
             if control.step is Step.IDLE:
-                self._recheck(control, now)
+                self._request_report_if_different(control, now)
             elif now >= control.ask_at:
-                self._ask(control)
+                self._request_report(control)
 
-    def _lose_all_but(self, known: dict[str, Target]) -> None:
-        named = {target.name for target in known.values()}
-        for incarnation in set(self._controls) - set(known):
-            gone = self._controls.pop(incarnation).target.name
-            if gone not in named:
-                self._times.forget(gone, self._clock.elapsed())
+    def _remove_unlisted(self, listed: dict[str, Target]) -> None:
+        listed_names = {target.name for target in listed.values()}
+        for incarnation in set(self._controls) - set(listed):
+            name = self._controls.pop(incarnation).target.name
+            if name not in listed_names:
+                self._times.forget(name, self._clock.elapsed())
 
-    def _recheck(self, control: TargetControl, now: timedelta) -> None:
-        """Ask again if the target itself tells something else for long."""
+    def _request_report_if_different(
+        self, control: TargetControl, now: timedelta
+    ) -> None:
+        """Request a report if the target's entry has differed for too long."""
         listed = frozenset(control.target.held.adapters_by_model)
         if listed == frozenset(control.held):
             control.ask_at = now + RECHECK_AFTER
         elif now >= control.ask_at:
             control.ask_at = now + RECHECK_AFTER
-            self._ask(control)
+            self._request_report(control)
 
-    def _ask(self, control: TargetControl) -> None:
+    def _request_report(self, control: TargetControl) -> None:
         target = control.target
         self._calls.start(
             control,
             lambda: self._client.report(target),
-            lambda report: self._reported(control, report),
+            lambda report: self._record_report(control, report),
         )
 
-    def _reported(self, control: TargetControl, report: object) -> None:
+    def _record_report(self, control: TargetControl, report: object) -> None:
         now = self._clock.elapsed()
         if not isinstance(report, TargetReport):
             assert isinstance(report, Unavailable)
             control.unanswered(now)
             return
-        before = control.step
+        previous_step = control.step
         control.reported(report, now)
-        if before is not control.step:
+        if previous_step is not control.step:
             log_change(
                 "target_settled",
                 target=control.target.incarnation,
-                after=before.value,
+                after=previous_step.value,
                 models=sorted(control.held),
                 in_memory=sorted(control.copies_in_memory),
                 on_disk=sorted(control.copies_on_disk),
--- a/packages/runhatch-server/src/runhatch_server/residency/_handover.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_handover.py
@@ -1,9 +1,9 @@
-"""When a node that takes the orders of targets over may order each of them.
+"""Compute when a new holder of the lease may order each target.
 
-Two nodes must not order one target within a given time of each other.  A node that
-gives the orders up says which targets it has ordered lately, so that its successor
-may order all others at once; after one that ends without a word it must wait until
-the lease has surely lapsed, and that time on top.
+Two nodes must not order one target within a given time of each other. A holder that
+resigns names the targets that it has ordered recently, so that its successor may order
+all others at once. After a holder that ends without a resignation, the successor must
+wait until the lease has surely lapsed, plus that time.
 """
 
 import threading
@@ -13,14 +13,15 @@
 from datetime import timedelta
 
 ORDER_ARRIVES = timedelta(milliseconds=800)
-"""Longest time that an order is on its way."""
+"""Maximum time that an order is in flight."""
 HANDOVER_SLACK = timedelta(milliseconds=200)
-"""Put on the time between the orders of two nodes: clocks and calls are not exact."""
+"""Added to the time between the orders of two nodes, because clocks and calls are not
+exact."""
 
 
 @dataclass(frozen=True, slots=True)
 class Resignation:
-    """The last word of the holder of ``epoch``: it gives no further order.
+    """Resignation of the holder of ``epoch``, which sends no further order.
 
     ``waits`` is how long a successor must wait before it orders a target,
     ``others_wait`` the same for all targets that are not named.
@@ -32,112 +33,120 @@
 
 
 class OrderTimes:
-    """From when on this node may order each target, and when it last did.
+    """Track when this node may order each target, and when it last did.
 
-    ``between`` is the time that must lie between the orders of two nodes.  Targets
-    go by name here: one that has started again is still the same to order.  Safe for
-    many threads: rounds, the task that keeps the lease, and calls to targets.
+    ``between`` is the minimum time between the orders of two nodes. Targets are
+    identified by name: a restarted target counts as the same. Thread-safe: used by
+    rounds, by the task that renews the lease, and by calls to targets.
     """
 
     def __init__(self, between: timedelta) -> None:
         self._lock = threading.Lock()
-        self._between = between + HANDOVER_SLACK
-        self._from: dict[str, timedelta] = {}
-        self._others_from = timedelta()
-        self._sent: dict[str, timedelta] = {}
+        self._min_interval = between + HANDOVER_SLACK
+        self._orderable_from: dict[str, timedelta] = {}
+        self._others_orderable_from = timedelta()
+        self._last_sent_at: dict[str, timedelta] = {}
         self._unknown_until: timedelta | None = None
-        """Until when an earlier process of this node may have ordered anything."""
-        self._on_way: Counter[tuple[str, int]] = Counter()
-        """Orders on their way, by target and fence."""
+        """Time until which a previous process of this node may have sent orders."""
+        self._in_flight: Counter[tuple[str, int]] = Counter()
+        """Number of orders in flight, by target and fence."""
 
     def take_over(self, free_since: timedelta) -> None:
-        """Begin after a holder that may have ordered anything until then."""
+        """Start after a holder that may have sent orders until ``free_since``."""
         with self._lock:
-            self._from = {}
-            self._others_from = free_since + self._between
+            self._orderable_from = {}
+            self._others_orderable_from = free_since + self._min_interval
 
     def go_on_after_restart(self, free_since: timedelta | None, now: timedelta) -> None:
-        """Begin after an earlier process of this node, which ended before ``now``.
+        """Start after a previous process of this node, which ended before ``now``.
 
-        What it ordered is not known here, and no other node orders close to it.
+        Its orders are unknown to this process, and no other node sends orders within
+        that time.
         """
         with self._lock:
-            self._from = {}
-            self._others_from = timedelta()
+            self._orderable_from = {}
+            self._others_orderable_from = timedelta()
             if free_since is not None:
-                self._others_from = free_since + self._between
+                self._others_orderable_from = free_since + self._min_interval
             self._unknown_until = now
 
     def take_over_from(self, resignation: Resignation, heard_at: timedelta) -> None:
-        """Begin after a holder that has said what it ordered."""
+        """Start after a holder whose resignation was received at ``heard_at``."""
         with self._lock:
-            self._from = {
+            self._orderable_from = {
                 target: heard_at + wait for target, wait in resignation.waits.items()
             }
-            self._others_from = heard_at + resignation.others_wait
+            self._others_orderable_from = heard_at + resignation.others_wait
 
     def may_order_from(self, target: str) -> timedelta:
-        """Return the first moment at which ``target`` may be ordered."""
+        """Return from when on ``target`` may be ordered."""
         with self._lock:
-            return self._from.get(target, self._others_from)
+            return self._orderable_from.get(target, self._others_orderable_from)
 
     def ordered_before(self, fence: int) -> frozenset[str]:
-        """Return the targets to which an order of a lower fence is on its way.
+        """Return the targets to which an order with a lower fence is in flight.
 
-        Orders of this node's earlier terms: one of ``fence`` could overtake them.
+        These are orders of previous terms of this node, which an order of ``fence``
+        could overtake.
         """
         with self._lock:
-            return frozenset(target for target, of in self._on_way if of < fence)
+            return frozenset(
+                target for target, order_fence in self._in_flight if order_fence < fence
+            )
 
     def begin(self, target: str, fence: int) -> None:
-        """Note that an order to ``target`` is on its way until :meth:`sent`."""
+        """Record that an order to ``target`` is in flight until :meth:`sent`."""
         with self._lock:
-            self._on_way[target, fence] += 1
+            self._in_flight[target, fence] += 1
 
     def sent(self, target: str, fence: int, now: timedelta) -> None:
-        """Note that an order to ``target`` is on its way no longer."""
+        """Record that an order to ``target`` is no longer in flight."""
         with self._lock:
-            self._sent[target] = now
-            self._end(target, fence)
+            self._last_sent_at[target] = now
+            self._remove_in_flight(target, fence)
 
     def unsent(self, target: str, fence: int) -> None:
-        """Note that an order to ``target`` was not sent after all."""
+        """Record that an order to ``target`` was not sent."""
         with self._lock:
-            self._end(target, fence)
+            self._remove_in_flight(target, fence)
 
-    def _end(self, target: str, fence: int) -> None:
-        self._on_way[target, fence] -= 1
-        if self._on_way[target, fence] <= 0:
-            del self._on_way[target, fence]
+    def _remove_in_flight(self, target: str, fence: int) -> None:
+        self._in_flight[target, fence] -= 1
+        if self._in_flight[target, fence] <= 0:
+            del self._in_flight[target, fence]
 
     def forget(self, target: str, now: timedelta) -> None:
-        """Drop what is kept of a target that is not listed, if it is over.
+        """Remove the times of a target that is not listed, once they have passed.
 
-        One that lives may be listed again within a moment.
+        A running target may be listed again at any moment.
         """
         with self._lock:
-            if now >= self._from.get(target, self._others_from):
-                self._from.pop(target, None)
-            if now >= self._sent.get(target, now) + self._between:
-                self._sent.pop(target, None)
+            if now >= self._orderable_from.get(target, self._others_orderable_from):
+                self._orderable_from.pop(target, None)
+            if now >= self._last_sent_at.get(target, now) + self._min_interval:
+                self._last_sent_at.pop(target, None)
 
     def resignation(self, epoch: int, now: timedelta) -> Resignation:
-        """Return what a successor must know if no order is sent from now on."""
+        """Return the waits for a successor if no order is sent after ``now``."""
         with self._lock:
-            ends = {**self._from}
-            arrived = now + ORDER_ARRIVES
-            on_way = dict.fromkeys((target for target, _ in self._on_way), arrived)
-            sent = {**self._sent, **on_way}
-            others_from = self._others_from
+            orderable_from = {**self._orderable_from}
+            arrives_at = now + ORDER_ARRIVES
+            in_flight = dict.fromkeys(
+                (target for target, _ in self._in_flight), arrives_at
+            )
+            sent_at = {**self._last_sent_at, **in_flight}
+            others_orderable_from = self._others_orderable_from
             if self._unknown_until is not None:
-                others_from = max(others_from, self._unknown_until + self._between)
-            for target, at in sent.items():
-                waited_for = self._from.get(target, others_from)
-                ends[target] = max(waited_for, at + self._between)
-        others_wait = max(timedelta(), others_from - now)
+                others_orderable_from = max(
+                    others_orderable_from, self._unknown_until + self._min_interval
+                )
+            for target, at in sent_at.items():
+                previous = self._orderable_from.get(target, others_orderable_from)
+                orderable_from[target] = max(previous, at + self._min_interval)
+        others_wait = max(timedelta(), others_orderable_from - now)
         waits = {
-            target: max(timedelta(), end - now)
-            for target, end in ends.items()
-            if end > now or others_wait > timedelta()
+            target: max(timedelta(), ready_at - now)
+            for target, ready_at in orderable_from.items()
+            if ready_at > now or others_wait > timedelta()
         }
         return Resignation(epoch, waits, others_wait)
--- a/packages/runhatch-server/src/runhatch_server/residency/_orderer.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_orderer.py
@@ -1,13 +1,13 @@
-"""The one node that orders targets: its lease, its rounds, and what it tells.
+"""Run the orderer on the node that holds the orders lease.
 
-Whichever node holds the lease reads reports, plans, and sends orders.  Everything it
-knows beyond the store is rebuilt from reports after a takeover.
+The holder of the lease reads reports, plans, and sends orders. Its state beyond the
+store is rebuilt from reports after a takeover.
 
-Rounds may take long where there are many targets, so nothing else waits for one:
-the task that keeps the lease tells rounds by a :class:`_Term` that they work under
-another lease, and what peers tell of demand waits in an inbox.  When both waited for
-the lock of a round, a holder of 70 targets gave its lease up each four seconds, and
-heard of a missed model ten seconds late.
+Rounds may take long where there are many targets, so nothing else waits for one. The
+task that renews the lease sets a :class:`_Term` to show rounds that they run under
+another lease, and demand from peers is queued in an inbox. When both waited for the
+lock of a round, a holder of 70 targets resigned every four seconds and received a
+missed model ten seconds late.
 """
 
 import threading
@@ -44,21 +44,21 @@
 from runhatch_server.routing import ServiceSpec
 
 RESIGN_BEFORE = timedelta(milliseconds=700)
-"""A holder that cannot renew gives the orders up so long before its lease lapses:
-peers that reach the store go on 2 s sooner, and at once with most targets."""
+"""A holder that cannot renew resigns this long before its lease lapses, so that peers
+that reach the store take over 2 s sooner, and order most targets at once."""
 
 
 MOST_REST = timedelta(milliseconds=500)
-"""Longest pause after a round: adapters are ordered by rounds, and the requests that
-wait for one do so for some 400 ms."""
+"""Maximum pause after a round: rounds send adapter orders, and requests that need an
+adapter wait for about 400 ms."""
 REST_FACTOR = 2
-"""A pause after a round is so many times as long as the round, so that a third of one
-core goes to rounds at the most: the same VM answers callers and renews the lease."""
+"""Length of a pause as a multiple of the round before it, so that rounds use at most a
+third of one core; the same VM answers callers and renews the lease."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Term:
-    """One holding of the lease by this node: ``epoch`` is 0 while there is none."""
+    """One period during which this node holds the lease; ``epoch`` is 0 for none."""
 
     epoch: int = 0
     takeover: Takeover | None = None
@@ -71,10 +71,10 @@
 class Orderer:
     """Orders all targets while this node holds the lease.
 
-    One task calls :meth:`keep_lease`, another :meth:`step`, so that targets which
-    do not answer cannot make the holder miss its renewal.  What a round works with
-    belongs to the task that calls :meth:`step`, and only the term, the last holder's
-    word and the inbox are shared; they are held for a moment only.
+    One task calls :meth:`keep_lease`, another :meth:`step`, so that targets that do not
+    answer cannot make the holder miss its renewal. State of rounds belongs to the task
+    that calls :meth:`step`; only the term, the last resignation and the inbox are
+    shared, under locks that are held briefly.
     """
 
     def __init__(
@@ -102,7 +102,7 @@
         self._rate_limits = rate_limits
         self._newest_epoch = newest_epoch
         self._times = OrderTimes(handover)
-        self._resigned: tuple[Resignation, timedelta] | None = None
+        self._last_resignation: tuple[Resignation, timedelta] | None = None
         self._declared = DeclaredModels()
         self._calls = TargetCalls(on_answer)
         sender = OrderSender(
@@ -116,13 +116,13 @@
             self._declared.load_time,
         )
         self._runner = LoadRunner(self._declared, sender, clock, load_window)
-        self._teller = HoldingsTeller(on_holdings, self._declared.load_time)
+        self._publisher = HoldingsTeller(on_holdings, self._declared.load_time)
         self._lease_log = LeaseLog(metrics)
         self._round_log = RoundLog(metrics)
         self._inbox = DemandInbox()
         self._lock = threading.Lock()
         self._term = NO_TERM
-        self._round = threading.Lock()
+        self._round_lock = threading.Lock()
         self._round_term = NO_TERM
         self._demand = DemandBook()
         self._copies = CopyPlanner(clock.elapsed())
@@ -130,7 +130,7 @@
             directory, client, self._calls, self._times, self._declared, clock
         )
         self._stopped = False
-        self._rest = timedelta()
+        self._pause = timedelta()
 
     def declare(self, services: Mapping[str, ServiceSpec]) -> None:
         """Go by other declarations from now on."""
@@ -138,25 +138,25 @@
 
     @property
     def record(self) -> LeaseRecord | None:
-        """The lease as last read or written here."""
+        """The lease as last read or written by this node."""
         return self._lease.record
 
     @property
     def rest(self) -> timedelta:
-        """How long to leave the processor to others after the last round."""
-        return self._rest
+        """How long to pause after the last round."""
+        return self._pause
 
     def holds_lease(self) -> Epoch | None:
-        """Return the epoch if this node orders the targets right now."""
+        """Return the epoch if this node holds the lease and is not stopped."""
         return None if self._stopped else self._lease.held()
 
     def _may_send(self) -> Epoch | None:
-        """Return the epoch if an order sent now arrives while it is held."""
+        """Return the epoch if an order sent now arrives while the lease is held."""
         return self.holds_lease() if self._lease.left() > ORDER_ARRIVES else None
 
     @property
     def has_work(self) -> bool:
-        """Whether :meth:`step` has anything to do: only after the lease was taken."""
+        """Whether :meth:`step` has anything to do, which requires an acquired lease."""
         return self._term.epoch != 0
 
     def keep_lease(self, eager: bool) -> LeaseChange:
@@ -168,7 +168,7 @@
         takeover = None
         if change is LeaseChange.ACQUIRED:
             takeover = self._lease.takeover
-            self._taken_over()
+            self._start_term()
         self._lease_log.note(
             change,
             self._term.epoch,
@@ -181,9 +181,9 @@
         return change
 
     def resign_if_cut_off(self) -> Resignation | None:
-        """Give the orders up if the lease is about to lapse, or has just lapsed.
+        """Resign if the lease is about to lapse or has just lapsed.
 
-        What targets hold is told all the same, until another node holds the lease.
+        Holdings of targets are published until another node holds the lease.
         """
         with self._lock:
             term, left = self._term, self._lease.left()
@@ -196,11 +196,11 @@
         return self._times.resignation(term.epoch, now)
 
     def take_in_resignation(self, resignation: Resignation) -> None:
-        """Take in the last word of the holder before, also if it comes late."""
+        """Record the resignation of a previous holder, even if it arrives late."""
         with self._lock:
-            known = self._resigned
-            if known is None or known[0].epoch < resignation.epoch:
-                self._resigned = resignation, self._clock.elapsed()
+            last = self._last_resignation
+            if last is None or last[0].epoch < resignation.epoch:
+                self._last_resignation = resignation, self._clock.elapsed()
             takeover = self._lease.takeover
             if (
                 self._term.epoch
@@ -211,11 +211,11 @@
         self._lease.observe_resigned(resignation.epoch)
 
     def stop(self) -> Resignation | None:
-        """Give no further order; returns the last word if the lease is held.
+        """Stop sending orders; return the resignation if the lease is held.
 
-        Peers should hear it before the lease is released.
+        The resignation should reach the peers before the lease is released.
         """
-        with self._round:
+        with self._round_lock:
             self._stopped = True
         self._calls.close()
         with self._lock:
@@ -225,7 +225,7 @@
         return self._times.resignation(term.epoch, self._clock.elapsed())
 
     def release(self) -> None:
-        """Give the lease up after :meth:`stop`, so that another node need not wait."""
+        """Release the lease after :meth:`stop`, so that a successor need not wait."""
         self._lease.release()
 
     def asked(
@@ -234,37 +234,37 @@
         shares: Iterable[DemandShare],
         age: timedelta = timedelta(),
     ) -> None:
-        """Take in what ``node`` was asked for within ``age``."""
+        """Queue the demand that ``node`` received within ``age``."""
         self._inbox.put(DemandNews(node, tuple(shares), self._clock.elapsed(), age))
 
     def step(self) -> None:
-        """Make one round: take in answers, ask for reports, plan, order, tell.
+        """Run one round: apply answers, request reports, plan, order and publish.
 
-        Reports are asked for before orders may be given, and after the lease has
-        lapsed until another node holds it: what loads have brought since is served
-        meanwhile, instead of being refused until the next orders.
+        Reports are requested before orders may be sent, and after the lease has lapsed
+        until another node holds it. Models loaded in the meantime then receive requests
+        instead of being refused until the next orders.
         """
-        with self._round:
+        with self._round_lock:
             begun = self._clock.elapsed()
             self._inbox.empty_into(self._demand)
-            self._begin_term()
-            if self._is_over():
-                self._forget()
+            self._adopt_term()
+            if self._is_term_over():
+                self._end_term()
             elif self._round_term.epoch:
-                self._make_round()
-                self._round_ended(begun)
+                self._run_round()
+                self._record_round(begun)
 
-    def _round_ended(self, begun: timedelta) -> None:
+    def _record_round(self, begun: timedelta) -> None:
         ended = self._clock.elapsed()
-        self._rest = min((ended - begun) * REST_FACTOR, MOST_REST)
+        self._pause = min((ended - begun) * REST_FACTOR, MOST_REST)
         self._round_log.round(begun, ended, len(self._controls), self._inbox)
 
-    def _begin_term(self) -> None:
-        """Begin anew if the lease was taken since the last round."""
+    def _adopt_term(self) -> None:
+        """Reset the state of rounds if the lease was acquired since the last round."""
         with self._lock:
             term = self._term
-        before, self._round_term = self._round_term, term
-        if term.epoch == before.epoch:
+        previous, self._round_term = self._round_term, term
+        if term.epoch == previous.epoch:
             return
         now = self._clock.elapsed()
         self._controls.clear()
@@ -272,15 +272,15 @@
         takeover = term.takeover
         if takeover is not None and takeover.vacancy is not Vacancy.NEVER_HELD:
             self._copies.taken_over(now)
-        self._teller.begin()
+        self._publisher.begin()
 
-    def _is_over(self) -> bool:
-        """Whether nothing is left to be told of the term that rounds work under."""
+    def _is_term_over(self) -> bool:
+        """Return whether this node stopped or another holds a newer epoch."""
         if not self._round_term.epoch or self.holds_lease() is not None:
             return False
         return self._stopped or self._newest_epoch() > self._round_term.epoch
 
-    def _make_round(self) -> None:
+    def _run_round(self) -> None:
         epoch = self.holds_lease()
         if epoch is not None and epoch.number != self._round_term.epoch:
             return
@@ -292,10 +292,10 @@
         if epoch is not None:
             self._runner.go_on(self._controls, epoch, now)
             self._plan(epoch, now)
-        self._teller.tell(self._round_term.epoch, self._controls, now)
+        self._publisher.tell(self._round_term.epoch, self._controls, now)
 
-    def _taken_over(self) -> None:
-        """Have rounds begin anew, late enough after the last holder's orders."""
+    def _start_term(self) -> None:
+        """Start a new term, which waits for the orders of the last holder."""
         epoch, takeover = self._lease.held(), self._lease.takeover
         with self._lock:
             if takeover is not None and takeover.vacancy is Vacancy.OWN:
@@ -307,13 +307,13 @@
             self._term = _Term(number, takeover)
 
     def _wait_for_last_holder(self, takeover: Takeover) -> None:
-        resigned = self._resigned
-        if resigned is not None and resigned[0].epoch == takeover.predecessor:
-            self._times.take_over_from(*resigned)
+        last = self._last_resignation
+        if last is not None and last[0].epoch == takeover.predecessor:
+            self._times.take_over_from(*last)
         elif takeover.free_since is not None:
             self._times.take_over(takeover.free_since)
 
-    def _forget(self) -> None:
+    def _end_term(self) -> None:
         self._controls.clear()
         self._calls.forget()
         with self._lock:
@@ -322,13 +322,13 @@
         self._round_term = NO_TERM
 
     def _plan(self, epoch: Epoch, now: timedelta) -> None:
-        ready = {
+        ready_targets = {
             target.incarnation
             for service in self._declared.services
             for target in self._directory.ready(service)
             if not self._is_down(target.incarnation)
         }
-        controls = [c for c in self._controls if c.target.incarnation in ready]
+        controls = [c for c in self._controls if c.target.incarnation in ready_targets]
         limits = self._rate_limits()
         for service, members in by_service(controls).items():
             engine = self._declared.engine(service)
