--- a/packages/runhatch-server/src/runhatch_server/residency/__init__.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/__init__.py
@@ -1,4 +1,4 @@
-"""Which models are resident where, when targets hold fewer than are declared."""
+"""Decide which models targets load when they cannot hold all declared models."""
 
 from runhatch_server.residency._adapter_policy import (
     AdapterLeft,
--- a/packages/runhatch-server/src/runhatch_server/residency/_calls.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_calls.py
@@ -1,4 +1,4 @@
-"""Calls to targets in workers, whose answers are taken in by the orderer's rounds."""
+"""Call targets in worker threads and apply their answers in the orderer's rounds."""
 
 from collections.abc import Callable, Container
 from concurrent.futures import Future, ThreadPoolExecutor
@@ -6,16 +6,17 @@
 from runhatch_server.residency._control import TargetControl
 
 CALL_WORKERS = 8
-"""Calls to targets at once; one that is dark holds a worker for its timeout."""
+"""Maximum concurrent calls to targets; one that does not answer holds a worker until
+its timeout."""
 
 Take = Callable[[object], None]
 
 
 class TargetCalls:
-    """Calls to targets; used by one thread.
+    """Runs calls to targets; used by one thread.
 
-    ``on_answer`` is called by a worker once an answer waits to be taken in.  A call
-    may end after the next to its target has begun, if the controls began anew.
+    ``on_answer`` is called by a worker when an answer is ready. If the controls were
+    cleared, a call may end after the next call to its target has started.
     """
 
     def __init__(self, on_answer: Callable[[], None]) -> None:
@@ -26,14 +27,14 @@
     def start(
         self, control: TargetControl, work: Callable[[], object], take: Take
     ) -> None:
-        """Have a worker call the target; ``take`` gets what ``work`` returns."""
+        """Call the target in a worker; ``take`` receives the result of ``work``."""
         control.calling = True
         future = self._executor.submit(work)
         self._pending.append((control.target.incarnation, future, take))
         future.add_done_callback(lambda done: self._on_answer())
 
     def take_answers(self, known: Container[str]) -> None:
-        """Take in what has come, but for targets that are not ``known`` any more."""
+        """Apply the answers received, except for targets no longer in ``known``."""
         ended = [call for call in self._pending if call[1].done()]
         for call in ended:
             self._pending.remove(call)
@@ -42,9 +43,9 @@
                 take(future.result())
 
     def forget(self) -> None:
-        """Take in nothing of what is on its way."""
+        """Ignore the answers to all calls in progress."""
         self._pending.clear()
 
     def close(self) -> None:
-        """Begin nothing more, and wait for what has begun."""
+        """Start no more calls, and wait for those in progress."""
         self._executor.shutdown(wait=True, cancel_futures=True)
--- a/packages/runhatch-server/src/runhatch_server/residency/_lease_log.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_lease_log.py
@@ -1,4 +1,4 @@
-"""Log lines on the lease of the orders: how it was gained, and why it was lost."""
+"""Log how the lease of the orders was acquired and why it was lost."""
 
 from datetime import timedelta
 
@@ -6,29 +6,29 @@
 from runhatch_server.observability import Metrics, log_change
 
 RESIGNED = "resigned"
-"""What a holder is said to have done that gave the orders up by itself."""
+"""Logged change of a holder that resigned by itself."""
 
 
 TOLD_ONCE = (LeaseChange.STORE_DOWN, LeaseChange.BEHIND)
-"""Changes that go on from step to step."""
+"""Changes that repeat in consecutive steps and are logged once."""
 
 
 class LeaseLog:
-    """Tells each change of the lease once; used by the task that keeps it.
+    """Logs each change of the lease once; used by the task that renews it.
 
-    ``left_ms`` is for how long the lease was still held when the step began: none
-    where it lapsed, some where another node took it.  ``late_ms`` is the time since
-    the step before, ``took_ms`` that of the call to the store.  Together they tell a
-    store that does not answer from a node that does not come to renew.  ``newest`` is
-    the newest epoch that was heard of: a holder of an earlier one loses the lease.  One
-    that was acquired has ``vacancy``, why it was free, the row that told so, and the
+    ``left_ms`` is the time for which the lease was still held when the step began: zero
+    if it lapsed, positive if another node took it. ``late_ms`` is the time since the
+    previous step, ``took_ms`` the duration of the call to the store. Together they
+    distinguish a store that does not answer from a node that renews late. ``newest`` is
+    the newest epoch received: the holder of a lower one loses the lease. An acquired
+    lease has ``vacancy``, the reason why it was free, the row that showed it, and the
     era of the store in which its epoch was counted.
     """
 
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
-        self._told = LeaseChange.NONE
-        self._stepped_at = timedelta()
+        self._last_change = LeaseChange.NONE
+        self._last_step_at = timedelta()
 
     def note(
         self,
@@ -40,13 +40,13 @@
         newest: int,
         takeover: Takeover | None = None,
     ) -> None:
-        """Log one step that changed something; one that lasts is told once."""
-        before, self._told = self._told, change
-        stepped_at, self._stepped_at = self._stepped_at, ended
+        """Log a step that changed the lease; repeated changes are logged once."""
+        previous_change, self._last_change = self._last_change, change
+        previous_step_at, self._last_step_at = self._last_step_at, ended
         if change is LeaseChange.NONE:
             return
         self._metrics.leases.labels(change.value).inc()
-        if change is before and change in TOLD_ONCE:
+        if change is previous_change and change in TOLD_ONCE:
             return
         log_change(
             "lease",
@@ -54,24 +54,24 @@
             epoch=epoch,
             newest=newest,
             left_ms=_milliseconds(left),
-            late_ms=_milliseconds(begun - stepped_at),
+            late_ms=_milliseconds(begun - previous_step_at),
             took_ms=_milliseconds(ended - begun),
-            **_told_of(takeover),
+            **_takeover_fields(takeover),
         )
 
     def resigned(self, epoch: int, left: timedelta, now: timedelta) -> None:
-        """Log that the holder of ``epoch`` gave the orders up, as it cannot renew."""
+        """Log that the holder of ``epoch`` resigned because it cannot renew."""
         self._metrics.leases.labels(RESIGNED).inc()
         log_change(
             "lease",
             change=RESIGNED,
             epoch=epoch,
             left_ms=_milliseconds(left),
-            late_ms=_milliseconds(now - self._stepped_at),
+            late_ms=_milliseconds(now - self._last_step_at),
         )
 
 
-def _told_of(takeover: Takeover | None) -> dict[str, object]:
+def _takeover_fields(takeover: Takeover | None) -> dict[str, object]:
     if takeover is None:
         return {}
     return {
--- a/packages/runhatch-server/src/runhatch_server/residency/_left_log.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_left_log.py
@@ -1,4 +1,4 @@
-"""Log lines on models and adapters that requests wait for and that are not loaded."""
+"""Log models and adapters that requests wait for and that are not loaded."""
 
 from collections.abc import Iterable
 from datetime import timedelta
@@ -8,18 +8,18 @@
 from runhatch_server.residency._policy import LeftModel, LoadModel
 
 LOG_EVERY = timedelta(seconds=2)
-"""Between two lines on one model.  Plans are made each 60 ms; with 26 models of which
-eight are held nowhere that is four lines a second at the most."""
+"""Minimum interval between two lines about one model. Plans run every 60 ms; with 26
+models of which eight are held nowhere, this is four lines per second at most."""
 
 
 class LeftLog:
-    """Tells what plans weighed and left; used by the orderer's loop alone."""
+    """Logs what plans deferred; used only by the orderer's loop."""
 
     def __init__(self) -> None:
-        self._told_at: dict[str, timedelta] = {}
+        self._logged_at: dict[str, timedelta] = {}
 
     def note(self, left: Iterable[LeftModel], now: timedelta) -> None:
-        """Log the models in ``left`` that were not logged lately."""
+        """Log the models in ``left`` that were not logged recently."""
         for model in left:
             if not self._is_due(model.model, now):
                 continue
@@ -37,7 +37,7 @@
             )
 
     def note_adapters(self, left: Iterable[LeftAdapter], now: timedelta) -> None:
-        """Log the adapters in ``left`` that were not logged lately."""
+        """Log the adapters in ``left`` that were not logged recently."""
         for each in left:
             if not self._is_due(f"{each.model}/{each.adapter}", now):
                 continue
@@ -51,7 +51,7 @@
             )
 
     def no_permit(self, load: LoadModel, now: timedelta) -> None:
-        """Log that ``load`` must wait for the weight store."""
+        """Log that ``load`` is delayed by the limit of the weight store."""
         if self._is_due(load.model, now):
             log_change(
                 "load_left",
@@ -62,8 +62,8 @@
             )
 
     def _is_due(self, model: str, now: timedelta) -> bool:
-        told_at = self._told_at.get(model)
-        if told_at is not None and now - told_at < LOG_EVERY:
+        logged_at = self._logged_at.get(model)
+        if logged_at is not None and now - logged_at < LOG_EVERY:
             return False
-        self._told_at[model] = now
+        self._logged_at[model] = now
         return True
--- a/packages/runhatch-server/src/runhatch_server/residency/_load_runner.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_load_runner.py
@@ -1,4 +1,4 @@
-"""Planned loads carried out: one order after the other, within the store's limit."""
+"""Carry out planned loads, one order after another, within the store's limit."""
 
 from collections.abc import Iterable, Mapping
 from datetime import timedelta
@@ -16,32 +16,32 @@
 
 
 class DeclaredModels:
-    """What is declared of the models that targets load.
+    """Declared models of the services, by target.
 
-    ``services`` is replaced whole.
+    ``services`` is replaced as a whole.
     """
 
     def __init__(self) -> None:
         self.services: Mapping[str, ServiceSpec] = {}
 
     def engine(self, service: str) -> EngineSpec | None:
-        """Return what the engines of ``service`` have in common, if it has any."""
+        """Return the engine declaration of ``service``, if it has one."""
         declared = self.services.get(service)
         return None if declared is None else declared.engine
 
     def model(self, control: TargetControl, name: str) -> EngineModel | None:
-        """Return what is declared of a model for a target."""
+        """Return the declaration of model ``name`` for a target."""
         engine = self.engine(control.target.service)
         return None if engine is None else engine.by_name.get(name)
 
     def load_time(self, control: TargetControl, name: str) -> timedelta:
-        """Return how long a model takes to be loaded on a target."""
+        """Return the load time of a model on a target, zero if undeclared."""
         spec = self.model(control, name)
         return timedelta() if spec is None else control.load_time(spec)
 
 
 class LoadRunner:
-    """Carries planned loads out; used by the orderer's loop alone."""
+    """Carries out planned loads; used only by the orderer's loop."""
 
     def __init__(
         self,
@@ -58,13 +58,16 @@
         self.left_log = LeftLog()
 
     def taken_over(self, now: timedelta) -> None:
-        """Count as if the last orderer had begun loads until ``now``."""
+        """Reset the permits as if the last orderer had started loads until ``now``."""
         self._permits = LoadPermits(self._load_window, now)
 
     def begin(
         self, control: TargetControl, load: LoadModel, epoch: Epoch, now: timedelta
     ) -> bool:
-        """Begin ``load`` on its target; false if that or the store must wait."""
+        """Start ``load`` on its target; return whether it was started.
+
+        A load is delayed while its target or the weight store cannot accept it.
+        """
         if not control.is_free_at(now):
             return False
         engine = self._declared.engine(control.target.service)
@@ -87,16 +90,16 @@
         )
         control.intent = Intent(load.model, load.evict, load.reason)
         control.changed = True
-        self._go_on(control, epoch)
+        self._send_next_order(control, epoch)
         return True
 
     def go_on(
         self, controls: Iterable[TargetControl], epoch: Epoch, now: timedelta
     ) -> None:
-        """Send the next order of each load that was begun and can go on."""
+        """Send the next order of each started load whose target accepts one."""
         for control in controls:
             if control.intent is not None and control.is_free_at(now):
-                self._go_on(control, epoch)
+                self._send_next_order(control, epoch)
 
     def load_adapter(
         self, control: TargetControl, load: LoadAdapter, epoch: Epoch
@@ -109,15 +112,15 @@
             return
         self._sender.send(control, OrderKind.LOAD, load.model, load.adapter, epoch)
 
-    def _go_on(self, control: TargetControl, epoch: Epoch) -> None:
+    def _send_next_order(self, control: TargetControl, epoch: Epoch) -> None:
         """Send the next order of the control's intent."""
         intent = control.intent
         engine = self._declared.engine(control.target.service)
         if intent is None or engine is None:
             return
-        left = [model for model in intent.evict if model in control.held]
-        if left:
-            self._sender.send(control, OrderKind.UNLOAD, left[0], "", epoch)
+        remaining = [model for model in intent.evict if model in control.held]
+        if remaining:
+            self._sender.send(control, OrderKind.UNLOAD, remaining[0], "", epoch)
             return
         spec = self._declared.model(control, intent.model)
         fits = spec is not None and (
--- a/packages/runhatch-server/src/runhatch_server/residency/_orders.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_orders.py
@@ -1,4 +1,4 @@
-"""Orders to targets, and what targets report, as the orderer sees them."""
+"""Define the orders to targets and their reports, as the orderer uses them."""
 
 from dataclasses import dataclass
 from datetime import datetime
@@ -13,8 +13,9 @@
 class TargetOrder:
     """An order to load or unload a model, or one adapter of it.
 
-    It is carried out only if the target has taken ``after_orders`` orders by then,
-    so of two orders with the same count one at most takes effect, however late.
+    A target carries it out only if it has accepted exactly ``after_orders`` orders by
+    then, so that at most one of two orders with the same count takes effect, however
+    late.
     """
 
     kind: OrderKind
@@ -27,12 +28,11 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetReport:
-    """What a target reports; some hundred milliseconds old.
+    """Report of a target, some hundred milliseconds old.
 
-    ``orders`` counts the orders it has taken; ``busy`` tells that one which
-    concerns a model is being carried out.  ``coming`` are adapters on their way,
-    as pairs of model and adapter.  ``started_at`` is when this life of it began, if
-    it tells.
+    ``orders`` counts the orders it has accepted; ``busy`` is true while it carries out
+    one that concerns a model. ``coming`` are adapters being loaded, as pairs of model
+    and adapter. ``started_at`` is when this incarnation started, if reported.
     """
 
     orders: int
@@ -46,10 +46,10 @@
 
 
 class OrderClient(Protocol):
-    """Speaks to targets about what they hold."""
+    """Sends orders to targets and requests their reports."""
 
     def give(self, target: Target, order: TargetOrder) -> OrderOutcome:
-        """Send ``order`` once."""
+        """Send ``order`` to ``target`` once, without retries."""
 
     def report(self, target: Target) -> TargetReport | Unavailable:
-        """Ask ``target`` what it holds."""
+        """Request a report from ``target``."""
--- a/packages/runhatch-server/src/runhatch_server/residency/_permits.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_permits.py
@@ -1,4 +1,4 @@
-"""How many loads from the weight store the orderer may begin in any window."""
+"""Limit the loads from the weight store that the orderer starts in any window."""
 
 from collections import deque
 from datetime import timedelta
@@ -17,17 +17,17 @@
 
     def __init__(self, window: timedelta, now: timedelta) -> None:
         self._window = window
-        self._taken_over = now
-        self._begun: deque[timedelta] = deque()
+        self._taken_over_at = now
+        self._started: deque[timedelta] = deque()
 
     def take(self, per_second: float, now: timedelta) -> bool:
-        """Tell whether a load may begin at ``now``, and count it."""
-        while self._begun and now - self._begun[0] >= self._window:
-            self._begun.popleft()
-        most = per_second * self._window.total_seconds()
-        if now - self._taken_over < self._window:
-            most *= TAKEOVER_SHARE
-        if len(self._begun) + 1 > most:
+        """Return whether a load may start at ``now``, and count it if so."""
+        while self._started and now - self._started[0] >= self._window:
+            self._started.popleft()
+        max_loads = per_second * self._window.total_seconds()
+        if now - self._taken_over_at < self._window:
+            max_loads *= TAKEOVER_SHARE
+        if len(self._started) + 1 > max_loads:
             return False
-        self._begun.append(now)
+        self._started.append(now)
         return True
--- a/packages/runhatch-server/src/runhatch_server/residency/_round_log.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_round_log.py
@@ -1,4 +1,4 @@
-"""Log lines on rounds of the orderer that take too long."""
+"""Measure rounds of the orderer and log long ones."""
 
 from collections.abc import Sized
 from datetime import timedelta
@@ -6,14 +6,14 @@
 from runhatch_server.observability import Metrics, log_change
 
 LONG_ROUND = timedelta(milliseconds=200)
-"""Time of a round from which it is logged: adapters wait for the next one, and
-requests that wait for one have some 400 ms."""
+"""Duration of a round from which it is logged: adapters wait for the next round, and
+requests that need one have about 400 ms."""
 LOG_EVERY = timedelta(seconds=1)
-"""Between two such lines."""
+"""Minimum interval between two log lines."""
 
 
 class RoundLog:
-    """Measures every round, and tells of long ones."""
+    """Measures every round, and logs long ones."""
 
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
@@ -23,7 +23,7 @@
     def round(
         self, begun: timedelta, ended: timedelta, targets: int, inbox: Sized
     ) -> None:
-        """Note a round over ``targets``, at whose end ``inbox`` waits to be read."""
+        """Record a round over ``targets`` targets, after which ``inbox`` is queued."""
         took = ended - begun
         self._metrics.round_seconds.observe(took.total_seconds())
         self._rounds += 1
--- a/packages/runhatch-server/src/runhatch_server/residency/_sending.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_sending.py
@@ -1,4 +1,4 @@
-"""Orders on their way to targets, and what became of them."""
+"""Send orders to targets and record their outcomes."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -14,9 +14,9 @@
 
 
 class OrderSender:
-    """Sends orders in workers, each only while ``held_epoch`` tells of its lease.
+    """Sends orders in workers, each only while ``held_epoch`` returns its epoch.
 
-    ``load_time`` returns how long a model takes to be loaded on a target.
+    ``load_time`` returns how long a target takes to load a model.
     """
 
     def __init__(
@@ -47,22 +47,23 @@
         adapter: str,
         epoch: Epoch,
     ) -> None:
-        """Order the target of ``control`` under the lease of ``epoch``."""
+        """Send an order to the target of ``control`` under the lease of ``epoch``."""
         order = TargetOrder(
             kind, model, adapter, control.orders, self._node, epoch.number
         )
         target = control.target
         self._calls.start(
             control,
-            lambda: self._give(target, order),
-            lambda outcome: self._ordered(control, order, outcome),
+            lambda: self._send_if_held(target, order),
+            lambda outcome: self._record_outcome(control, order, outcome),
         )
 
-    def _give(self, target: Target, order: TargetOrder) -> OrderOutcome | None:
+    def _send_if_held(self, target: Target, order: TargetOrder) -> OrderOutcome | None:
         """Send ``order`` unless the lease has lapsed meanwhile.
 
-        It counts as on its way before the lease is looked at: a resignation between
-        the two would not name its target, and a successor would order it at once.
+        The order counts as in flight before the lease is checked: a resignation between
+        the two would otherwise not name its target, and a successor would order it at
+        once.
         """
         self._times.begin(target.name, order.fence)
         epoch = self._held_epoch()
@@ -72,20 +73,20 @@
         begun = self._clock.elapsed()
         outcome = self._client.give(target, order)
         ended = self._clock.elapsed()
-        on_way = ORDER_ARRIVES if outcome is OrderOutcome.UNKNOWN else timedelta()
-        self._times.sent(target.name, order.fence, ended + on_way)
+        max_delay = ORDER_ARRIVES if outcome is OrderOutcome.UNKNOWN else timedelta()
+        self._times.sent(target.name, order.fence, ended + max_delay)
         seconds = (ended - begun).total_seconds()
         self._metrics.order_seconds.labels(order.kind.value).observe(seconds)
         return outcome
 
-    def _ordered(
+    def _record_outcome(
         self, control: TargetControl, order: TargetOrder, outcome: object
     ) -> None:
         if not isinstance(outcome, OrderOutcome):
             control.calling = False
             return
-        took = self._load_time(control, order.model)
-        control.ordered(order, outcome, took, self._clock.elapsed())
+        load_time = self._load_time(control, order.model)
+        control.ordered(order, outcome, load_time, self._clock.elapsed())
         self._metrics.orders.labels(order.kind.value, outcome.value).inc()
         log_change(
             "order",
--- a/packages/runhatch-server/src/runhatch_server/residency/_telling.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_telling.py
@@ -1,4 +1,4 @@
-"""What the orderer tells of the targets: what each holds, and when loads are done."""
+"""Publish what each target holds, and when its loads are expected to end."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -13,14 +13,16 @@
 )
 
 TELL_ALL_EVERY = timedelta(seconds=3)
-"""How often what all targets hold is told again, for nodes that missed some of it."""
+"""Interval at which the holdings of all targets are published again, for nodes that
+missed an update."""
 REPORT_TIME = timedelta(milliseconds=220)
-"""From the end of a load until it is known here: the report's lag and a round."""
+"""Time from the end of a load until it is known here: the lag of the report and a
+round."""
 
 
 @dataclass(frozen=True, slots=True)
 class Holding:
-    """What one target holds, and the loads under way there."""
+    """What one target holds, and the loads in progress there."""
 
     target: str
     held: HeldModels
@@ -32,34 +34,34 @@
 
 
 class HoldingsTeller:
-    """Tells what has changed each round, and everything now and then.
+    """Publishes changed holdings each round, and all holdings at intervals.
 
-    ``load_time`` returns how long a model takes to be loaded on a target.
+    ``load_time`` returns how long a target takes to load a model.
     """
 
     def __init__(self, on_holdings: OnHoldings, load_time: LoadTime) -> None:
         self._on_holdings = on_holdings
         self._load_time = load_time
-        self._told_all = timedelta(days=-1)
+        self._all_published_at = timedelta(days=-1)
 
     def begin(self) -> None:
-        """Tell everything in the next round."""
-        self._told_all = timedelta(days=-1)
+        """Publish all holdings in the next round."""
+        self._all_published_at = timedelta(days=-1)
 
     def tell(
         self, epoch: int, controls: Iterable[TargetControl], now: timedelta
     ) -> None:
-        """Tell, as the holder of ``epoch``, of targets that have changed."""
-        everything = now - self._told_all >= TELL_ALL_EVERY
-        if everything:
-            self._told_all = now
-        told = [
+        """Publish, as the holder of ``epoch``, the holdings that have changed."""
+        is_full_update = now - self._all_published_at >= TELL_ALL_EVERY
+        if is_full_update:
+            self._all_published_at = now
+        published = [
             control
             for control in controls
-            if control.step is not Step.UNKNOWN and (everything or control.changed)
+            if control.step is not Step.UNKNOWN and (is_full_update or control.changed)
         ]
-        holdings = [self._holding(control, now) for control in told]
-        for control in told:
+        holdings = [self._holding(control, now) for control in published]
+        for control in published:
             control.changed = False
         if holdings:
             self._on_holdings(epoch, holdings)
@@ -71,13 +73,13 @@
             ready_at = control.ready_at + REPORT_TIME
             loads = (ExpectedLoad(name, control.loading, ready_at),)
         elif control.intent is not None:
-            loads = (self._expected(control, control.intent, now),)
+            loads = (self._expected_load(control, control.intent, now),)
         return Holding(name, control.view(), loads)
 
-    def _expected(
+    def _expected_load(
         self, control: TargetControl, intent: Intent, now: timedelta
     ) -> ExpectedLoad:
-        """Return when a load that waits for room may be done."""
+        """Return when a load that waits for free memory is expected to end."""
         unloading = len([m for m in intent.evict if m in control.held])
-        took = UNLOAD_TIME * unloading + self._load_time(control, intent.model)
-        return ExpectedLoad(control.target.incarnation, intent.model, now + took)
+        remaining = UNLOAD_TIME * unloading + self._load_time(control, intent.model)
+        return ExpectedLoad(control.target.incarnation, intent.model, now + remaining)
