--- a/packages/runhatch-server/tests/orderer_cases.py
+++ b/packages/runhatch-server/tests/orderer_cases.py
@@ -1,4 +1,4 @@
-"""One node that orders targets, for tests, and the targets that it orders."""
+"""Provide an orderer node for tests, with the targets that it orders."""
 
 import threading
 
@@ -13,12 +13,12 @@
 TTL = seconds(2)
 HANDOVER = seconds(3)
 ANSWER_WAIT = 0.5
-"""Seconds that a round waits for a worker's answer, due within some milliseconds;
-rounds that ask nothing wait so long in vain."""
+"""Seconds for which a round waits for a worker's answer, due within some milliseconds;
+a round that makes no call waits the full time."""
 
 
-class RecordedTargets:
-    """Targets that hold ``models``, take every order and keep what was asked."""
+class RecordingTargets:
+    """Targets that hold ``models``, accept every order and record all calls."""
 
     def __init__(self, *models):
         self.models = models
@@ -35,35 +35,38 @@
         return OrderOutcome.ACCEPTED
 
 
-class SlowTargets(RecordedTargets):
-    """The first order takes its time on the way; all are kept as they arrive."""
+class SlowTargets(RecordingTargets):
+    """Targets that delay the first order until ``arrives`` is set.
+
+    Orders are recorded in order of arrival.
+    """
 
     def __init__(self, *models):
         super().__init__(*models)
         self.sent = threading.Semaphore(0)
         self.arrives = threading.Event()
-        self._first = True
+        self._is_first = True
 
     def give(self, target, order):
-        first, self._first = self._first, False
+        is_first, self._is_first = self._is_first, False
         self.sent.release()
-        if first:
+        if is_first:
             self.arrives.wait()
         return super().give(target, order)
 
 
-class Case:
-    """One node, its table, and what it told of its targets."""
+class OrdererCase:
+    """One orderer node, its table, and the holdings that it published."""
 
     def __init__(
         self, clock, table, name="n1", models=("m0",), born=None, targets=None
     ):
         self.clock = clock
-        self.targets = targets or RecordedTargets(*models)
-        self.told = []
+        self.targets = targets or RecordingTargets(*models)
+        self.published = []
         self.answered = threading.Event()
         self.newest_epoch = 0
-        self.on_tell = lambda: None
+        self.on_publish = lambda: None
         directory = make_directory(clock, make_target("t1", models=(), born=born))
         self.directory = directory
         self.orderer = Orderer(
@@ -73,7 +76,7 @@
             self.targets,
             clock,
             Metrics(),
-            self.tell,
+            self.publish,
             self.answered.set,
             lambda target: False,
             dict,
@@ -83,17 +86,17 @@
         )
         self.orderer.declare(SERVICES)
 
-    def tell(self, epoch, holdings):
-        self.on_tell()
+    def publish(self, epoch, holdings):
+        self.on_publish()
         self.newest_epoch = max(epoch, self.newest_epoch)
-        self.told += [(epoch, *sorted(h.held.adapters_by_model)) for h in holdings]
+        self.published += [(epoch, *sorted(h.held.adapters_by_model)) for h in holdings]
 
-    def ask_for(self, model):
+    def request_model(self, model):
         wanted = Wanted("engine", model, "", 0)
         self.orderer.asked("n1", [DemandShare(wanted, 3, 3, 300.0)])
 
-    def round(self):
-        """Make one round, wait for what it asked, take the answer in."""
+    def run_round(self):
+        """Run a round, wait for the answer to its call, and run another to apply it."""
         self.answered.clear()
         self.orderer.step()
         self.answered.wait(ANSWER_WAIT)
--- a/packages/runhatch-server/tests/test_copies.py
+++ b/packages/runhatch-server/tests/test_copies.py
@@ -1,4 +1,4 @@
-"""Copies of weights made while nobody asks: when, where, and in place of what."""
+"""Test when and where copies of weights are created, and what they replace."""
 
 from dataclasses import replace
 
@@ -35,95 +35,97 @@
 )
 
 
-def control(name, models, on_disk=(), reported=True):
-    made = TargetControl(make_target(name, models=models))
+def make_control(name, models, on_disk=(), reported=True):
+    target_control = TargetControl(make_target(name, models=models))
     if reported:
         held = HeldModels({model: frozenset() for model in models})
         copies = StoredCopies(on_disk=frozenset({*models, *on_disk}))
         report = TargetReport(0, held, False, frozenset(), copies, 0, 0)
-        made.reported(report, seconds(0))
-    return made
+        target_control.reported(report, seconds(0))
+    return target_control
 
 
-def plan(*controls, asked_ago=None, model="m0", settled=SETTLED):
+def planned_copies(*controls, asked_ago=None, model="m0", settled=SETTLED):
     book = DemandBook()
     if asked_ago is not None:
         share = DemandShare(Wanted("engine", model, "", 1), 5, 0, 100.0)
         book.add("n1", share, NOW - asked_ago)
     planner = CopyPlanner(NOW - settled)
-    return loads(planner, FleetView("engine", PLAIN, controls, book, NOW))
+    return as_tuples(planner, FleetView("engine", PLAIN, controls, book, NOW))
 
 
-def loads(planner, view):
+def as_tuples(planner, view):
     return [(load.model, load.target, load.evict) for load in planner.plan(view)]
 
 
-def two_targets():
-    """All but the last model have a copy somewhere."""
+def make_two_targets():
+    """Return two targets with a copy of every model but the last."""
     return [
-        control("t1", ["m0", "m1", "m2"], on_disk=["m3"]),
-        control("t2", ["m3", "m4", "m5"], on_disk=["m6"]),
+        make_control("t1", ["m0", "m1", "m2"], on_disk=["m3"]),
+        make_control("t2", ["m3", "m4", "m5"], on_disk=["m6"]),
     ]
 
 
 class TestCopies:
-    """The load that this answers is none, before callers come."""
+    """Copies are created only while a service receives no requests."""
 
-    def test_a_model_without_one_is_loaded(self):
-        """Loaded while requests wait it would take nine seconds, not two."""
-        assert plan(*two_targets()) == [("m7", "t1", ("m0",))]
+    def test_model_without_copy_is_loaded(self):
+        """A load while requests wait would take nine seconds instead of two."""
+        assert planned_copies(*make_two_targets()) == [("m7", "t1", ("m0",))]
 
-    def test_none_is_made_twice(self):
-        assert plan(control("t1", ["m0"], on_disk=ALL)) == []
+    def test_existing_copy_is_not_repeated(self):
+        assert planned_copies(make_control("t1", ["m0"], on_disk=ALL)) == []
 
     @pytest.mark.parametrize(
         ("asked_ago", "count"),
         [(seconds(0), 0), (QUIET / 2, 0), (seconds(30), 1)],
     )
-    def test_none_is_made_while_callers_ask(self, asked_ago, count):
-        assert len(plan(*two_targets(), asked_ago=asked_ago)) == count
+    def test_none_is_created_while_requests_arrive(self, asked_ago, count):
+        assert len(planned_copies(*make_two_targets(), asked_ago=asked_ago)) == count
 
-    def test_none_is_made_until_all_targets_are_known(self):
-        unknown = control("t3", ["m7"], reported=False)
+    def test_none_is_created_until_all_targets_are_known(self):
+        unknown = make_control("t3", ["m7"], reported=False)
 
-        assert plan(*two_targets(), settled=SETTLED / 2) == []
-        assert plan(*two_targets(), unknown) == []
+        assert planned_copies(*make_two_targets(), settled=SETTLED / 2) == []
+        assert planned_copies(*make_two_targets(), unknown) == []
 
-    def test_none_is_made_soon_after_another_node_ordered(self):
-        """One that peers do not reach hears of no callers."""
+    def test_none_is_created_soon_after_takeover(self):
+        """An orderer that its peers cannot reach receives no demand."""
         planner = CopyPlanner(NOW)
         planner.taken_over(NOW)
 
         def view(later):
-            return FleetView("engine", PLAIN, two_targets(), DemandBook(), NOW + later)
+            return FleetView(
+                "engine", PLAIN, make_two_targets(), DemandBook(), NOW + later
+            )
 
-        assert loads(planner, view(SETTLED)) == []
-        assert len(loads(planner, view(TAKEN_OVER))) == 1
+        assert as_tuples(planner, view(SETTLED)) == []
+        assert len(as_tuples(planner, view(TAKEN_OVER))) == 1
 
-    def test_models_with_more_than_one_holder_stay(self):
+    def test_models_with_several_holders_are_not_evicted(self):
         controls = [
-            control("t1", ["m0", "m1", "m2"]),
-            control("t2", ["m0", "m1", "m3"], on_disk=["m4", "m5", "m6"]),
+            make_control("t1", ["m0", "m1", "m2"]),
+            make_control("t2", ["m0", "m1", "m3"], on_disk=["m4", "m5", "m6"]),
         ]
 
-        assert plan(*controls)[0] == ("m7", "t1", ("m2",))
+        assert planned_copies(*controls)[0] == ("m7", "t1", ("m2",))
 
-    def test_what_was_asked_for_lately_stays(self):
-        planned = plan(*two_targets(), asked_ago=QUIET, model="m0")
+    def test_recently_requested_model_is_not_evicted(self):
+        planned = planned_copies(*make_two_targets(), asked_ago=QUIET, model="m0")
 
         assert planned == [("m7", "t1", ("m2",))]
 
-    def test_models_with_adapters_stay(self):
-        """More callers use them than others."""
+    def test_models_with_adapters_are_not_evicted(self):
+        """They have more demand than others."""
         controls = [
-            control("t1", ["m1", "m2", "m3"]),
-            control("t2", ["m2", "m3", "m4"], on_disk=["m5", "m6", "m7"]),
+            make_control("t1", ["m1", "m2", "m3"]),
+            make_control("t2", ["m2", "m3", "m4"], on_disk=["m5", "m6", "m7"]),
         ]
 
-        assert plan(*controls) == [("m0", "t2", ("m4",))]
+        assert planned_copies(*controls) == [("m0", "t2", ("m4",))]
 
-    def test_copies_that_drop_each_other_are_not_made_for_ever(self):
-        controls = two_targets()
+    def test_copies_that_replace_each_other_are_delayed(self):
+        controls = make_two_targets()
         planner = CopyPlanner(NOW - SETTLED)
 
         def view(later=seconds(0)):
@@ -131,12 +133,15 @@
 
         (load,) = planner.plan(view())
         planner.made("engine", load, NOW)
-        assert loads(planner, view(AGAIN_AFTER / 2)) == []
-        assert len(loads(planner, view(AGAIN_AFTER))) == 1
+        assert as_tuples(planner, view(AGAIN_AFTER / 2)) == []
+        assert len(as_tuples(planner, view(AGAIN_AFTER))) == 1
 
-    def test_the_next_ones_wait_for_a_while(self):
-        """Callers that come meanwhile find the targets of one load busy, not two."""
-        controls = [control("t1", ["m0", "m1", "m2"]), control("t2", ["m3", "m4"])]
+    def test_next_copies_wait_for_pause(self):
+        """Requests that arrive meanwhile find targets busy for one load, not two."""
+        controls = [
+            make_control("t1", ["m0", "m1", "m2"]),
+            make_control("t2", ["m3", "m4"]),
+        ]
         planner = CopyPlanner(NOW - SETTLED)
         view = FleetView("engine", PLAIN, controls, DemandBook(), NOW)
         (load,) = planner.plan(view)
@@ -148,67 +153,69 @@
         assert planner.plan(soon) == []
         assert [each.model for each in planner.plan(later)] == ["m6"]
 
-    def test_it_goes_where_other_copies_are_not_the_last(self):
-        """A target's disk is full: its oldest copy makes room."""
+    def test_prefers_target_without_only_copies(self):
+        """A full disk drops its oldest copy, which must not be the only one."""
         controls = [
-            control("t1", ["m0", "m1", "m2"], on_disk=["m6"]),
-            control("t2", ["m3", "m4", "m5"], on_disk=["m0"]),
+            make_control("t1", ["m0", "m1", "m2"], on_disk=["m6"]),
+            make_control("t2", ["m3", "m4", "m5"], on_disk=["m0"]),
         ]
 
-        assert plan(*controls)[0][:2] == ("m7", "t2")
+        assert planned_copies(*controls)[0][:2] == ("m7", "t2")
 
-    @pytest.mark.parametrize(("targets", "most"), [(2, 1), (4, 2), (6, 2), (7, 1)])
-    def test_half_of_the_targets_make_one_each_at_the_most(self, targets, most):
-        """The others take orders for adapters when callers come meanwhile."""
-        controls = [control(f"t{i}", [f"m{i}"]) for i in range(targets)]
-        left = len(ALL) - targets
+    @pytest.mark.parametrize(
+        ("targets", "max_copies"), [(2, 1), (4, 2), (6, 2), (7, 1)]
+    )
+    def test_at_most_half_of_targets_create_one_each(self, targets, max_copies):
+        """The other targets accept adapter orders when requests arrive meanwhile."""
+        controls = [make_control(f"t{i}", [f"m{i}"]) for i in range(targets)]
+        uncopied = len(ALL) - targets
 
-        planned = plan(*controls)
+        planned = planned_copies(*controls)
 
         assert len({target for _, target, _ in planned}) == len(planned)
-        assert len(planned) == min(left, most)
+        assert len(planned) == min(uncopied, max_copies)
 
 
-class TestPuttingBack:
-    """What gave way to a copy is what most callers ask for: it comes back."""
+class TestRestoringEvictedModels:
+    """Models evicted for a copy, which most callers use, are loaded again."""
 
     def after_a_copy(self, held, on_disk=("m0",)):
-        """Return the planner, and the targets, once the copy of m7 is made on t1."""
+        """Return the planner and the targets after m7 was copied to t1."""
         planner = CopyPlanner(NOW - SETTLED)
-        view = FleetView("engine", PLAIN, two_targets(), DemandBook(), NOW)
+        view = FleetView("engine", PLAIN, make_two_targets(), DemandBook(), NOW)
         (load,) = planner.plan(view)
         planner.made("engine", load, NOW)
-        t2 = control("t2", ["m3", "m4", "m5"], on_disk=["m6"])
-        return planner, [control("t1", held, on_disk=on_disk), t2]
+        t2 = make_control("t2", ["m3", "m4", "m5"], on_disk=["m6"])
+        return planner, [make_control("t1", held, on_disk=on_disk), t2]
 
     def view(self, controls, book=None):
         demand = DemandBook() if book is None else book
         return FleetView("engine", PLAIN, controls, demand, NOW + seconds(9))
 
-    def test_it_comes_back_once_the_copy_is_there(self):
+    def test_is_loaded_again_once_copy_exists(self):
         planner, controls = self.after_a_copy(["m7", "m1", "m2"])
 
         (load,) = planner.plan(self.view(controls))
 
         assert (load.model, load.target, load.evict) == ("m0", "t1", ("m7",))
         planner.made("engine", load, NOW + seconds(9))
-        assert loads(planner, self.view(controls)) == []
+        assert as_tuples(planner, self.view(controls)) == []
 
-    def test_not_before(self):
+    def test_is_not_loaded_before_copy_exists(self):
         planner, controls = self.after_a_copy(["m1", "m2"])
 
-        assert loads(planner, self.view(controls)) == []
+        assert as_tuples(planner, self.view(controls)) == []
 
-    def test_not_from_the_store(self):
+    def test_is_not_loaded_from_store(self):
         planner, controls = self.after_a_copy(["m7", "m1", "m2"], on_disk=())
 
-        assert loads(planner, self.view(controls)) == []
+        assert as_tuples(planner, self.view(controls)) == []
 
-    def test_not_once_callers_ask(self):
-        """From then on what is loaded follows what they ask for."""
+    def test_is_not_loaded_once_requests_arrive(self):
+        """From then on loads follow demand."""
         planner, controls = self.after_a_copy(["m7", "m1", "m2"])
         book = DemandBook()
         share = DemandShare(Wanted("engine", "m7", "", 1), 5, 0, 100.0)
         book.add("n1", share, NOW + seconds(8))
 
-        assert loads(planner, self.view(controls, book)) == []
+        assert as_tuples(planner, self.view(controls, book)) == []
--- a/packages/runhatch-server/tests/test_demand_inbox.py
+++ b/packages/runhatch-server/tests/test_demand_inbox.py
@@ -1,4 +1,4 @@
-"""What peers tell of demand waits for the next round, and for no lock of it."""
+"""Test that demand from peers is queued for the next round without its lock."""
 
 from gateway_cases import seconds
 
@@ -12,15 +12,15 @@
 WANTED = Wanted("engine", "m0", "", 0)
 
 
-def news(at, missed=1, age=0):
+def make_news(at, missed=1, age=0):
     share = DemandShare(WANTED, 1, missed, 100.0)
     return DemandNews("n1", (share,), seconds(at), seconds(age))
 
 
-def test_what_waits_is_taken_in_as_of_when_it_was_told():
+def test_queued_demand_is_added_at_its_own_time():
     inbox, book = DemandInbox(), DemandBook()
-    inbox.put(news(10))
-    inbox.put(news(12))
+    inbox.put(make_news(10))
+    inbox.put(make_news(12))
 
     inbox.empty_into(book)
 
@@ -30,9 +30,9 @@
     assert len(inbox) == 0
 
 
-def test_it_is_taken_in_once():
+def test_queued_demand_is_added_once():
     inbox, book = DemandInbox(), DemandBook()
-    inbox.put(news(10))
+    inbox.put(make_news(10))
 
     inbox.empty_into(book)
     inbox.empty_into(book)
@@ -40,10 +40,10 @@
     assert book.model("engine", "m0", seconds(10)).count == 1
 
 
-def test_the_oldest_give_way_where_no_rounds_are_made():
+def test_full_queue_drops_oldest_messages():
     inbox, book = DemandInbox(), DemandBook()
     for index in range(MOST_WAITING + 3):
-        inbox.put(news(index / 1000))
+        inbox.put(make_news(index / 1000))
 
     assert (len(inbox), inbox.dropped) == (MOST_WAITING, 3)
     inbox.empty_into(book)
--- a/packages/runhatch-server/tests/test_handover.py
+++ b/packages/runhatch-server/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""How long a successor waits before it orders a target."""
+"""Test how long a successor waits before it orders a target."""
 
 import pytest
 from gateway_cases import seconds
@@ -7,7 +7,7 @@
 from runhatch_server.residency._handover import HANDOVER_SLACK, ORDER_ARRIVES
 
 BETWEEN = seconds(3)
-WHOLE = BETWEEN + HANDOVER_SLACK
+FULL_WAIT = BETWEEN + HANDOVER_SLACK
 NOW = seconds(100)
 FENCE = 1
 
@@ -15,28 +15,30 @@
 class TestOrderTimes:
     """From when on each target may be ordered."""
 
-    def test_the_first_holder_may_order_at_once(self):
+    def test_first_holder_may_order_at_once(self):
         assert OrderTimes(BETWEEN).may_order_from("t1") == seconds(0)
 
-    def test_after_one_that_ended_without_a_word_all_wait(self):
+    def test_all_targets_wait_after_holder_without_resignation(self):
         times = OrderTimes(BETWEEN)
         times.take_over(NOW)
 
-        assert times.may_order_from("t1") == NOW + WHOLE
+        assert times.may_order_from("t1") == NOW + FULL_WAIT
 
-    def test_after_one_that_resigned_only_what_it_ordered_waits(self):
+    def test_only_ordered_targets_wait_after_resignation(self):
         first, second = OrderTimes(BETWEEN), OrderTimes(BETWEEN)
         first.sent("t1", FENCE, NOW - seconds(1))
         first.sent("t2", FENCE, NOW - seconds(9))
 
         second.take_over_from(first.resignation(4, NOW), NOW + seconds(0.1))
 
-        assert second.may_order_from("t1") == NOW + seconds(0.1) + WHOLE - seconds(1)
+        assert second.may_order_from("t1") == NOW + seconds(0.1) + FULL_WAIT - seconds(
+            1
+        )
         assert second.may_order_from("t2") <= NOW + seconds(0.1)
         assert second.may_order_from("t3") <= NOW + seconds(0.1)
 
     @pytest.mark.parametrize("target", ["t1", "t2"])
-    def test_a_third_holder_hears_of_the_first_ones_orders_too(self, target):
+    def test_third_holder_waits_for_orders_of_first(self, target):
         first, second, third = (OrderTimes(BETWEEN) for _ in range(3))
         first.take_over(NOW)
         first.sent("t1", FENCE, NOW)
@@ -44,27 +46,27 @@
 
         third.take_over_from(second.resignation(5, NOW + seconds(1)), NOW + seconds(1))
 
-        assert third.may_order_from(target) == NOW + WHOLE
+        assert third.may_order_from(target) == NOW + FULL_WAIT
 
-    def test_an_order_on_its_way_counts_as_sent_when_it_arrives_at_the_latest(self):
+    def test_order_in_flight_counts_from_latest_arrival(self):
         times = OrderTimes(BETWEEN)
         times.begin("t1", FENCE)
 
-        assert times.resignation(4, NOW).waits == {"t1": ORDER_ARRIVES + WHOLE}
+        assert times.resignation(4, NOW).waits == {"t1": ORDER_ARRIVES + FULL_WAIT}
 
-    def test_an_order_of_its_own_ends_the_wait_for_others(self):
+    def test_own_order_replaces_wait_for_previous_holder(self):
         times = OrderTimes(BETWEEN)
         times.take_over(NOW - seconds(2))
         times.sent("t1", FENCE, NOW)
 
-        told = times.resignation(4, NOW)
+        resignation = times.resignation(4, NOW)
 
-        assert told.waits["t1"] == WHOLE
-        assert told.others_wait == WHOLE - seconds(2)
+        assert resignation.waits["t1"] == FULL_WAIT
+        assert resignation.others_wait == FULL_WAIT - seconds(2)
 
     @pytest.mark.parametrize("resigned", [True, False])
-    def test_an_own_order_of_long_ago_does_not_end_the_wait_for_others(self, resigned):
-        """The last holder ordered the target since."""
+    def test_old_own_order_does_not_end_wait_for_previous_holder(self, resigned):
+        """The previous holder has ordered the target since."""
         times = OrderTimes(BETWEEN)
         times.sent("t1", FENCE, NOW - seconds(9))
         if resigned:
@@ -72,45 +74,45 @@
         else:
             times.take_over(NOW)
 
-        told = times.resignation(5, NOW + seconds(1))
+        resignation = times.resignation(5, NOW + seconds(1))
 
-        left = times.may_order_from("t1") - (NOW + seconds(1))
-        assert left > seconds(0)
-        assert told.waits["t1"] == left
+        remaining = times.may_order_from("t1") - (NOW + seconds(1))
+        assert remaining > seconds(0)
+        assert resignation.waits["t1"] == remaining
 
-    def test_a_target_that_is_not_listed_for_a_moment_is_not_forgotten(self):
+    def test_briefly_unlisted_target_keeps_its_wait(self):
         first, second = OrderTimes(BETWEEN), OrderTimes(BETWEEN)
         first.sent("t1", FENCE, NOW)
         second.take_over_from(first.resignation(4, NOW), NOW)
 
         second.forget("t1", NOW + seconds(1))
-        assert second.may_order_from("t1") == NOW + WHOLE
+        assert second.may_order_from("t1") == NOW + FULL_WAIT
 
-        second.forget("t1", NOW + WHOLE)
-        assert second.may_order_from("t1") <= NOW + WHOLE
+        second.forget("t1", NOW + FULL_WAIT)
+        assert second.may_order_from("t1") <= NOW + FULL_WAIT
 
-    def test_nothing_is_said_of_targets_ordered_long_ago(self):
+    def test_resignation_omits_targets_ordered_long_ago(self):
         times = OrderTimes(BETWEEN)
         times.sent("t1", FENCE, NOW - seconds(9))
 
         assert times.resignation(4, NOW) == Resignation(4)
 
     @pytest.mark.parametrize(
-        ("ended", "waited_for"), [("not", {"t1"}), ("sent", set()), ("unsent", set())]
+        ("ending", "targets"), [("not", {"t1"}), ("sent", set()), ("unsent", set())]
     )
-    def test_an_order_of_an_earlier_term_is_waited_for(self, ended, waited_for):
+    def test_order_of_previous_term_is_in_flight(self, ending, targets):
         times = OrderTimes(BETWEEN)
         times.begin("t1", FENCE)
         times.begin("t2", FENCE + 1)
-        if ended == "sent":
+        if ending == "sent":
             times.sent("t1", FENCE, NOW)
-        elif ended == "unsent":
+        elif ending == "unsent":
             times.unsent("t1", FENCE)
 
-        assert times.ordered_before(FENCE + 1) == waited_for
+        assert times.ordered_before(FENCE + 1) == targets
 
-    def test_one_that_is_not_sent_does_not_hide_another(self):
-        """Two terms may begin an order to the same target."""
+    def test_unsent_order_does_not_hide_another(self):
+        """Two terms may have an order to the same target in flight."""
         times = OrderTimes(BETWEEN)
         times.begin("t1", FENCE)
         times.begin("t1", FENCE + 1)
--- a/packages/runhatch-server/tests/test_orderer.py
+++ b/packages/runhatch-server/tests/test_orderer.py
@@ -1,8 +1,8 @@
-"""The node that orders the targets: what it does before, with and after its lease."""
+"""Test the orderer before it holds the lease, while it does, and afterwards."""
 
 import pytest
 from gateway_cases import make_target, seconds
-from orderer_cases import ANSWER_WAIT, HANDOVER, TTL, Case, SlowTargets
+from orderer_cases import ANSWER_WAIT, HANDOVER, TTL, OrdererCase, SlowTargets
 
 from runhatch_coordination import Entry
 from runhatch_coordination.testing import FaultyTable, MemoryTable, TableFault
@@ -12,15 +12,15 @@
 
 @pytest.fixture
 def table():
-    """A table whose answers may fail."""
+    """Return a table whose calls may fail."""
     return FaultyTable(MemoryTable())
 
 
-def taken_over(clock, table):
-    """Return a node that has acquired the lease after another ended without a word."""
-    first = Case(clock, table, "n0")
+def acquire_after_unresigned_holder(clock, table):
+    """Return a node that acquired the lease after a holder ended without resigning."""
+    first = OrdererCase(clock, table, "n0")
     first.orderer.keep_lease(eager=True)
-    second = Case(clock, table, "n1")
+    second = OrdererCase(clock, table, "n1")
     second.orderer.keep_lease(eager=True)
     clock.advance(TTL * 1.6)
     second.orderer.keep_lease(eager=True)
@@ -28,113 +28,113 @@
     return second
 
 
-def succeed(clock, table, resignation):
-    """Return a node that has acquired the lease by ``resignation``, and has rounds."""
-    case = Case(clock, table, "n1")
+def acquire_after_resignation(clock, table, resignation):
+    """Return a node that acquired the lease after ``resignation`` and ran rounds."""
+    case = OrdererCase(clock, table, "n1")
     case.orderer.take_in_resignation(resignation)
     case.orderer.keep_lease(eager=True)
     assert case.orderer.holds_lease() is not None
-    case.ask_for("m1")
+    case.request_model("m1")
     for _ in range(3):
-        case.round()
+        case.run_round()
     return case
 
 
 class TestTakeover:
-    """A node that takes the lease from another."""
+    """A node that acquires the lease after another holder."""
 
-    def test_what_targets_hold_is_told_before_orders_may_be_given(self, clock, table):
-        case = taken_over(clock, table)
+    def test_publishes_holdings_before_orders_are_allowed(self, clock, table):
+        case = acquire_after_unresigned_holder(clock, table)
 
-        case.round()
+        case.run_round()
 
-        assert [models for _, *models in case.told] == [["m0"]]
+        assert [models for _, *models in case.published] == [["m0"]]
 
-    def test_no_order_is_given_close_to_the_last_holders(self, clock, table):
-        case = taken_over(clock, table)
-        case.ask_for("m1")
-        case.round()
-        case.round()
+    def test_waits_after_orders_of_previous_holder(self, clock, table):
+        case = acquire_after_unresigned_holder(clock, table)
+        case.request_model("m1")
+        case.run_round()
+        case.run_round()
         assert case.targets.orders == []
 
         for _ in range(4):
             clock.advance(HANDOVER / 3)
             case.orderer.keep_lease(eager=True)
-        case.ask_for("m1")
-        case.round()
-        case.round()
+        case.request_model("m1")
+        case.run_round()
+        case.run_round()
 
         assert [order.model for order in case.targets.orders] == ["m1"]
 
 
 class TestResignation:
-    """A node that gives the orders up says what it ordered last."""
+    """Resignations name the targets ordered recently."""
 
-    def holder(self, clock, table):
-        case = Case(clock, table, "n0")
+    def make_holder(self, clock, table):
+        case = OrdererCase(clock, table, "n0")
         case.orderer.keep_lease(eager=True)
-        case.round()
+        case.run_round()
         return case
 
-    def test_a_word_that_comes_after_the_lease_was_taken_counts(self, clock, table):
-        first = self.holder(clock, table)
+    def test_applies_resignation_received_after_acquiring_lease(self, clock, table):
+        first = self.make_holder(clock, table)
         resignation = first.orderer.stop()
         first.orderer.release()
-        case = Case(clock, table, "n1")
+        case = OrdererCase(clock, table, "n1")
         case.orderer.keep_lease(eager=True)
-        case.round()
+        case.run_round()
 
         case.orderer.take_in_resignation(resignation)
 
-        case.ask_for("m1")
+        case.request_model("m1")
         for _ in range(3):
-            case.round()
+            case.run_round()
         assert [order.model for order in case.targets.orders] == ["m1"]
 
-    def test_targets_not_ordered_lately_are_ordered_at_once(self, clock, table):
-        first = self.holder(clock, table)
+    def test_targets_without_recent_orders_are_ordered_at_once(self, clock, table):
+        first = self.make_holder(clock, table)
         resignation = first.orderer.stop()
         first.orderer.release()
 
-        case = succeed(clock, table, resignation)
+        case = acquire_after_resignation(clock, table, resignation)
 
         assert [order.model for order in case.targets.orders] == ["m1"]
 
-    def test_a_target_just_ordered_is_not(self, clock, table):
-        first = self.holder(clock, table)
-        first.ask_for("m2")
+    def test_target_with_recent_order_is_not_ordered(self, clock, table):
+        first = self.make_holder(clock, table)
+        first.request_model("m2")
         for _ in range(3):
-            first.round()
+            first.run_round()
         assert first.targets.orders
 
         resignation = first.orderer.stop()
         first.orderer.release()
-        case = succeed(clock, table, resignation)
+        case = acquire_after_resignation(clock, table, resignation)
 
         assert case.targets.orders == []
 
-    def test_it_is_not_either_once_it_has_started_again(self, clock, table):
-        """Orders of two nodes to one target lie apart, whichever life takes them."""
-        first = Case(clock, table, "n0", born=100)
+    def test_restarted_target_with_recent_order_is_not_ordered(self, clock, table):
+        """Orders of two nodes keep their interval even if the target restarts."""
+        first = OrdererCase(clock, table, "n0", born=100)
         first.orderer.keep_lease(eager=True)
-        first.ask_for("m2")
+        first.request_model("m2")
         for _ in range(3):
-            first.round()
+            first.run_round()
         assert first.targets.orders
 
         resignation = first.orderer.stop()
         first.orderer.release()
-        case = Case(clock, table, "n1", born=200)
+        case = OrdererCase(clock, table, "n1", born=200)
         case.orderer.take_in_resignation(resignation)
         case.orderer.keep_lease(eager=True)
-        case.ask_for("m1")
+        case.request_model("m1")
         for _ in range(3):
-            case.round()
+            case.run_round()
 
         assert case.targets.orders == []
 
-    def test_one_that_is_cut_off_resigns_before_its_lease_lapses(self, clock, table):
-        first = self.holder(clock, table)
+    def test_holder_without_store_resigns_before_lease_lapses(self, clock, table):
+        first = self.make_holder(clock, table)
         table.inject(TableFault.DOWN)
         clock.advance(TTL - RESIGN_BEFORE)
         first.orderer.keep_lease(eager=True)
@@ -144,51 +144,51 @@
         assert first.orderer.holds_lease() is None
         assert resignation.epoch == 1
         table.inject(TableFault.NONE)
-        case = succeed(clock, table, resignation)
+        case = acquire_after_resignation(clock, table, resignation)
         assert [order.model for order in case.targets.orders] == ["m1"]
 
-    def test_an_order_that_arrives_after_the_word_is_waited_for(self, clock, table):
-        """It was on its way when its sender was cut off from the store."""
+    def test_waits_for_order_that_arrives_after_resignation(self, clock, table):
+        """The order is in flight when its sender loses the connection to the store."""
         targets = SlowTargets("m0")
-        first = Case(clock, table, "n0", targets=targets)
+        first = OrdererCase(clock, table, "n0", targets=targets)
         first.orderer.keep_lease(eager=True)
-        first.ask_for("m1")
+        first.request_model("m1")
         for _ in range(3):
-            first.round()
+            first.run_round()
         assert targets.sent.acquire(timeout=ANSWER_WAIT)
         table.inject(TableFault.DOWN)
         clock.advance(TTL - RESIGN_BEFORE)
         resignation = first.orderer.resign_if_cut_off()
         table.inject(TableFault.NONE)
-        case = succeed(clock, table, resignation)
+        case = acquire_after_resignation(clock, table, resignation)
         clock.advance(ORDER_ARRIVES)
         targets.arrives.set()
 
         for _ in range(5):
             clock.advance(HANDOVER * 0.19)
             case.orderer.keep_lease(eager=True)
-            case.ask_for("m1")
-            case.round()
+            case.request_model("m1")
+            case.run_round()
 
         assert case.targets.orders == []
 
     @pytest.mark.parametrize(
         ("left", "sent"), [(ORDER_ARRIVES, 0), (ORDER_ARRIVES * 1.1, 1)]
     )
-    def test_no_order_is_sent_that_may_arrive_after_the_lease(
+    def test_sends_no_order_that_may_arrive_after_lease_ends(
         self, clock, table, left, sent
     ):
-        """A successor counts from the end of the lease."""
-        case = self.holder(clock, table)
+        """A successor computes its wait from the end of the lease."""
+        case = self.make_holder(clock, table)
         clock.advance(TTL - left)
-        case.ask_for("m1")
+        case.request_model("m1")
         for _ in range(3):
-            case.round()
+            case.run_round()
 
         assert len(case.targets.orders) == sent
 
-    def test_one_that_can_renew_does_not_resign(self, clock, table):
-        first = self.holder(clock, table)
+    def test_holder_that_renews_does_not_resign(self, clock, table):
+        first = self.make_holder(clock, table)
         clock.advance(TTL - RESIGN_BEFORE)
         first.orderer.keep_lease(eager=True)
 
@@ -197,80 +197,80 @@
 
 
 class TestLapsedLease:
-    """A node whose lease has run out while the store was away."""
+    """A node whose lease has lapsed while the store was unavailable."""
 
-    def lapsed(self, clock, table):
-        case = Case(clock, table)
+    def make_lapsed_holder(self, clock, table):
+        case = OrdererCase(clock, table)
         case.orderer.keep_lease(eager=True)
-        case.round()
+        case.run_round()
         table.inject(TableFault.DOWN)
         clock.advance(TTL)
         case.orderer.keep_lease(eager=True)
         assert case.orderer.holds_lease() is None
-        case.told.clear()
+        case.published.clear()
         return case
 
-    def test_it_goes_on_telling_what_targets_hold(self, clock, table):
-        case = self.lapsed(clock, table)
+    def test_continues_to_publish_holdings(self, clock, table):
+        case = self.make_lapsed_holder(clock, table)
         case.targets.models = ("m0", "m1")
         clock.advance(seconds(4))
 
-        case.round()
+        case.run_round()
 
-        assert case.told[-1] == (1, "m0", "m1")
+        assert case.published[-1] == (1, "m0", "m1")
 
-    def test_it_orders_nothing(self, clock, table):
-        case = self.lapsed(clock, table)
-        case.ask_for("m1")
+    def test_sends_no_orders(self, clock, table):
+        case = self.make_lapsed_holder(clock, table)
+        case.request_model("m1")
 
-        case.round()
+        case.run_round()
 
         assert case.targets.orders == []
 
-    def test_it_falls_silent_once_another_node_orders(self, clock, table):
-        case = self.lapsed(clock, table)
+    def test_stops_publishing_once_another_node_orders(self, clock, table):
+        case = self.make_lapsed_holder(clock, table)
         case.newest_epoch = 2
         clock.advance(seconds(4))
 
-        case.round()
+        case.run_round()
 
-        assert case.told == []
+        assert case.published == []
 
 
-class TestStartedAgain:
-    """A target that starts again under its name while a node orders it."""
+class TestRestartedTarget:
+    """A target that restarts under the same name while a node orders it."""
 
-    def test_it_is_asked_what_it_holds_and_ordered_anew(self, clock, table):
-        case = Case(clock, table, born=100)
+    def test_is_reported_and_ordered_again(self, clock, table):
+        case = OrdererCase(clock, table, born=100)
         case.orderer.keep_lease(eager=True)
-        case.ask_for("m2")
+        case.request_model("m2")
         for _ in range(3):
-            case.round()
+            case.run_round()
         assert [order.model for order in case.targets.orders] == ["m2"]
         reports = case.targets.reports
 
-        again = make_target("t1", models=(), born=200)
-        case.directory.changed((Entry("t1", again),))
-        case.ask_for("m1")
+        restarted = make_target("t1", models=(), born=200)
+        case.directory.changed((Entry("t1", restarted),))
+        case.request_model("m1")
         for _ in range(3):
-            case.round()
+            case.run_round()
 
         assert case.targets.reports > reports
         assert [order.model for order in case.targets.orders][1:] == ["m1"]
         assert case.targets.orders[-1].after_orders == 0
 
 
-class TestRestored:
-    """The store comes back from an older copy."""
+class TestRestoredStore:
+    """The store is restored from an older copy."""
 
-    def test_the_word_of_one_that_resigned_before_is_not_the_last_holders(self, clock):
-        """Another has ordered since: targets are not ordered close to its orders."""
+    def test_resignation_of_earlier_holder_is_not_applied(self, clock):
+        """A later holder has ordered since, so its orders must be waited for."""
         memory = MemoryTable()
-        first = Case(clock, FaultyTable(memory), "n0")
+        first = OrdererCase(clock, FaultyTable(memory), "n0")
         first.orderer.keep_lease(eager=True)
         memory.copy()
-        last = Case(clock, FaultyTable(memory), "n2")
-        successor = Case(clock, FaultyTable(memory), "n1")
+        last = OrdererCase(clock, FaultyTable(memory), "n2")
+        successor = OrdererCase(clock, FaultyTable(memory), "n1")
         successor.orderer.take_in_resignation(first.orderer.stop())
         first.orderer.release()
         last.orderer.keep_lease(eager=True)
@@ -281,76 +281,78 @@
         clock.advance(TTL * 1.3)
         successor.orderer.keep_lease(eager=True)
         assert successor.orderer.holds_lease() is not None
-        successor.ask_for("m1")
+        successor.request_model("m1")
         for _ in range(3):
-            successor.round()
+            successor.run_round()
 
         assert successor.targets.orders == []
 
 
 class TestOwnTerms:
-    """A node that takes the lease again after itself."""
+    """A node that acquires the lease again after itself."""
 
-    def test_an_order_of_its_earlier_term_arrives_before_those_of_the_next(
+    def test_order_of_previous_term_arrives_before_those_of_next_term(
         self, clock, lines
     ):
         memory = MemoryTable()
         memory.copy()
         table = FaultyTable(memory)
         targets = SlowTargets("m0")
-        case = Case(clock, table, targets=targets)
+        case = OrdererCase(clock, table, targets=targets)
         case.orderer.keep_lease(eager=True)
-        case.ask_for("m1")
+        case.request_model("m1")
         for _ in range(3):
-            case.round()
+            case.run_round()
         assert targets.sent.acquire(timeout=ANSWER_WAIT)
         memory.restore()
         table.learn_era()
 
         case.orderer.keep_lease(eager=True)
         for _ in range(3):
-            case.ask_for("m1")
-            case.round()
+            case.request_model("m1")
+            case.run_round()
         targets.arrives.set()
         for _ in range(3):
-            case.ask_for("m1")
-            case.round()
+            case.request_model("m1")
+            case.run_round()
 
         fences = [order.fence for order in targets.orders]
         assert len(set(fences)) == 2
         assert fences == sorted(fences)
-        told = [line["fence"] for line in lines if line.get("message_type") == "order"]
-        assert told == fences
-
-    def test_one_that_starts_again_waits_for_the_holder_before_it(self, clock, table):
-        """Its earlier process did, and is not there to tell."""
-        taken_over(clock, table)
-
-        again = Case(clock, table, "n1")
-        again.orderer.keep_lease(eager=True)
-        assert again.orderer.holds_lease() is not None
-        again.ask_for("m1")
+        order_fences = [
+            line["fence"] for line in lines if line.get("message_type") == "order"
+        ]
+        assert order_fences == fences
+
+    def test_restarted_node_waits_for_holder_before_it(self, clock, table):
+        """The previous process of the node waited, and its state is lost."""
+        acquire_after_unresigned_holder(clock, table)
+
+        restarted = OrdererCase(clock, table, "n1")
+        restarted.orderer.keep_lease(eager=True)
+        assert restarted.orderer.holds_lease() is not None
+        restarted.request_model("m1")
         for _ in range(3):
-            again.round()
+            restarted.run_round()
 
-        assert again.targets.orders == []
+        assert restarted.targets.orders == []
 
-    def test_the_word_of_one_that_started_again_covers_its_earlier_orders(
+    def test_resignation_of_restarted_node_covers_orders_of_previous_process(
         self, clock, table
     ):
-        """Its earlier process ordered targets that it knows nothing of."""
-        first = Case(clock, table, "n0")
+        """The new process does not know which targets the previous one ordered."""
+        first = OrdererCase(clock, table, "n0")
         first.orderer.keep_lease(eager=True)
-        first.ask_for("m2")
+        first.request_model("m2")
         for _ in range(3):
-            first.round()
+            first.run_round()
         assert first.targets.orders
-        again = Case(clock, table, "n0")
-        again.orderer.keep_lease(eager=True)
-        assert again.orderer.holds_lease() is not None
-        resignation = again.orderer.stop()
-        again.orderer.release()
+        restarted = OrdererCase(clock, table, "n0")
+        restarted.orderer.keep_lease(eager=True)
+        assert restarted.orderer.holds_lease() is not None
+        resignation = restarted.orderer.stop()
+        restarted.orderer.release()
 
-        successor = succeed(clock, table, resignation)
+        successor = acquire_after_resignation(clock, table, resignation)
 
         assert successor.targets.orders == []
--- a/packages/runhatch-server/tests/test_orders_at_size.py
+++ b/packages/runhatch-server/tests/test_orders_at_size.py
@@ -1,13 +1,10 @@
-"""The node that orders many targets keeps its lease and hears of demand meanwhile.
-
-With 70 targets and 305 models the right to order them passed to and fro each three
-or four seconds, on a day on which no node failed; after each change no target was
-ordered for up to three seconds, and models that were asked for all day were never
-loaded.  The holder reached the store in 30 ms all the time.  It resigned since the
-look at its lease came too late: "lease", "change": "resigned", "epoch": 1,
-"left_ms": 678, "late_ms": 1291, where 300 ms lie between two looks; and then
-"epoch": 2, "left_ms": 0, "late_ms": 1980.  The look waited for the lock that a round
-of orders holds, and that each message of demand took as well, some hundred a second.
+"""Test that an orderer of many targets renews its lease and receives demand.
+
+With 70 targets and 305 models the lease changed its holder every three or four seconds
+although the holder reached the store in 30 ms. The check of the lease waited for the
+lock of a round, which each demand message took as well, and came up to 1980 ms late
+instead of every 300 ms. After each change targets received no orders for up to three
+seconds.
 """
 
 import random
@@ -15,7 +12,7 @@
 
 import pytest
 from gateway_cases import make_target, seconds
-from orderer_cases import Case
+from orderer_cases import OrdererCase
 
 from runhatch_coordination.testing import MemoryTable
 from runhatch_server.fleet import HeldModels, StoredCopies
@@ -52,96 +49,96 @@
     kv_tokens=130_000,
     loads_per_second=20.0,
 )
-WAIT = 2.0
-"""Seconds after which a call that waits for a round is given up."""
+BLOCKED_AFTER = 2.0
+"""Seconds after which a call that waits for a round counts as blocked."""
 
 
 class LongRound:
-    """A holder of the lease whose round does not end before it is told to."""
+    """A holder of the lease whose round ends only when the context is left."""
 
     def __init__(self, clock):
-        self.case = Case(clock, MemoryTable(), models=("m0",))
+        self.case = OrdererCase(clock, MemoryTable(), models=("m0",))
         self.case.orderer.keep_lease(eager=True)
-        self.case.round()
-        self._entered, self._may_end = threading.Event(), threading.Event()
-        self.case.on_tell = self._hold
+        self.case.run_round()
+        self._round_started, self._round_may_end = threading.Event(), threading.Event()
+        self.case.on_publish = self._hold
         for _ in range(4):
-            # What targets hold is told again after some seconds.
+            # All holdings are published again after some seconds.
             clock.advance(seconds(1))
             self.case.orderer.keep_lease(eager=True)
         self._thread = threading.Thread(target=self.case.orderer.step)
 
     def __enter__(self):
         self._thread.start()
-        assert self._entered.wait(WAIT)
+        assert self._round_started.wait(BLOCKED_AFTER)
         return self.case
 
     def __exit__(self, *failure):
-        self._may_end.set()
-        self._thread.join(WAIT)
+        self._round_may_end.set()
+        self._thread.join(BLOCKED_AFTER)
 
     def _hold(self):
-        self._entered.set()
-        self._may_end.wait(WAIT * 3)
+        self._round_started.set()
+        self._round_may_end.wait(BLOCKED_AFTER * 3)
 
 
-def ends_at_once(work):
-    """Tell whether ``work`` ends while a round goes on."""
+def ends_during_round(work):
+    """Return whether ``work`` ends while a round is in progress."""
     thread = threading.Thread(target=work, daemon=True)
     thread.start()
-    thread.join(WAIT)
+    thread.join(BLOCKED_AFTER)
     return not thread.is_alive()
 
 
 class TestLongRounds:
-    """What else the holder has to do while one of its rounds takes long."""
+    """Other tasks of the holder while one of its rounds takes long."""
 
-    def test_the_lease_is_renewed(self, clock):
+    def test_lease_is_renewed(self, clock):
         with LongRound(clock) as case:
             clock.advance(seconds(1))
 
-            assert ends_at_once(lambda: case.orderer.keep_lease(eager=True))
-            assert ends_at_once(case.orderer.resign_if_cut_off)
+            assert ends_during_round(lambda: case.orderer.keep_lease(eager=True))
+            assert ends_during_round(case.orderer.resign_if_cut_off)
             assert case.orderer.holds_lease() is not None
 
-    def test_demand_is_taken_in(self, clock):
+    def test_demand_is_queued(self, clock):
         with LongRound(clock) as case:
-            assert ends_at_once(lambda: case.ask_for("m1"))
+            assert ends_during_round(lambda: case.request_model("m1"))
 
-        case.round()
-        case.round()
+        case.run_round()
+        case.run_round()
 
         assert [order.model for order in case.targets.orders] == ["m1"]
 
-    def test_the_last_word_of_another_holder_is_taken_in(self, clock):
-        other = Case(clock, MemoryTable(), "n9")
+    def test_resignation_of_another_holder_is_recorded(self, clock):
+        other = OrdererCase(clock, MemoryTable(), "n9")
         other.orderer.keep_lease(eager=True)
         resignation = other.orderer.stop()
 
         with LongRound(clock) as case:
-            take_in = case.orderer.take_in_resignation
-            assert ends_at_once(lambda: take_in(resignation))
+            apply_resignation = case.orderer.take_in_resignation
+            assert ends_during_round(lambda: apply_resignation(resignation))
 
 
-class TestRest:
-    """The pause that leaves the processor to the holder's callers and its lease."""
+class TestPause:
+    """The pause after a round, which leaves processor time for other tasks."""
 
     @pytest.mark.parametrize(
-        ("took", "rest"),
+        ("duration", "pause"),
         [(0.0, 0.0), (0.02, 0.02 * REST_FACTOR), (3.0, MOST_REST.total_seconds())],
     )
-    def test_it_goes_by_how_long_the_round_took(self, clock, took, rest):
-        case = Case(clock, MemoryTable())
+    def test_is_proportional_to_round_up_to_maximum(self, clock, duration, pause):
+        case = OrdererCase(clock, MemoryTable())
         case.orderer.keep_lease(eager=True)
-        case.on_tell = lambda: clock.advance(seconds(took))
+        case.on_publish = lambda: clock.advance(seconds(duration))
 
-        case.round()
+        case.run_round()
 
-        assert case.orderer.rest == seconds(rest)
+        assert case.orderer.rest == seconds(pause)
 
 
 class CountingBook(DemandBook):
-    """Demand that counts how often it is looked up."""
+    """Demand that counts its lookups."""
 
     def __init__(self):
         super().__init__()
@@ -158,11 +155,11 @@
 
 @pytest.fixture(scope="module")
 def moved_demand():
-    """Targets of a large deployment, and demand half of which has just moved."""
-    chance = random.Random(7)
+    """Return targets of a large deployment, and demand half of which has just moved."""
+    rng = random.Random(7)
     controls = []
     for index in range(TARGETS):
-        copies = [f"m{each}" for each in chance.sample(range(MODELS), COPIES_EACH)]
+        copies = [f"m{each}" for each in rng.sample(range(MODELS), COPIES_EACH)]
         held = HeldModels({name: frozenset() for name in copies[:HELD_EACH]})
         control = TargetControl(make_target(f"t{index}", models=copies[:HELD_EACH]))
         stored = StoredCopies(on_disk=frozenset(copies))
@@ -180,9 +177,9 @@
 
 
 class TestRoundsAtSize:
-    """What a plan costs that weighs all targets for each model that is missed."""
+    """Cost of a plan that weighs all targets for each missed model."""
 
-    def test_demand_is_looked_up_once_for_each_model_and_adapter(self, moved_demand):
+    def test_demand_is_looked_up_once_per_model_and_adapter(self, moved_demand):
         controls, book = moved_demand
         book.lookups = 0
 
--- a/packages/runhatch-server/tests/test_places.py
+++ b/packages/runhatch-server/tests/test_places.py
@@ -1,4 +1,4 @@
-"""The best place for a model is that of weighing all targets, though few are."""
+"""Test that the best place equals that of weighing all targets, but weighs few."""
 
 import random
 
@@ -28,7 +28,7 @@
     """A random fleet: some targets busy, some with copies, demand that has moved."""
 
     def __init__(self, seed):
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.engine = EngineSpec(
             models=tuple(self._model(index) for index in range(24)),
             slots=8,
@@ -41,51 +41,51 @@
         self.view = FleetView("engine", self.engine, self.controls, self._demand(), NOW)
 
     def _model(self, index):
-        loads = LoadTimes(*(seconds(self.chance.uniform(*s)) for s in LOAD_SECONDS))
-        memory_mb = self.chance.uniform(40.0, 90.0)
+        loads = LoadTimes(*(seconds(self.rng.uniform(*s)) for s in LOAD_SECONDS))
+        memory_mb = self.rng.uniform(40.0, 90.0)
         return EngineModel(f"m{index}", memory_mb, loads, 2, 1.0)
 
     def _control(self, index):
         names = [model.name for model in self.engine.models]
-        copies = self.chance.sample(names, 5)
+        copies = self.rng.sample(names, 5)
         held = HeldModels({name: frozenset() for name in copies[:2]})
         control = TargetControl(make_target(f"t{index}", models=copies[:2]))
         stored = StoredCopies(on_disk=frozenset(copies))
         report = TargetReport(0, held, False, frozenset(), stored, 0, 0)
         control.reported(report, seconds(0))
-        if self.chance.random() < 0.3:
+        if self.rng.random() < 0.3:
             control.step = Step.LOADING
-            control.loading = self.chance.choice(names)
-            control.ready_at = NOW + seconds(self.chance.uniform(0, 9))
+            control.loading = self.rng.choice(names)
+            control.ready_at = NOW + seconds(self.rng.uniform(0, 9))
         return control
 
     def _demand(self):
         book = DemandBook()
         for model in self.engine.models:
-            priority = self.chance.randrange(3)
-            adapter = self.chance.choice(("", "", "a1"))
+            priority = self.rng.randrange(3)
+            adapter = self.rng.choice(("", "", "a1"))
             wanted = Wanted("engine", model.name, adapter, priority, GOALS[priority])
-            missed = self.chance.choice((0, 0, 1, 4))
-            since = seconds(self.chance.choice((0, 0, 40)))
-            for age in range(self.chance.randrange(6)):
-                share = DemandShare(wanted, 2, 0, 200.0, since)
+            missed = self.rng.choice((0, 0, 1, 4))
+            missed_for = seconds(self.rng.choice((0, 0, 40)))
+            for age in range(self.rng.randrange(6)):
+                share = DemandShare(wanted, 2, 0, 200.0, missed_for)
                 book.add("n1", share, NOW - seconds(5 - age))
-            share = DemandShare(wanted, missed, missed, missed * 100.0, since)
+            share = DemandShare(wanted, missed, missed, missed * 100.0, missed_for)
             book.add("n1", share, NOW)
             book.missed_before(share, NOW)
         return book
 
 
 LOAD_SECONDS = ((6, 9), (1, 3), (0.5, 1))
-"""Bounds of the time for a load: from the weight store, a disk, memory."""
+"""Bounds of load times in seconds: from the weight store, a disk, memory."""
 
 
-def weighed_all(draft, need):
-    """Return the best place as found by looking at each target."""
+def best_of_all_places(draft, need):
+    """Return the best place, found by weighing every target."""
     places = [
         place
-        for site in draft.open_sites
-        if (place := draft.place(site, need)) is not None
+        for candidate in draft.open_sites
+        if (place := draft.place(candidate, need)) is not None
     ]
     return min(
         places,
@@ -95,32 +95,32 @@
 
 
 @pytest.mark.parametrize("seed", range(FLEETS))
-def test_the_best_place_is_that_of_weighing_all(seed):
+def test_best_place_equals_that_of_weighing_all(seed):
     fleet = Fleet(seed)
     needs = find_needs(fleet.view)
     draft = Draft(fleet.view, needs)
-    found = 0
+    placed = 0
     for need in needs:
         best = draft.best_place(need)
-        assert best == weighed_all(draft, need)
+        assert best == best_of_all_places(draft, need)
         if best is not None:
-            found += 1
+            placed += 1
             draft.take(best)
-    assert found
+    assert placed
 
 
-def test_most_targets_are_not_looked_at():
+def test_most_targets_are_not_weighed():
     fleet = Fleet(1)
     weighed = []
     needs = find_needs(fleet.view)
     draft = Draft(fleet.view, needs)
     place = draft.place
 
-    def counted(site, need) -> Place | None:
-        weighed.append(site)
-        return place(site, need)
+    def count_and_place(candidate, need) -> Place | None:
+        weighed.append(candidate)
+        return place(candidate, need)
 
-    draft.place = counted
+    draft.place = count_and_place
     for need in needs:
         draft.best_place(need)
 
--- a/packages/runhatch-server/tests/test_sending.py
+++ b/packages/runhatch-server/tests/test_sending.py
@@ -1,4 +1,4 @@
-"""Orders on their way: what a resignation at any moment says of them."""
+"""Test what a resignation contains while orders are in flight."""
 
 import threading
 
@@ -15,11 +15,11 @@
 
 EPOCH = Epoch(3, Check(Key("epoch", "orders"), 3))
 ANSWER_WAIT = 5.0
-"""Seconds that a test waits for a worker, which is due within some milliseconds."""
+"""Seconds for which a test waits for a worker, due within some milliseconds."""
 
 
-class RecordedClient:
-    """Takes every order."""
+class RecordingClient:
+    """Accepts and records every order."""
 
     def __init__(self):
         self.given = []
@@ -46,13 +46,13 @@
 @pytest.mark.parametrize(
     ("held", "given"), [(EPOCH, 1), (None, 0)], ids=["held", "lapsed"]
 )
-def test_an_order_is_named_from_before_the_lease_is_looked_at(clock, held, given):
-    """Whoever gives the lease up just then names the target to its successor."""
-    times, client, ended = OrderTimes(seconds(3)), RecordedClient(), threading.Event()
-    told = []
+def test_order_counts_as_in_flight_before_lease_is_checked(clock, held, given):
+    """A resignation just before the check of the lease must name the target."""
+    times, client, ended = OrderTimes(seconds(3)), RecordingClient(), threading.Event()
+    resignations = []
 
     def held_epoch():
-        told.append(times.resignation(3, clock.elapsed()))
+        resignations.append(times.resignation(3, clock.elapsed()))
         return held
 
     sender = make_sender(clock, client, times, ended, held_epoch)
@@ -60,18 +60,18 @@
     sender.send(TargetControl(make_target("t1")), OrderKind.LOAD, "m1", "", EPOCH)
 
     assert ended.wait(ANSWER_WAIT)
-    assert [list(resignation.waits) for resignation in told] == [["t1"]]
+    assert [list(resignation.waits) for resignation in resignations] == [["t1"]]
     assert len(client.given) == given
     assert bool(times.resignation(3, clock.elapsed()).waits) is bool(given)
 
 
 @pytest.mark.parametrize(
-    ("outcome", "on_way"),
+    ("outcome", "delay"),
     [(OrderOutcome.ACCEPTED, seconds(0)), (OrderOutcome.UNKNOWN, ORDER_ARRIVES)],
 )
-def test_an_order_without_an_answer_may_still_arrive(clock, outcome, on_way):
-    """A target that accepts connections late reads it after its sender has given up."""
-    times, client, ended = OrderTimes(seconds(3)), RecordedClient(), threading.Event()
+def test_order_without_answer_may_still_arrive(clock, outcome, delay):
+    """A target that accepts connections late reads it after its sender's timeout."""
+    times, client, ended = OrderTimes(seconds(3)), RecordingClient(), threading.Event()
     client.outcome = outcome
     sender = make_sender(clock, client, times, ended, lambda: EPOCH)
 
@@ -79,4 +79,4 @@
 
     assert ended.wait(ANSWER_WAIT)
     wait = times.resignation(3, clock.elapsed()).waits["t1"]
-    assert wait == seconds(3) + HANDOVER_SLACK + on_way
+    assert wait == seconds(3) + HANDOVER_SLACK + delay
--- a/packages/runhatch-server/tests/test_target_control.py
+++ b/packages/runhatch-server/tests/test_target_control.py
@@ -1,4 +1,4 @@
-"""One target under the orderer: memory stays safe with late orders and reports."""
+"""Test that memory of a target stays safe with late orders and reports."""
 
 import pytest
 from gateway_cases import ENGINE, make_target, seconds
@@ -24,47 +24,50 @@
 LOAD_TIME = seconds(2)
 
 
-def order(kind, model, after, adapter=""):
+def make_order(kind, model, after, adapter=""):
     return TargetOrder(kind, model, adapter, after, "n1", 1)
 
 
-def report(orders, models=(), busy=False, coming=()):
+def make_report(orders, models=(), busy=False, coming=()):
     held = {model: frozenset() for model in models}
     return TargetReport(
         orders, HeldModels(held), busy, frozenset(coming), StoredCopies(), 0, 0
     )
 
 
-def settled(*models, orders=0):
+def make_reported_control(*models, orders=0):
     control = TargetControl(make_target(models=models))
-    control.reported(report(orders, models), seconds(0))
+    control.reported(make_report(orders, models), seconds(0))
     return control
 
 
 class TestSteps:
-    """What is known after each answer."""
+    """State of a control after each answer."""
 
-    def test_nothing_may_be_ordered_before_a_first_report(self):
+    def test_is_not_free_before_first_report(self):
         assert not TargetControl(make_target()).is_free
 
-    def test_a_load_that_was_taken_is_held_once_reported(self):
-        control = settled("m0")
+    def test_loaded_model_is_held_once_reported(self):
+        control = make_reported_control("m0")
         control.ordered(
-            order(OrderKind.LOAD, "m1", 0), OrderOutcome.ACCEPTED, LOAD_TIME, seconds(1)
+            make_order(OrderKind.LOAD, "m1", 0),
+            OrderOutcome.ACCEPTED,
+            LOAD_TIME,
+            seconds(1),
         )
         assert control.step is Step.LOADING
         assert not control.holds("m1")
 
-        control.reported(report(1, ["m0", "m1"]), seconds(4))
+        control.reported(make_report(1, ["m0", "m1"]), seconds(4))
 
         assert control.is_free
         assert control.holds("m1")
 
-    def test_an_unloaded_model_is_not_asked_for_and_its_memory_not_free(self):
-        control = settled("m0", "m1", "m2")
+    def test_unloaded_model_is_not_held_but_keeps_its_memory_until_reported(self):
+        control = make_reported_control("m0", "m1", "m2")
         before = control.used_mb(ENGINE)
         control.ordered(
-            order(OrderKind.UNLOAD, "m1", 0),
+            make_order(OrderKind.UNLOAD, "m1", 0),
             OrderOutcome.ACCEPTED,
             LOAD_TIME,
             seconds(1),
@@ -72,7 +75,7 @@
 
         assert not control.holds("m1")
         assert control.used_mb(ENGINE) == before
-        control.reported(report(1, ["m0", "m2"]), seconds(2))
+        control.reported(make_report(1, ["m0", "m2"]), seconds(2))
         assert control.used_mb(ENGINE) < before
 
     @pytest.mark.parametrize(
@@ -86,25 +89,27 @@
             OrderOutcome.GONE,
         ],
     )
-    def test_any_other_outcome_waits_for_a_report(self, outcome):
-        control = settled("m0")
-        control.ordered(order(OrderKind.LOAD, "m1", 0), outcome, LOAD_TIME, seconds(1))
+    def test_other_outcomes_wait_for_a_report(self, outcome):
+        control = make_reported_control("m0")
+        control.ordered(
+            make_order(OrderKind.LOAD, "m1", 0), outcome, LOAD_TIME, seconds(1)
+        )
 
         assert control.step is Step.DOUBT
-        control.reported(report(0, ["m0"]), seconds(2))
+        control.reported(make_report(0, ["m0"]), seconds(2))
         assert control.is_free
 
-    def test_an_old_report_changes_nothing(self):
-        control = settled("m0", orders=3)
+    def test_old_report_is_ignored(self):
+        control = make_reported_control("m0", orders=3)
 
-        control.reported(report(2, ["m0", "m1"]), seconds(2))
+        control.reported(make_report(2, ["m0", "m1"]), seconds(2))
 
         assert not control.holds("m1")
 
-    def test_an_adapter_is_told_of_once_it_is_loaded(self):
-        control = settled("m0")
+    def test_adapter_is_visible_once_loaded(self):
+        control = make_reported_control("m0")
         control.ordered(
-            order(OrderKind.LOAD, "m0", 0, "a1"),
+            make_order(OrderKind.LOAD, "m0", 0, "a1"),
             OrderOutcome.ACCEPTED,
             LOAD_TIME,
             seconds(1),
@@ -117,10 +122,10 @@
         assert control.is_free
 
 
-class Engine(RuleBasedStateMachine):
-    """A target that carries orders out late, against a control that plans for it.
+class EngineMachine(RuleBasedStateMachine):
+    """Simulates a target that carries orders out late, driven through its control.
 
-    Answers are lost at will, and lost orders may arrive at any later time.
+    Answers may be lost, and lost orders may arrive at any later time.
     """
 
     def __init__(self):
@@ -133,28 +138,28 @@
 
     @initialize()
     def first_report(self):
-        self.control.reported(self.report(), seconds(self.now))
+        self.control.reported(self.make_report(), seconds(self.now))
 
-    def report(self):
-        return report(self.orders, sorted(self.models))
+    def make_report(self):
+        return make_report(self.orders, sorted(self.models))
 
-    def carry_out(self, late):
-        if late.after_orders != self.orders:
+    def carry_out(self, late_order):
+        if late_order.after_orders != self.orders:
             return OrderOutcome.CONFLICT
         self.orders += 1
-        if late.kind is OrderKind.LOAD:
-            self.models.add(late.model)
+        if late_order.kind is OrderKind.LOAD:
+            self.models.add(late_order.model)
         else:
-            self.models.discard(late.model)
+            self.models.discard(late_order.model)
         return OrderOutcome.ACCEPTED
 
-    def send(self, sent, lost):
+    def send(self, sent_order, lost):
         if lost:
-            self.late.append(sent)
+            self.late.append(sent_order)
             outcome = OrderOutcome.UNKNOWN
         else:
-            outcome = self.carry_out(sent)
-        self.control.ordered(sent, outcome, LOAD_TIME, seconds(self.now))
+            outcome = self.carry_out(sent_order)
+        self.control.ordered(sent_order, outcome, LOAD_TIME, seconds(self.now))
 
     @precondition(lambda self: self.control.is_free)
     @rule(number=st.integers(0, 7), lost=st.booleans())
@@ -163,19 +168,19 @@
         used = self.control.used_mb(ENGINE)
         fits = used + model.memory_mb <= ENGINE.memory_mb
         if model.name not in self.control.held and fits:
-            self.send(order(OrderKind.LOAD, model.name, self.control.orders), lost)
+            self.send(make_order(OrderKind.LOAD, model.name, self.control.orders), lost)
 
     @precondition(lambda self: self.control.is_free and self.control.held)
     @rule(lost=st.booleans())
     def unload(self, lost):
         model = min(self.control.held)
-        self.send(order(OrderKind.UNLOAD, model, self.control.orders), lost)
+        self.send(make_order(OrderKind.UNLOAD, model, self.control.orders), lost)
 
     @precondition(lambda self: self.control.step is not Step.IDLE)
     @rule()
     def ask(self):
         self.now += 1
-        self.control.reported(self.report(), seconds(self.now))
+        self.control.reported(self.make_report(), seconds(self.now))
 
     @precondition(lambda self: bool(self.late))
     @rule()
@@ -188,14 +193,14 @@
         assert used <= ENGINE.memory_mb
 
 
-TestEngine = Engine.TestCase
+TestEngine = EngineMachine.TestCase
 TestEngine.settings = settings(max_examples=150, stateful_step_count=30, deadline=None)
 
 
-class TestStartedAgain:
-    """A target that has started again under its name."""
+class TestRestartedTarget:
+    """A target that has restarted under the same name."""
 
-    def report(self, born):
+    def make_report(self, born):
         started = make_target(born=born).started_at
         held = HeldModels({"m1": frozenset()})
         copies = StoredCopies()
@@ -203,24 +208,27 @@
             0, held, False, frozenset(), copies, 0, 0, started_at=started
         )
 
-    def test_holds_nothing_of_before_and_gets_no_order(self):
+    def test_holds_no_previous_models_and_is_not_free(self):
         control = TargetControl(make_target(models=["m0"], born=100))
-        control.reported(self.report(100), seconds(0))
+        control.reported(self.make_report(100), seconds(0))
         assert control.holds("m1")
 
-        control.reported(self.report(200), seconds(1))
+        control.reported(self.make_report(200), seconds(1))
 
         assert control.held == {}
         assert control.changed
         assert not control.is_free
 
     @pytest.mark.parametrize(
-        ("known", "told"), [(100, 100), (100, None), (None, 100), (None, None)]
+        ("listed_at", "reported_at"),
+        [(100, 100), (100, None), (None, 100), (None, None)],
     )
-    def test_one_that_has_not_is_believed(self, known, told):
-        control = TargetControl(make_target(models=["m0"], born=known))
+    def test_report_of_same_or_unknown_incarnation_is_applied(
+        self, listed_at, reported_at
+    ):
+        control = TargetControl(make_target(models=["m0"], born=listed_at))
 
-        control.reported(self.report(told), seconds(0))
+        control.reported(self.make_report(reported_at), seconds(0))
 
         assert control.holds("m1")
         assert control.is_free
