--- a/packages/runhatch-server/src/runhatch_server/residency/_copies.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_copies.py
@@ -94,8 +94,8 @@
         return restoring + planned
 
     def _is_idle(self, view: FleetView) -> bool:
-        asked_at = view.demand.asked_at(view.service)
-        if asked_at is not None and view.now - asked_at < QUIET:
+        last_request_at = view.demand.asked_at(view.service)
+        if last_request_at is not None and view.now - last_request_at < QUIET:
             return False
         unknown = any(control.step is Step.UNKNOWN for control in view.controls)
         return view.now >= self._settled_at and not unknown
--- a/packages/runhatch-server/src/runhatch_server/residency/_demand_inbox.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_demand_inbox.py
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DemandNews:
-    """Demand that ``node`` received within ``age`` of ``at``, when it was sent."""
+    """Demand that ``node`` received within ``age`` of ``at``, the time of arrival."""
 
     node: str
     shares: tuple[DemandShare, ...]
--- a/packages/runhatch-server/src/runhatch_server/residency/_orderer.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_orderer.py
@@ -62,7 +62,7 @@
 
     epoch: int = 0
     takeover: Takeover | None = None
-    gave_up: bool = False
+    is_resigned: bool = False
 
 
 NO_TERM = _Term()
@@ -163,7 +163,7 @@
         """Renew, acquire or watch the lease, whichever is due."""
         if self._stopped:
             return LeaseChange.NONE
-        begun, left = self._clock.elapsed(), self._lease.left()
+        started_at, left = self._clock.elapsed(), self._lease.left()
         change = self._lease.step(eager)
         takeover = None
         if change is LeaseChange.ACQUIRED:
@@ -173,7 +173,7 @@
             change,
             self._term.epoch,
             left,
-            begun,
+            started_at,
             self._clock.elapsed(),
             self._newest_epoch(),
             takeover,
@@ -187,9 +187,9 @@
         """
         with self._lock:
             term, left = self._term, self._lease.left()
-            if not term.epoch or term.gave_up or left > RESIGN_BEFORE:
+            if not term.epoch or term.is_resigned or left > RESIGN_BEFORE:
                 return None
-            self._term = replace(term, gave_up=True)
+            self._term = replace(term, is_resigned=True)
             self._lease.abandon()
         now = self._clock.elapsed()
         self._lease_log.resigned(term.epoch, left, now)
@@ -220,7 +220,7 @@
         self._calls.close()
         with self._lock:
             term, self._term = self._term, NO_TERM
-        if not term.epoch or term.gave_up:
+        if not term.epoch or term.is_resigned:
             return None
         return self._times.resignation(term.epoch, self._clock.elapsed())
 
@@ -245,19 +245,19 @@
         instead of being refused until the next orders.
         """
         with self._round_lock:
-            begun = self._clock.elapsed()
+            started_at = self._clock.elapsed()
             self._inbox.empty_into(self._demand)
             self._adopt_term()
             if self._is_term_over():
                 self._end_term()
             elif self._round_term.epoch:
                 self._run_round()
-                self._record_round(begun)
+                self._record_round(started_at)
 
-    def _record_round(self, begun: timedelta) -> None:
+    def _record_round(self, started_at: timedelta) -> None:
         ended = self._clock.elapsed()
-        self._pause = min((ended - begun) * REST_FACTOR, MOST_REST)
-        self._round_log.round(begun, ended, len(self._controls), self._inbox)
+        self._pause = min((ended - started_at) * REST_FACTOR, MOST_REST)
+        self._round_log.round(started_at, ended, len(self._controls), self._inbox)
 
     def _adopt_term(self) -> None:
         """Reset the state of rounds if the lease was acquired since the last round."""
--- a/packages/runhatch-server/src/runhatch_server/residency/_places.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_places.py
@@ -79,7 +79,7 @@
     value: float
     model: str
     memory_mb: float
-    is_last_asked: bool
+    is_only_replica_in_demand: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -104,7 +104,7 @@
     """
 
     def __init__(
-        self, view: FleetView, control: TargetControl, lower_bound: LeastLoad
+        self, view: FleetView, control: TargetControl, least: LeastLoad
     ) -> None:
         self.control = control
         self.name = control.target.incarnation
@@ -128,7 +128,7 @@
             ),
             key=lambda candidate: (candidate.value, candidate.model),
         )
-        self._lower_bound = lower_bound
+        self._lower_bound = least
 
     def victims(
         self, memory_mb: float, replica: bool
@@ -143,7 +143,7 @@
         for candidate in self._eviction_candidates:
             if lacking <= 0:
                 break
-            if replica and candidate.is_last_asked:
+            if replica and candidate.is_only_replica_in_demand:
                 continue
             victims.append(candidate.model)
             lost += candidate.value
@@ -161,9 +161,9 @@
 
     def cost(self, model: str, lost: float, seconds: float) -> float:
         """Return the cost of a load that takes ``seconds`` and loses ``lost``."""
-        loss = lost * max(1.0, seconds / HORIZON_SECONDS) * HYSTERESIS
+        weighted_loss = lost * max(1.0, seconds / HORIZON_SECONDS) * HYSTERESIS
         second_price = self.second_price - self._delayed_rates.get(model, 0.0)
-        return loss + seconds * second_price
+        return weighted_loss + seconds * second_price
 
     @cached_property
     def least_cost(self) -> float:
--- a/packages/runhatch-server/src/runhatch_server/residency/_sending.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_sending.py
@@ -70,12 +70,12 @@
         if epoch is None or epoch.number != order.fence:
             self._times.unsent(target.name, order.fence)
             return None
-        begun = self._clock.elapsed()
+        started_at = self._clock.elapsed()
         outcome = self._client.give(target, order)
         ended = self._clock.elapsed()
         max_delay = ORDER_ARRIVES if outcome is OrderOutcome.UNKNOWN else timedelta()
         self._times.sent(target.name, order.fence, ended + max_delay)
-        seconds = (ended - begun).total_seconds()
+        seconds = (ended - started_at).total_seconds()
         self._metrics.order_seconds.labels(order.kind.value).observe(seconds)
         return outcome
 
--- a/packages/runhatch-server/tests/test_orderer.py
+++ b/packages/runhatch-server/tests/test_orderer.py
@@ -240,7 +240,7 @@
 class TestRestartedTarget:
     """A target that restarts under the same name while a node orders it."""
 
-    def test_is_reported_and_ordered_again(self, clock, table):
+    def test_report_is_requested_and_target_is_ordered_again(self, clock, table):
         case = OrdererCase(clock, table, born=100)
         case.orderer.keep_lease(eager=True)
         case.request_model("m2")
