--- a/packages/runhatch-server/src/runhatch_server/residency/_adapter_policy.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_adapter_policy.py
@@ -96,7 +96,7 @@
 
 def _adapters_to_load(view: FleetView) -> Iterable[tuple[str, str]]:
     """Return the adapters to load, those with most demand first."""
-    wanted: list[tuple[float, str, str]] = []
+    ranked: list[tuple[float, str, str]] = []
     for model, adapter in view.demand.adapters(view.service):
         holders = view.holders(model)
         demand = view.adapter_demand(model, adapter)
@@ -108,9 +108,9 @@
         if (not holding and (waiting > 0 or demand.rate > WORTH_KEEPING_RATE)) or (
             holding and holding < replicas
         ):
-            wanted.append((waiting + demand.weighted, model, adapter))
-    wanted.sort(reverse=True)
-    return [(model, adapter) for _, model, adapter in wanted]
+            ranked.append((waiting + demand.weighted, model, adapter))
+    ranked.sort(reverse=True)
+    return [(model, adapter) for _, model, adapter in ranked]
 
 
 def _best_adapter_load(
@@ -118,7 +118,8 @@
 ) -> LoadAdapter | None:
     """Return the best load of ``adapter`` on a holder of ``model``.
 
-    Holders with a free adapter slot are preferred."""
+    Holders with a free adapter slot are preferred.
+    """
     candidates: list[tuple[float, LoadAdapter]] = []
     gain = _adapter_gain(view, model, adapter)
     for control in view.holders(model):
--- a/packages/runhatch-server/src/runhatch_server/residency/_needs.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_needs.py
@@ -18,13 +18,13 @@
 """Expected duration of demand after only a few requests, which do not show lasting
 demand."""
 MISSED_SECOND_VALUE = 0.25
-"""Gain per second, in weighted requests, for which requests have missed a model. A load
-from the weight store costs 3.3 or more, which requests that come once in ten seconds
-never gain, so that such models were never loaded. A load that evicts little starts
-within about ten seconds."""
+"""Gain, in weighted requests, for each second for which requests have missed a model. A
+load from the weight store costs 3.3 or more, which requests that come once in ten
+seconds never gain, so that such models were never loaded. A load that evicts little
+starts within about ten seconds."""
 MISSED_FOR_LONG = timedelta(seconds=30)
-"""Time after which each second counts twice, and so on: the last route to a model must
-not wait as long as busy models have demand."""
+"""Time after which each missed second counts twice, and so on, so that a rarely
+requested model is loaded even while busy models have high values."""
 MUCH_SOONER = timedelta(seconds=2)
 """A load in progress is ignored if another would end this much sooner, for example
 because a target with a copy on disk has come back."""
@@ -35,8 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Need:
-    """A model to load, the weighted requests that wait for it, and their rate per
-    second."""
+    """A model to load, the weighted requests waiting, and their rate per second."""
 
     model: EngineModel
     waiting: float
--- a/packages/runhatch-server/src/runhatch_server/residency/_orderer.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_orderer.py
@@ -275,7 +275,7 @@
         self._publisher.begin()
 
     def _is_term_over(self) -> bool:
-        """Return whether this node stopped or another holds a newer epoch."""
+        """Return whether this node stopped or another node took over."""
         if not self._round_term.epoch or self.holds_lease() is not None:
             return False
         return self._stopped or self._newest_epoch() > self._round_term.epoch
@@ -295,7 +295,7 @@
         self._publisher.tell(self._round_term.epoch, self._controls, now)
 
     def _start_term(self) -> None:
-        """Start a new term, which waits for the orders of the last holder."""
+        """Start a new term, in which orders wait for those of the last holder."""
         epoch, takeover = self._lease.held(), self._lease.takeover
         with self._lock:
             if takeover is not None and takeover.vacancy is Vacancy.OWN:
--- a/packages/runhatch-server/src/runhatch_server/residency/_places.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_places.py
@@ -58,7 +58,7 @@
 
     @property
     def is_worth_it(self) -> bool:
-        """Whether the gain exceeds the loss."""
+        """Whether the gain, with ``owed``, exceeds the loss."""
         return self.won > 0.0 and self.lost < self.won + self.owed
 
     @property
--- a/packages/runhatch-server/tests/test_copies.py
+++ b/packages/runhatch-server/tests/test_copies.py
@@ -45,11 +45,11 @@
     return target_control
 
 
-def planned_copies(*controls, asked_ago=None, model="m0", settled=SETTLED):
+def planned_copies(*controls, last_request_ago=None, model="m0", settled=SETTLED):
     book = DemandBook()
-    if asked_ago is not None:
+    if last_request_ago is not None:
         share = DemandShare(Wanted("engine", model, "", 1), 5, 0, 100.0)
-        book.add("n1", share, NOW - asked_ago)
+        book.add("n1", share, NOW - last_request_ago)
     planner = CopyPlanner(NOW - settled)
     return as_tuples(planner, FleetView("engine", PLAIN, controls, book, NOW))
 
@@ -77,11 +77,14 @@
         assert planned_copies(make_control("t1", ["m0"], on_disk=ALL)) == []
 
     @pytest.mark.parametrize(
-        ("asked_ago", "count"),
+        ("last_request_ago", "count"),
         [(seconds(0), 0), (QUIET / 2, 0), (seconds(30), 1)],
     )
-    def test_none_is_created_while_requests_arrive(self, asked_ago, count):
-        assert len(planned_copies(*make_two_targets(), asked_ago=asked_ago)) == count
+    def test_none_is_created_while_requests_arrive(self, last_request_ago, count):
+        assert (
+            len(planned_copies(*make_two_targets(), last_request_ago=last_request_ago))
+            == count
+        )
 
     def test_none_is_created_until_all_targets_are_known(self):
         unknown = make_control("t3", ["m7"], reported=False)
@@ -111,7 +114,9 @@
         assert planned_copies(*controls)[0] == ("m7", "t1", ("m2",))
 
     def test_recently_requested_model_is_not_evicted(self):
-        planned = planned_copies(*make_two_targets(), asked_ago=QUIET, model="m0")
+        planned = planned_copies(
+            *make_two_targets(), last_request_ago=QUIET, model="m0"
+        )
 
         assert planned == [("m7", "t1", ("m2",))]
 
@@ -153,7 +158,7 @@
         assert planner.plan(soon) == []
         assert [each.model for each in planner.plan(later)] == ["m6"]
 
-    def test_prefers_target_without_only_copies(self):
+    def test_prefers_target_whose_copies_exist_elsewhere(self):
         """A full disk drops its oldest copy, which must not be the only one."""
         controls = [
             make_control("t1", ["m0", "m1", "m2"], on_disk=["m6"]),
@@ -179,7 +184,7 @@
 class TestRestoringEvictedModels:
     """Models evicted for a copy, which most callers use, are loaded again."""
 
-    def after_a_copy(self, held, on_disk=("m0",)):
+    def make_copied_targets(self, held, on_disk=("m0",)):
         """Return the planner and the targets after m7 was copied to t1."""
         planner = CopyPlanner(NOW - SETTLED)
         view = FleetView("engine", PLAIN, make_two_targets(), DemandBook(), NOW)
@@ -188,34 +193,34 @@
         t2 = make_control("t2", ["m3", "m4", "m5"], on_disk=["m6"])
         return planner, [make_control("t1", held, on_disk=on_disk), t2]
 
-    def view(self, controls, book=None):
+    def make_view(self, controls, book=None):
         demand = DemandBook() if book is None else book
         return FleetView("engine", PLAIN, controls, demand, NOW + seconds(9))
 
     def test_is_loaded_again_once_copy_exists(self):
-        planner, controls = self.after_a_copy(["m7", "m1", "m2"])
+        planner, controls = self.make_copied_targets(["m7", "m1", "m2"])
 
-        (load,) = planner.plan(self.view(controls))
+        (load,) = planner.plan(self.make_view(controls))
 
         assert (load.model, load.target, load.evict) == ("m0", "t1", ("m7",))
         planner.made("engine", load, NOW + seconds(9))
-        assert as_tuples(planner, self.view(controls)) == []
+        assert as_tuples(planner, self.make_view(controls)) == []
 
     def test_is_not_loaded_before_copy_exists(self):
-        planner, controls = self.after_a_copy(["m1", "m2"])
+        planner, controls = self.make_copied_targets(["m1", "m2"])
 
-        assert as_tuples(planner, self.view(controls)) == []
+        assert as_tuples(planner, self.make_view(controls)) == []
 
     def test_is_not_loaded_from_store(self):
-        planner, controls = self.after_a_copy(["m7", "m1", "m2"], on_disk=())
+        planner, controls = self.make_copied_targets(["m7", "m1", "m2"], on_disk=())
 
-        assert as_tuples(planner, self.view(controls)) == []
+        assert as_tuples(planner, self.make_view(controls)) == []
 
     def test_is_not_loaded_once_requests_arrive(self):
         """From then on loads follow demand."""
-        planner, controls = self.after_a_copy(["m7", "m1", "m2"])
+        planner, controls = self.make_copied_targets(["m7", "m1", "m2"])
         book = DemandBook()
         share = DemandShare(Wanted("engine", "m7", "", 1), 5, 0, 100.0)
         book.add("n1", share, NOW + seconds(8))
 
-        assert as_tuples(planner, self.view(controls, book)) == []
+        assert as_tuples(planner, self.make_view(controls, book)) == []
--- a/packages/runhatch-server/tests/test_demand_inbox.py
+++ b/packages/runhatch-server/tests/test_demand_inbox.py
@@ -1,4 +1,4 @@
-"""Test that demand from peers is queued for the next round without its lock."""
+"""Test that demand from peers is queued until the next round, without its lock."""
 
 from gateway_cases import seconds
 
--- a/packages/runhatch-server/tests/test_orderer.py
+++ b/packages/runhatch-server/tests/test_orderer.py
@@ -288,7 +288,7 @@
         assert successor.targets.orders == []
 
 
-class TestOwnTerms:
+class TestConsecutiveTerms:
     """A node that acquires the lease again after itself."""
 
     def test_order_of_previous_term_arrives_before_those_of_next_term(
--- a/packages/runhatch-server/tests/test_target_control.py
+++ b/packages/runhatch-server/tests/test_target_control.py
@@ -41,7 +41,7 @@
     return control
 
 
-class TestSteps:
+class TestControlState:
     """State of a control after each answer."""
 
     def test_is_not_free_before_first_report(self):
@@ -65,7 +65,7 @@
 
     def test_unloaded_model_is_not_held_but_keeps_its_memory_until_reported(self):
         control = make_reported_control("m0", "m1", "m2")
-        before = control.used_mb(ENGINE)
+        used_before = control.used_mb(ENGINE)
         control.ordered(
             make_order(OrderKind.UNLOAD, "m1", 0),
             OrderOutcome.ACCEPTED,
@@ -74,9 +74,9 @@
         )
 
         assert not control.holds("m1")
-        assert control.used_mb(ENGINE) == before
+        assert control.used_mb(ENGINE) == used_before
         control.reported(make_report(1, ["m0", "m2"]), seconds(2))
-        assert control.used_mb(ENGINE) < before
+        assert control.used_mb(ENGINE) < used_before
 
     @pytest.mark.parametrize(
         "outcome",
@@ -143,7 +143,7 @@
     def make_report(self):
         return make_report(self.orders, sorted(self.models))
 
-    def carry_out(self, late_order):
+    def execute(self, late_order):
         if late_order.after_orders != self.orders:
             return OrderOutcome.CONFLICT
         self.orders += 1
@@ -158,7 +158,7 @@
             self.late.append(sent_order)
             outcome = OrderOutcome.UNKNOWN
         else:
-            outcome = self.carry_out(sent_order)
+            outcome = self.execute(sent_order)
         self.control.ordered(sent_order, outcome, LOAD_TIME, seconds(self.now))
 
     @precondition(lambda self: self.control.is_free)
@@ -178,14 +178,14 @@
 
     @precondition(lambda self: self.control.step is not Step.IDLE)
     @rule()
-    def ask(self):
+    def request_report(self):
         self.now += 1
         self.control.reported(self.make_report(), seconds(self.now))
 
     @precondition(lambda self: bool(self.late))
     @rule()
     def arrive_late(self):
-        self.carry_out(self.late.pop(0))
+        self.execute(self.late.pop(0))
 
     @invariant()
     def memory_is_never_overcommitted(self):
