--- a/packages/runhatch-server/src/runhatch_server/residency/_copies.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_copies.py
@@ -20,8 +20,8 @@
 """How long no target must have been added: targets are listed one after the other,
 about 0.7 s apart, and each may have copies."""
 TAKEN_OVER = timedelta(seconds=30)
-"""The same after a takeover from another node: an orderer that its peers cannot reach
-receives no demand, and must not mistake a busy system for an idle one."""
+"""Settling time after a takeover from another node: an orderer that its peers cannot
+reach receives no demand, and must not mistake a busy system for an idle one."""
 MOST_TARGETS = 0.5
 """Maximum share of the targets that create copies at once: the others remain available
 for adapter orders."""
