--- a/packages/runhatch-server/src/runhatch_server/gateway/_balancer.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_balancer.py
@@ -1,8 +1,8 @@
-"""Which target a request goes to, or why none: admission and routing in one place.
+"""Admission control and routing of requests to targets.
 
-A target is chosen by when the first byte of its answer is predicted.  A request
-that no target would begin in time is refused at once; one whose model is on its way
-to a target waits for it, as long as that can still end in an answer.
+Requests are sent to the target with the earliest predicted first byte.  Requests
+that no target can start in time are refused at once; those whose model is being
+loaded are held while they can still be answered in time.
 """
 
 import itertools
@@ -40,24 +40,24 @@
 from runhatch_server.routing import RequestKind, ServiceSpec
 
 GONE_CHECK = timedelta(milliseconds=150)
-"""How often a held request looks whether its caller is there: work must end within
-half a second of its leaving."""
+"""Interval at which a held request checks that its caller is still connected: work
+must stop within half a second of a disconnect."""
 DOWN_AFTER = 2
-"""Times in a row that a target could not be reached before others replace it."""
+"""Consecutive failed connects after which a target counts as down and is replaced."""
 FIRST_SHUT = timedelta(milliseconds=500)
 LONGEST_SHUT = timedelta(seconds=4)
-"""How long a target that could not be reached is passed over, doubled each time."""
+"""Bounds of the backoff after a failed connect to a target; it doubles each time."""
 LAST_STREAMS = timedelta(seconds=2.5)
-"""How long a stopping node begins streams: later ones would be cut at its end, and
-the balancer has had time to look twice by then."""
+"""Time after the start of a shutdown in which streams are still accepted.  Later ones
+would be cut off at exit, and the load balancer has polled readiness twice by then."""
 SHUT_DOUBLINGS = 4
-"""Times that doubling matters: by then the pause is the longest."""
+"""Doublings after which the backoff has reached its maximum."""
 LEAST_CONNECTIONS = 4
-"""A node's share of a target's connections, however many nodes there are."""
+"""Connections to a target that each node may open, however many nodes there are."""
 
 
 class Balancer:
-    """All requests of one node that are at targets; safe for many threads."""
+    """Assigns the requests of one node to targets; thread-safe."""
 
     def __init__(
         self,
@@ -75,47 +75,48 @@
         self._clock = clock
         self._on_missing = on_missing
         self._on_change = on_change
-        self._on_leaving = on_leaving
+        self._on_draining = on_leaving
         self._refuser = Refuser(seed)
         self._lock = threading.Lock()
         self._book = LoadBook()
         self._scorer = Scorer(self._book, failure_domain, has_connection, seed)
         self._services: Mapping[str, ServiceSpec] = {}
         self._max_gaps: Mapping[str, timedelta] = {}
-        self._numbers = itertools.count(1)
+        self._number_sequence = itertools.count(1)
         self.loads = SharedLoads(self._book, self._lock, clock)
-        """What nodes have outstanding at targets."""
+        """Outstanding load at targets, of this node and its peers."""
         self.limits = limits
-        """The rate limits that targets have named."""
-        self._held = HeldRequests(directory, clock, self._book, self._lock)
-        self._closing_at: timedelta | None = None
+        """The rate limits announced by targets."""
+        self._held_requests = HeldRequests(directory, clock, self._book, self._lock)
+        self._closed_at: timedelta | None = None
         self.nodes = 1
-        """Nodes that share the targets' connections."""
+        """Number of nodes among which the targets' connections are divided."""
 
     @property
     def held(self) -> int:
-        """Requests that wait for a model now."""
-        return self._held.count
+        """Number of requests that currently wait for a model."""
+        return self._held_requests.count
 
     def configure(
         self,
         services: Mapping[str, ServiceSpec],
         max_gaps: Mapping[str, timedelta] | None = None,
     ) -> None:
-        """Use other declarations from now on.
+        """Replace the declared services.
 
-        ``max_gaps`` is the longest pause between two events that streams of a
-        service are to see.
+        ``max_gaps`` gives, by service, the longest acceptable pause between two
+        events of a stream.
         """
         self._services = services
         self._max_gaps = max_gaps or {}
 
     def close(self) -> None:
-        """Refuse requests that wait for a model, now and from now on.
+        """Refuse held requests, and hold no further ones.
 
-        Another node may wait for it; this one will not be there.
+        This node exits before their models are loaded; the caller can retry on
+        another node.
         """
-        self._closing_at = self._clock.elapsed()
+        self._closed_at = self._clock.elapsed()
         self._directory.wake()
 
     def acquire(
@@ -124,24 +125,25 @@
         tried: Tried,
         caller_gone: Callable[[], bool],
     ) -> Grant | Refusal:
-        """Return a place for ``request``, or a refusal as soon as it is sure.
+        """Return a grant for ``request``, or a refusal as soon as none is possible.
 
-        See :class:`Tried` for those that it was sent to before.
+        ``tried`` holds the targets of its previous attempts.  Blocks while the
+        request is held for its model.
         """
-        if self._ends_too_soon_for(request):
+        if self._exits_before_end_of(request):
             return Refusal(Reason.STOPPING, Executed.NO, retry_after=timedelta())
         search = Search(request, tried, request_tier(request))
         try:
-            found = self._find(search)
-            if not isinstance(found, Wait):
-                return found
-            if found.look_after is None:
+            result = self._find_place(search)
+            if not isinstance(result, Wait):
+                return result
+            if result.look_after is None:
                 self._on_missing(request)
-            search.place = HeldPlace(next(self._numbers), self._clock.elapsed())
-            return self._wait(search, search.place, caller_gone, found)
+            search.place = HeldPlace(next(self._number_sequence), self._clock.elapsed())
+            return self._wait(search, search.place, caller_gone, result)
         finally:
             if search.place is not None:
-                self._held.leave(search.place)
+                self._held_requests.leave(search.place)
             self.limits.settle(search.asked)
 
     def _wait(
@@ -149,31 +151,31 @@
         search: Search,
         place: HeldPlace,
         caller_gone: Callable[[], bool],
-        found: Wait,
+        result: Wait,
     ) -> Grant | Refusal:
-        """Hold a request until its model is there or it is known not to help."""
+        """Hold a request until its model is loaded or waiting can no longer help."""
         request = search.request
         while True:
             now = self._clock.elapsed()
-            if self._closing_at is not None:
-                return self._refuser.refuse(found.reason)
-            if now >= found.until or self._held.full:
-                helps = missing_retry(request)
-                if found.look_after is not None:
-                    helps = BUSY_RETRY
-                return self._refuser.refuse(found.reason, helps)
+            if self._closed_at is not None:
+                return self._refuser.refuse(result.reason)
+            if now >= result.until or self._held_requests.full:
+                retry_after = missing_retry(request)
+                if result.look_after is not None:
+                    retry_after = BUSY_RETRY
+                return self._refuser.refuse(result.reason, retry_after)
             if caller_gone():
                 return Refusal(Reason.CALLER_GONE, Executed.NO)
-            self._held.count_at(request, found.target, place)
-            look_after = found.look_after or GONE_CHECK
-            self._held.pause(min(found.until - now, look_after, GONE_CHECK))
-            following = self._find(search)
-            if not isinstance(following, Wait):
-                return following
-            found = following
+            self._held_requests.count_at(request, result.target, place)
+            look_after = result.look_after or GONE_CHECK
+            self._held_requests.pause(min(result.until - now, look_after, GONE_CHECK))
+            next_result = self._find_place(search)
+            if not isinstance(next_result, Wait):
+                return next_result
+            result = next_result
 
     def started(self, grant: Grant) -> None:
-        """Take in that the first byte of the answer has come."""
+        """Record that the first byte of the answer has arrived."""
         now = self._clock.elapsed()
         with self._lock:
             load = self._book.load(grant.target.incarnation)
@@ -184,11 +186,11 @@
             outstanding.started = True
             work = grant.request.work
             if work is not None:
-                took = now - outstanding.sent_at
-                self._book.began(grant.target.incarnation, work, outstanding, took)
+                duration = now - outstanding.sent_at
+                self._book.began(grant.target.incarnation, work, outstanding, duration)
 
     def streamed(self, grant: Grant, mean_gap: timedelta) -> None:
-        """Learn from a complete stream, whose events were ``mean_gap`` apart."""
+        """Update the target's pace from a complete stream with this mean event gap."""
         service = self._services.get(grant.request.service)
         if service is None or service.engine is None:
             return
@@ -198,7 +200,7 @@
             load.stepped(gap_ms / service.engine.event_tokens)
 
     def released(self, grant: Grant, faulty: bool) -> None:
-        """Give the place back; ``faulty`` if the target failed the request."""
+        """Release ``grant``; ``faulty`` if the target failed the request."""
         now = self._clock.elapsed()
         with self._lock:
             load = self._book.load(grant.target.incarnation)
@@ -208,90 +210,93 @@
                 load.heard_at = now
                 load.shut_times = 0
                 if grant.request.work is None:
-                    took = now - grant.granted_at
-                    self._book.rates.served(grant.request.route.name, took)
+                    duration = now - grant.granted_at
+                    self._book.rates.served(grant.request.route.name, duration)
 
     def refused(self, grant: Grant) -> None:
-        """Give the place back; the target had no room, and ran nothing."""
-        self._pass_over(grant, BUSY_HOLDS)
+        """Release ``grant``, whose target was full and didn't run the request."""
+        self._release_and_exclude(grant, BUSY_HOLDS)
 
     def rests(self, grant: Grant, rest: timedelta) -> None:
-        """Send nothing more to the target of ``grant`` for so long."""
+        """Send nothing to the target of ``grant`` for the duration ``rest``."""
         now = self._clock.elapsed()
         with self._lock:
             load = self._book.load(grant.target.incarnation)
             load.rests_until = max(load.rests_until, now + rest)
 
     def leaves(self, grant: Grant) -> None:
-        """Take in that the target of ``grant`` said that it takes no new work."""
+        """Record that the target of ``grant`` announced that it drains."""
         if self._directory.leaves(grant.target.incarnation):
-            self._on_leaving(grant.target.incarnation)
+            self._on_draining(grant.target.incarnation)
 
     def unwilling(self, request: GatewayRequest, tried: Tried) -> Refusal | None:
-        """Return the refusal if no holder would take ``request`` once more now."""
+        """Return a refusal if every target with the model rejects a retry now.
+
+        Returns ``None`` if one may accept it, or if no target holds the model.
+        """
         holders = self._directory.holders(
             request.service, request.model, request.adapter
         )
         if not holders:
             return None
         with self._lock:
-            found = self._candidates(
+            result = self._candidates(
                 holders, Search(request, tried, request_tier(request))
             )
-        if isinstance(found, NoneWilling):
-            return self._refuser.refuse_unwilling(found)
+        if isinstance(result, NoneWilling):
+            return self._refuser.refuse_unwilling(result)
         return None
 
     def unreachable(self, grant: Grant) -> None:
-        """Give the place back; no connection to the target could be made."""
+        """Release ``grant``, to whose target no connection could be made."""
         with self._lock:
             load = self._book.load(grant.target.incarnation)
             pause = min(
                 LONGEST_SHUT, FIRST_SHUT * (1 << min(load.shut_times, SHUT_DOUBLINGS))
             )
             load.shut_times += 1
-        self._pass_over(grant, pause)
+        self._release_and_exclude(grant, pause)
 
     def misdirected(self, grant: Grant) -> None:
-        """Give the place back; the target holds the model no longer, or not yet."""
-        self._pass_over(grant, timedelta())
+        """Release ``grant``, whose target does not hold the model at present."""
+        self._release_and_exclude(grant, timedelta())
         request = grant.request
         target = grant.target.incarnation
         self._directory.correct(target, request.model, request.adapter)
 
     def is_down(self, target: str) -> bool:
-        """Tell whether ``target`` could not be reached, again and again, till now."""
+        """Return whether the last ``DOWN_AFTER`` connects to ``target`` all failed."""
         with self._lock:
             return self._book.load(target).shut_times >= DOWN_AFTER
 
     def work_ms(self, request: GatewayRequest) -> float:
-        """Return how long reading the whole prompt of ``request`` would take."""
+        """Return the milliseconds that processing the whole prompt would take."""
         with self._lock:
             return self._book.full_work_ms(request)
 
     def forget_unknown(self) -> None:
-        """Drop what is kept of targets that are no more."""
+        """Delete the load records of targets that no longer exist."""
         now = self._clock.elapsed()
         with self._lock:
             self._book.forget(lambda name: self._directory.get(name) is not None, now)
 
-    def _ends_too_soon_for(self, request: GatewayRequest) -> bool:
-        """Tell whether this node is about to end, with ``request`` in progress."""
-        closing_at = self._closing_at
-        if closing_at is None or request.route.kind is not RequestKind.STREAM:
+    def _exits_before_end_of(self, request: GatewayRequest) -> bool:
+        """Return whether this node would exit before the stream ``request`` ends."""
+        closed_at = self._closed_at
+        if closed_at is None or request.route.kind is not RequestKind.STREAM:
             return False
-        return self._clock.elapsed() - closing_at >= LAST_STREAMS
+        return self._clock.elapsed() - closed_at >= LAST_STREAMS
 
-    def _find(self, search: Search) -> Grant | Refusal | Wait:
+    def _find_place(self, search: Search) -> Grant | Refusal | Wait:
         while True:
-            found = self._look(search)
-            if not isinstance(found, PermitWanted):
-                return found
-            search.asked[found.target] = self._clock.elapsed()
-            # Answered at once if this node gives out the permits itself.
-            self.limits.ask(found.target, found.tier)
-
-    def _look(self, search: Search) -> Grant | Refusal | Wait | PermitWanted:
+            result = self._try_place(search)
+            if not isinstance(result, PermitWanted):
+                return result
+            search.asked[result.target] = self._clock.elapsed()
+            # Granted synchronously if this node issues the target's permits itself.
+            self.limits.ask(result.target, result.tier)
+
+    def _try_place(self, search: Search) -> Grant | Refusal | Wait | PermitWanted:
         request = search.request
         service = self._services.get(request.service)
         if service is None or not self._directory.ready(request.service):
@@ -300,16 +305,16 @@
             request.service, request.model, request.adapter
         )
         if not holders:
-            judged = self._held.judge(request, search.place)
-            if isinstance(judged, Wait):
-                return judged
-            return self._refuser.refuse(Reason.NO_REPLICA, judged.retry_after)
+            decision = self._held_requests.judge(request, search.place)
+            if isinstance(decision, Wait):
+                return decision
+            return self._refuser.refuse(Reason.NO_REPLICA, decision.retry_after)
         with self._lock:
             while True:
-                found = self._candidates(holders, search)
-                if isinstance(found, NoneWilling):
-                    return self._refuser.refuse_unwilling(found)
-                chosen = self._choose(search, service, found)
+                result = self._candidates(holders, search)
+                if isinstance(result, NoneWilling):
+                    return self._refuser.refuse_unwilling(result)
+                chosen = self._choose(search, service, result)
                 if not isinstance(chosen, Closed):
                     return chosen
                 search.closed[chosen.target] = chosen.until
@@ -320,8 +325,8 @@
         now = self._clock.elapsed()
 
         def opens_at(target: str) -> timedelta:
-            by_limit = self.limits.opens_at(target, search.tier, now)
-            return max(by_limit, search.closed.get(target, by_limit))
+            limit_opens_at = self.limits.opens_at(target, search.tier, now)
+            return max(limit_opens_at, search.closed.get(target, limit_opens_at))
 
         return choose_candidates(holders, search.tried, self._book.load, now, opens_at)
 
@@ -339,11 +344,11 @@
         max_gap = self._max_gaps.get(request.service)
         match judge(request, max_gap, find_best, now):
             case Admitted(best, tier):
-                barred = use_permit(
+                blocked = use_permit(
                     self.limits, search, best.target.incarnation, tier, now
                 )
-                if barred is not None:
-                    return barred
+                if blocked is not None:
+                    return blocked
                 return self._grant(request, service, best, tier, now)
             case Postponed(best, pause, until):
                 return Wait(until, Reason.TOO_BUSY, look_after=pause)
@@ -358,7 +363,7 @@
         tier: int,
         now: timedelta,
     ) -> Grant:
-        number = next(self._numbers)
+        number = next(self._number_sequence)
         tokens = 0
         if request.work is not None:
             tokens = request.work.prompt_tokens + request.work.expected_output
@@ -374,7 +379,7 @@
             best.queue_ms,
         )
         self._on_change()
-        share = service.max_connections // max(1, self.nodes)
+        max_connections = service.max_connections // max(1, self.nodes)
         return Grant(
             number,
             best.target,
@@ -384,10 +389,10 @@
             tier,
             best.busy,
             best.pause_ms,
-            max(LEAST_CONNECTIONS, share),
+            max(LEAST_CONNECTIONS, max_connections),
         )
 
-    def _pass_over(self, grant: Grant, pause: timedelta) -> None:
+    def _release_and_exclude(self, grant: Grant, pause: timedelta) -> None:
         now = self._clock.elapsed()
         with self._lock:
             load = self._book.load(grant.target.incarnation)
--- a/packages/runhatch-server/src/runhatch_server/gateway/_connections.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_connections.py
@@ -1,4 +1,7 @@
-"""Kept connections to targets, used again only when that is sure to be clean."""
+"""Pooled connections to targets, reused only if no unread bytes are left on them.
+
+Leftover bytes of one answer would otherwise be read as the next answer.
+"""
 
 import http.client
 import io
@@ -14,21 +17,21 @@
 from runhatch_server.targets import AttemptReason, NotSent, refuses_connections
 
 CONNECT_TIMEOUT = timedelta(milliseconds=400)
-"""A target in the region accepts within some 10 ms; a dropped opening packet is
-sent again after a second, which is too late to wait for."""
+"""Targets in the region accept within about 10 ms; a lost SYN is retransmitted only
+after a second, which is too late to wait for."""
 CLOSED_TOGETHER = timedelta(milliseconds=2)
-"""Within which the connections of a process that ends are closed, one by one."""
+"""Time in which all connections of an exiting process are closed."""
 LONGEST_IDLE = timedelta(seconds=8)
-"""An idle connection is not kept longer, whatever its target allows."""
+"""Maximum idle time of a pooled connection, even if its target allows more."""
 READ_SIZE = 65_536
 CHUNK_END = b"\r\n"
 
 
-class _WatchedReader(io.BufferedReader):
-    """Reads one answer, and tells whether bytes lay behind its end.
+class _LeftoverReader(io.BufferedReader):
+    """Reads one answer and detects bytes that follow its end.
 
-    The library drops its buffer with each answer.  Part of an answer that nobody
-    asked for could be lost in it, and its rest be read as the next answer.
+    ``http.client`` drops its buffer with each answer.  Part of an unsolicited
+    answer could be lost with it, and the rest be read as the next answer.
     """
 
     def __init__(self, raw: io.RawIOBase, sock: socket.socket) -> None:
@@ -37,7 +40,7 @@
         self.left_behind = False
 
     def pending(self) -> bytes:
-        """Return what can be looked at without waiting."""
+        """Return buffered or received bytes without blocking or consuming them."""
         timeout = self._socket.gettimeout()
         self._socket.settimeout(0)
         try:
@@ -46,7 +49,7 @@
             self._socket.settimeout(timeout)
 
     def close(self) -> None:
-        """Note whether something is left, then close."""
+        """Record whether unread bytes are left, then close."""
         if not self.closed:
             try:
                 self.left_behind = bool(self.pending())
@@ -55,8 +58,8 @@
         super().close()
 
 
-class _WatchedResponse(http.client.HTTPResponse):
-    """An answer that is read through a :class:`_WatchedReader`."""
+class _LeftoverResponse(http.client.HTTPResponse):
+    """An answer read through a :class:`_LeftoverReader`."""
 
     def __init__(
         self,
@@ -66,48 +69,52 @@
         url: str | None = None,
     ) -> None:
         super().__init__(sock, debuglevel, method, url)
-        self.reader = _WatchedReader(self.fp.detach(), sock)
+        self.reader = _LeftoverReader(self.fp.detach(), sock)
         self.fp = self.reader
 
     def has_pending(self) -> bool:
-        """Tell whether reading on would bring something without waiting.
+        """Return whether the next read returns data without blocking.
 
-        Between two chunks the end of the last one may lie there alone.
+        The CRLF that ends a chunk doesn't count, as no data may follow it yet.
         """
         if self.fp is None:
             return True
         try:
             pending = self.reader.pending()
         except OSError:
-            # The next read tells what is wrong.
+            # The next read raises the error.
             return True
         return len(pending) > (len(CHUNK_END) if self.chunked else 0)
 
 
 class TargetConnection:
-    """One connection to one life of one target; used by one thread at a time."""
+    """A connection to one incarnation of a target; used by one thread at a time."""
 
     def __init__(self, target: Target) -> None:
         self.target = target
         self.uses = 0
         self.idle_until = timedelta()
         self._connection = http.client.HTTPConnection(target.host, target.port)
-        self._connection.response_class = _WatchedResponse
-        self._response: _WatchedResponse | None = None
+        self._connection.response_class = _LeftoverResponse
+        self._response: _LeftoverResponse | None = None
         self._socket: socket.socket | None = None
-        self._left: int | None = None
+        self._body_left: int | None = None
 
     def connect(self, timeout: timedelta) -> None:
-        """Open it; raises ``OSError`` if that cannot be done in time."""
+        """Open the connection; raises ``OSError`` on failure or timeout."""
         self._connection.timeout = timeout.total_seconds()
         self._connection.connect()
-        # The response outlives the connection's own reference where it ends with it.
+        # http.client drops its reference when the answer ends the connection, but the
+        # response still reads from the socket.
         self._socket = self._connection.sock
 
     def send(
         self, method: str, uri: str, headers: Headers, body: bytes, timeout: timedelta
     ) -> None:
-        """Send a request; raises ``OSError`` after which it may have arrived."""
+        """Send a request.
+
+        Raises ``OSError`` on failure; the target may have received it nonetheless.
+        """
         self.uses += 1
         self.set_timeout(timeout)
         connection = self._connection
@@ -119,52 +126,52 @@
         connection.endheaders(body or None)
 
     def wait(self, timeout: timedelta) -> bool:
-        """Wait until something can be read; false if ``timeout`` passes first."""
+        """Wait until data can be read; return false if ``timeout`` passes first."""
         if self._response is not None and self._response.has_pending():
             return True
-        return self._socket is None or _readable(self._socket, timeout)
+        return self._socket is None or _is_readable(self._socket, timeout)
 
     def read_head(self, timeout: timedelta) -> http.client.HTTPResponse:
-        """Read the head; raises ``OSError`` or ``HTTPException`` if it is broken."""
+        """Read the head; raises ``OSError`` or ``HTTPException`` if it is malformed."""
         self.set_timeout(timeout)
         response = self._connection.getresponse()
-        assert isinstance(response, _WatchedResponse)
+        assert isinstance(response, _LeftoverResponse)
         self._response = response
-        self._left = None if response.chunked else response.length
+        self._body_left = None if response.chunked else response.length
         return response
 
     def read_some(self) -> bytes:
-        """Return the next bytes of the body as they come, empty at its end.
+        """Return the next bytes of the body as they arrive; empty at its end.
 
-        Raises ``OSError`` or ``HTTPException`` if it ends early.
+        Raises ``OSError`` or ``HTTPException`` if the body ends early.
         """
         response = self._require_response()
         if response.chunked or response.fp is None:
-            # Raises if the connection ends within a chunk or before the last.
+            # Raises if the connection ends within a chunk or before the last chunk.
             return bytes(response.read1(READ_SIZE))
-        if self._left is None:
+        if self._body_left is None:
             return response.fp.read1(READ_SIZE)
-        if not self._left:
+        if not self._body_left:
             return b""
-        chunk = response.fp.read1(min(self._left, READ_SIZE))
+        chunk = response.fp.read1(min(self._body_left, READ_SIZE))
         if not chunk:
-            raise http.client.IncompleteRead(b"", self._left)
-        self._left -= len(chunk)
+            raise http.client.IncompleteRead(b"", self._body_left)
+        self._body_left -= len(chunk)
         return chunk
 
     def read_whole(self) -> bytes:
-        """Return the whole body; raises as :meth:`read_some` if it is short."""
+        """Return the whole body; raises like :meth:`read_some` if it ends early."""
         return self._require_response().read()
 
     def set_timeout(self, timeout: timedelta) -> None:
-        """Limit how long each further read or write may wait."""
+        """Set the timeout of each further read and write."""
         if self._socket is not None:
             self._socket.settimeout(max(0.001, timeout.total_seconds()))
 
     def finish(self) -> bool:
-        """End the answer, read whole; tells whether the connection may be used again.
+        """Close a completely read answer; return whether the connection is reusable.
 
-        It may not if anything came behind the answer, the end included.
+        It isn't if bytes or the end of the connection follow the answer.
         """
         if self._response is not None:
             self._response.close()
@@ -174,50 +181,50 @@
         return self.is_clean()
 
     def is_clean(self) -> bool:
-        """Tell whether nothing waits to be read, the end included."""
-        # The library lets go of the socket where the answer ends the connection.
+        """Return whether the connection is open and has no unread bytes."""
+        # http.client drops the socket when the answer ends the connection.
         sock = self._connection.sock
-        return sock is not None and not _readable(sock, timedelta())
+        return sock is not None and not _is_readable(sock, timedelta())
 
     def close(self) -> None:
-        """Close it; a target that works on its request stops."""
+        """Close the connection, upon which the target cancels a request in progress."""
         if self._response is not None:
             self._response.close()
         self._connection.close()
 
-    def _require_response(self) -> _WatchedResponse:
+    def _require_response(self) -> _LeftoverResponse:
         if self._response is None:
             raise http.client.ResponseNotReady
         return self._response
 
 
 class ConnectionPool:
-    """The connections of one node to all targets; safe for many threads."""
+    """The connections of one node to all targets; thread-safe."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._lock = threading.Lock()
-        self._idle: dict[str, list[TargetConnection]] = defaultdict(list)
-        self._open: dict[str, int] = defaultdict(int)
+        self._idle_connections: dict[str, list[TargetConnection]] = defaultdict(list)
+        self._open_counts: dict[str, int] = defaultdict(int)
 
     def take(
         self, target: Target, most: int, timeout: timedelta
     ) -> TargetConnection | NotSent:
-        """Return a clean connection to ``target``.
+        """Return a clean connection to ``target``, pooled or new.
 
-        No more than ``most`` are open at once.
+        Returns ``NotSent`` if ``most`` connections are open or connecting fails.
         """
         while True:
-            kept = self._take_idle(target.incarnation)
-            if kept is None:
+            pooled = self._pop_idle(target.incarnation)
+            if pooled is None:
                 break
-            if self._clock.elapsed() < kept.idle_until and kept.is_clean():
-                return kept
-            self.discard(kept)
+            if self._clock.elapsed() < pooled.idle_until and pooled.is_clean():
+                return pooled
+            self.discard(pooled)
         with self._lock:
-            if self._open[target.incarnation] >= most:
+            if self._open_counts[target.incarnation] >= most:
                 return NotSent(AttemptReason.TARGET_BUSY)
-            self._open[target.incarnation] += 1
+            self._open_counts[target.incarnation] += 1
         connection = TargetConnection(target)
         try:
             connection.connect(min(timeout, CONNECT_TIMEOUT))
@@ -227,70 +234,73 @@
         return connection
 
     def has_idle(self, target: str) -> bool:
-        """Tell whether a kept connection to ``target`` could be used now."""
+        """Return whether the pool has an idle connection to ``target``."""
         with self._lock:
-            return bool(self._idle.get(target))
+            return bool(self._idle_connections.get(target))
 
     def refuses(self, target: Target) -> bool:
-        """Tell whether nothing listens at the address of ``target`` any more.
+        """Return whether the address of ``target`` refuses connections.
 
-        A process that ends closes its kept connections too, so if all are open it
-        lives most likely, and needs no new one.
+        A process that exits closes its idle connections too, so if all are still
+        open, the target most likely runs, and no new connection is tried.
         """
         if self.has_idle(target.incarnation):
             self._clock.sleep(CLOSED_TOGETHER)
-            if self._all_open(target.incarnation):
+            if self._all_idle_open(target.incarnation):
                 return False
         return refuses_connections(target.host, target.port)
 
     def give_back(self, connection: TargetConnection, idle: timedelta) -> None:
-        """Keep ``connection``, whose answer was read to its end, for ``idle``."""
+        """Pool ``connection`` for ``idle``, or close it if it isn't clean.
+
+        Its answer must have been read to the end.
+        """
         now = self._clock.elapsed()
         connection.idle_until = now + min(idle, LONGEST_IDLE)
         if not connection.finish():
             self.discard(connection)
             return
         with self._lock:
-            self._idle[connection.target.incarnation].append(connection)
+            self._idle_connections[connection.target.incarnation].append(connection)
 
     def discard(self, connection: TargetConnection) -> None:
-        """Close ``connection``, which was taken from here."""
+        """Close ``connection``, which was taken from this pool."""
         connection.close()
         with self._lock:
-            self._open[connection.target.incarnation] -= 1
+            self._open_counts[connection.target.incarnation] -= 1
 
     def close_expired(self, known: frozenset[str]) -> None:
-        """Close connections idle for too long, and those to targets not ``known``."""
+        """Close idle connections that expired or whose target isn't in ``known``."""
         now = self._clock.elapsed()
         with self._lock:
             expired = [
                 connection
-                for target, idle in self._idle.items()
+                for target, idle in self._idle_connections.items()
                 for connection in idle
                 if now >= connection.idle_until or target not in known
             ]
             for connection in expired:
-                self._idle[connection.target.incarnation].remove(connection)
-            for target in [name for name in self._open if name not in known]:
-                if not self._open[target]:
-                    del self._open[target]
-                    self._idle.pop(target, None)
+                self._idle_connections[connection.target.incarnation].remove(connection)
+            for target in [name for name in self._open_counts if name not in known]:
+                if not self._open_counts[target]:
+                    del self._open_counts[target]
+                    self._idle_connections.pop(target, None)
         for connection in expired:
             self.discard(connection)
 
-    def _all_open(self, target: str) -> bool:
+    def _all_idle_open(self, target: str) -> bool:
         with self._lock:
-            idle = self._idle.get(target, [])
-            return bool(idle) and all(kept.is_clean() for kept in idle)
+            idle = self._idle_connections.get(target, [])
+            return bool(idle) and all(connection.is_clean() for connection in idle)
 
-    def _take_idle(self, target: str) -> TargetConnection | None:
+    def _pop_idle(self, target: str) -> TargetConnection | None:
         with self._lock:
-            idle = self._idle.get(target)
-            # The one used last is the least likely to have been closed meanwhile.
+            idle = self._idle_connections.get(target)
+            # The last one used is the least likely to have been closed by the target.
             return idle.pop() if idle else None
 
 
-def _readable(sock: socket.socket, timeout: timedelta) -> bool:
+def _is_readable(sock: socket.socket, timeout: timedelta) -> bool:
     poller = select.poll()
     poller.register(sock, select.POLLIN)
     return bool(poller.poll(timeout.total_seconds() * 1000))
