--- a/packages/runhatch-server/src/runhatch_server/gateway/__init__.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""Passing requests of declared routes through to targets learned while running."""
+"""Gateway that proxies requests of declared routes to targets found at run time."""
 
 from runhatch_server.decisions import GatewayRequest, Headers, ModelWork, PromptPart
 from runhatch_server.gateway._messages import (
--- a/packages/runhatch-server/src/runhatch_server/gateway/_answers.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_answers.py
@@ -1,4 +1,4 @@
-"""What a caller of a gateway is answered: a whole answer, or a stream."""
+"""Answers to callers of a gateway: complete ones and streams."""
 
 from dataclasses import dataclass
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WholeAnswer:
-    """An answer whose body is known."""
+    """An answer with its complete body."""
 
     status: int
     reason: str
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamAnswer:
-    """An answer that arrives piece by piece."""
+    """An answer whose events are sent as they arrive."""
 
     status: int
     reason: str
--- a/packages/runhatch-server/src/runhatch_server/gateway/_app.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_app.py
@@ -1,4 +1,4 @@
-"""The gateway's side towards callers, as WSGI applications."""
+"""WSGI applications of the gateway: callers' requests, readiness and metrics."""
 
 import random
 from collections.abc import Callable, Iterable, Mapping
@@ -29,15 +29,15 @@
 from runhatch_server.routing import RouteTable, choose_service
 
 NOT_READY_RETRY = timedelta(milliseconds=500)
-"""When a caller may come back to a node that has no configuration yet."""
+"""Retry-After sent by a node that has no configuration yet."""
 HEADER_PREFIX = "HTTP_"
 CONTENT_TYPE = "CONTENT_TYPE"
 MOST_LOGGED = 80
-"""Characters of a refused request's host and path that are logged."""
+"""Maximum length in characters of a refused request's host and path in the log."""
 
 
 class GatewayApp:
-    """Takes callers' requests and passes them through by their route."""
+    """Accepts callers' requests and proxies them by route."""
 
     def __init__(
         self,
@@ -56,33 +56,33 @@
         self._on_request = on_request
         self._random = random.Random()
         self.routes: RouteTable | None = None
-        """The routes in force; replaced whole."""
+        """The current routes, ``None`` before the first configuration."""
         self.draining = False
-        """Set on shutdown: connections are closed after their answers."""
+        """Set on shutdown: each connection is closed after its answer."""
 
     def __call__(
         self, environ: Environ, start_response: StartResponse
     ) -> Iterable[bytes]:
         """Serve one request."""
         self._progress.begin()
-        handed_on = False
+        is_streaming = False
         try:
             answer = self._answer(environ)
             status = f"{answer.status} {answer.reason or 'Status'}"
             if isinstance(answer, StreamAnswer):
                 start_response(status, [*answer.headers])
-                handed_on = True
+                is_streaming = True
                 return CountedEvents(answer.events, self._progress.end)
             return send_whole(
                 status, answer.headers, answer.body, start_response, self.draining
             )
         finally:
-            if not handed_on:
+            if not is_streaming:
                 self._progress.end()
 
     def _answer(self, environ: Environ) -> GatewayAnswer:
         headers = _headers(environ)
-        request = self._read(environ, headers)
+        request = self._parse(environ, headers)
         if isinstance(request, Refusal):
             self._metrics.refusals.labels(request.reason.code).inc()
             log_change(
@@ -93,18 +93,18 @@
                 uri=str(environ.get("REQUEST_URI", ""))[:MOST_LOGGED],
                 configuration=None if self.routes is None else self.routes.version,
             )
-            return self._refused(request, headers)
+            return self._build_refusal(request, headers)
         self._metrics.requests.labels(request.route.kind.value).inc()
         self._on_request(request)
         answer = self._service.serve(request, caller_gone(environ))
         if isinstance(answer, Refusal):
-            return self._refused(answer, headers)
+            return self._build_refusal(answer, headers)
         return answer
 
-    def _read(
+    def _parse(
         self, environ: Environ, headers: Mapping[str, str]
     ) -> GatewayRequest | Refusal:
-        """Return the request, checked, or why it cannot be taken."""
+        """Parse and validate a request; return a refusal if it is invalid."""
         received = self._clock.elapsed()
         routes = self.routes
         if routes is None:
@@ -144,22 +144,29 @@
             fingerprint=fingerprint_of(method, host.lower(), uri, body),
         )
 
-    def _refused(self, refusal: Refusal, headers: Mapping[str, str]) -> WholeAnswer:
-        """Return the answer that tells ``refusal``."""
+    def _build_refusal(
+        self, refusal: Refusal, headers: Mapping[str, str]
+    ) -> WholeAnswer:
+        """Return the problem document for ``refusal``, with its headers."""
         attempt_id = headers.get("x-request-id", "")
         caller = self._codec.read_caller(headers)
         if not isinstance(caller, HeaderFault):
             attempt_id = caller.attempt_id
-        told = (("Content-Type", PROBLEM_TYPE), *self._codec.for_refusal(attempt_id))
+        response_headers = (
+            ("Content-Type", PROBLEM_TYPE),
+            *self._codec.for_refusal(attempt_id),
+        )
         if refusal.retry_after is not None:
             seconds = refusal.retry_after.total_seconds()
-            told += (("Retry-After", f"{seconds:.2f}"),)
+            response_headers += (("Retry-After", f"{seconds:.2f}"),)
         body = problem_document(refusal, attempt_id)
-        return WholeAnswer(refusal.reason.status, refusal.reason.title, told, body)
+        return WholeAnswer(
+            refusal.reason.status, refusal.reason.title, response_headers, body
+        )
 
 
 class ReadinessApp:
-    """Tells the balancer whether to send requests here."""
+    """Readiness endpoint polled by the load balancer."""
 
     def __init__(self, is_ready: Callable[[], bool]) -> None:
         self._is_ready = is_ready
@@ -167,7 +174,7 @@
     def __call__(
         self, environ: Environ, start_response: StartResponse
     ) -> Iterable[bytes]:
-        """Answer 200 or 503, whatever the path."""
+        """Answer 200 if ready, else 503, on every path."""
         ready = self._is_ready()
         status = "200 OK" if ready else "503 Not Ready"
         body = b"ready\n" if ready else b"not ready\n"
@@ -176,7 +183,7 @@
 
 
 class MetricsApp:
-    """Serves the metrics in the text format."""
+    """Serves the metrics in the Prometheus text format."""
 
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
@@ -195,7 +202,7 @@
 
 
 def _headers(environ: Environ) -> dict[str, str]:
-    """Return the headers by name in lower case."""
+    """Return the request headers by lower-case name."""
     headers = {
         key.removeprefix(HEADER_PREFIX).replace("_", "-").lower(): str(value)
         for key, value in environ.items()
--- a/packages/runhatch-server/src/runhatch_server/gateway/_budget.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_budget.py
@@ -1,4 +1,4 @@
-"""A retry budget that many nodes keep together without talking about it."""
+"""Retry budget that limits the retries of all nodes without messages among them."""
 
 import threading
 from collections import deque
@@ -8,18 +8,18 @@
 from runhatch_server.gateway._settings import RetryBounds
 
 SAFETY = 0.7
-"""Share of the bounds that is used: windows of the nodes do not begin together, and
-requests that never reach a node count in the whole but not here."""
+"""Fraction of the bounds that is used: the windows of nodes aren't aligned, and
+requests that never reach a node count for the overall bound but not here."""
 LEAST_NODES = 4
-"""The reserve is split among at least so many: a node that starts again has
-forgotten what it used, and does not know the others yet."""
+"""Minimum number of nodes among which the reserve is divided: a restarted node has
+lost its record of retries and doesn't know its peers yet."""
 
 
 class WindowBudget:
-    """Retries of one service on one node, in any window.
+    """Limits the retries for one service on one node in any window.
 
-    A node may use its share of the reserve, and on top a share of the requests
-    that it got itself in the window.
+    A node may use its part of the reserve, plus a fraction of the requests that it
+    received in the window.
     """
 
     def __init__(self, bounds: RetryBounds, clock: Clock) -> None:
@@ -30,21 +30,21 @@
         self._retries: deque[timedelta] = deque()
 
     def request(self) -> None:
-        """Count a request of a caller."""
+        """Count a request received from a caller."""
         now = self._clock.elapsed()
         with self._lock:
             self._requests.append(now)
             _drop_before(self._requests, now - self._bounds.window)
 
     def withdraw(self, nodes: int) -> bool:
-        """Pay for one retry, if there is budget among ``nodes`` nodes."""
+        """Spend one retry; return false if this node's share of the budget is spent."""
         now = self._clock.elapsed()
         with self._lock:
             _drop_before(self._requests, now - self._bounds.window)
             _drop_before(self._retries, now - self._bounds.window)
-            earned = self._bounds.share * len(self._requests)
-            reserve = self._bounds.reserve / max(LEAST_NODES, nodes)
-            if len(self._retries) + 1 > SAFETY * (earned + reserve):
+            request_share = self._bounds.share * len(self._requests)
+            reserve_share = self._bounds.reserve / max(LEAST_NODES, nodes)
+            if len(self._retries) + 1 > SAFETY * (request_share + reserve_share):
                 return False
             self._retries.append(now)
             return True
--- a/packages/runhatch-server/src/runhatch_server/gateway/_configuration.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_configuration.py
@@ -1,4 +1,4 @@
-"""Taking up each new version of the routing configuration, never an older one."""
+"""Applies new versions of the routing configuration and ignores older ones."""
 
 from collections.abc import Callable
 
@@ -8,10 +8,10 @@
 
 
 class ConfigurationKeeper:
-    """Holds the routes in force.
+    """Holds the current routes.
 
-    A :class:`runhatch_coordination.FeedListener`; ``on_routes`` is called with
-    each table that comes into force.
+    A :class:`runhatch_coordination.FeedListener`; ``on_routes`` is called with each
+    new route table.
     """
 
     def __init__(
@@ -23,23 +23,23 @@
 
     @property
     def routes(self) -> RouteTable | None:
-        """The routes in force, ``None`` before there are any."""
+        """The current routes, ``None`` before the first configuration."""
         return self._routes
 
     def listed(self, entries: tuple[Entry[RoutingConfiguration], ...]) -> None:
-        """Take in the configuration as the store holds it."""
+        """Apply the configuration listed by the store."""
         self.changed(entries)
 
     def changed(self, entries: tuple[Entry[RoutingConfiguration], ...]) -> None:
-        """Take in new versions."""
+        """Apply new versions."""
         for entry in entries:
             if entry.value is not None:
                 self.offer(entry.value, "store")
 
     def offer(self, configuration: RoutingConfiguration, source: str) -> bool:
-        """Put ``configuration`` in force if it is newer; tells whether it was."""
-        known = self._routes
-        if known is not None and configuration.version <= known.version:
+        """Apply ``configuration`` if it is newer; return whether it was."""
+        current = self._routes
+        if current is not None and configuration.version <= current.version:
             return False
         routes = RouteTable(configuration)
         self._routes = routes
@@ -55,12 +55,12 @@
         return True
 
     def restored(self) -> None:
-        """The store came back from an older copy; the routes in force stay."""
+        """Keep the current routes though the store was restored from an older copy."""
 
     def unreachable(self, reason: str) -> None:
-        """The store cannot be read; the routes in force stay."""
+        """Log that the store cannot be read; the current routes stay."""
         log_change("configuration_unreachable", why=reason)
 
     def reachable(self) -> None:
-        """The store can be read again."""
+        """Log that the store can be read again."""
         log_change("configuration_reachable")
--- a/packages/runhatch-server/src/runhatch_server/gateway/_forward.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_forward.py
@@ -1,4 +1,4 @@
-"""One attempt at one target: send the request, wait for the head, judge it."""
+"""Single attempts at a target: send the request, await the head and classify it."""
 
 import http.client
 from collections.abc import Callable
@@ -18,16 +18,16 @@
 )
 
 WATCH_SLICE = timedelta(milliseconds=150)
-"""How often a wait for a target looks whether the caller is still there: work must
-end within half a second of its leaving, with time left for the way."""
+"""Interval at which a wait for a target checks that the caller is still connected:
+work must stop within half a second of a disconnect, network delay included."""
 READ_TIMEOUT = timedelta(seconds=2)
-"""Longest wait for the rest of a head or chunk whose beginning has come."""
+"""Timeout of reads within a head or chunk that has begun to arrive."""
 MISDIRECTED = 421
 
 
 @dataclass(slots=True)
 class OpenedAnswer:
-    """A target's answer whose head was read and judged sound."""
+    """A target's answer whose head was read and found valid."""
 
     connection: TargetConnection
     head: AnswerHead
@@ -37,7 +37,7 @@
 
 
 class Forwarder:
-    """Makes attempts; safe for many threads."""
+    """Sends attempts to targets; thread-safe."""
 
     def __init__(self, pool: ConnectionPool, codec: HeaderCodec, clock: Clock) -> None:
         self._pool = pool
@@ -52,39 +52,39 @@
         caller_gone: Callable[[], bool],
         resume_after: str = "",
     ) -> AttemptResult:
-        """Send ``request`` to the target of ``grant`` and wait for an answer's head.
+        """Send ``request`` to the target of ``grant`` and wait for the answer's head.
 
-        ``until`` is when waiting ends; the target is given the time that is left
-        to the request's own deadline.
+        The wait ends at ``until``; the target is sent the time left to the deadline
+        of the request.  ``resume_after`` is the last event of a stream to resume.
         """
-        left = request.deadline - self._clock.elapsed()
-        if left <= timedelta():
+        time_left = request.deadline - self._clock.elapsed()
+        if time_left <= timedelta():
             return NotSent(AttemptReason.TIMED_OUT)
-        connection = self._pool.take(grant.target, grant.most_connections, left)
+        connection = self._pool.take(grant.target, grant.most_connections, time_left)
         if isinstance(connection, NotSent):
             return connection
-        left = request.deadline - self._clock.elapsed()
-        headers = self._codec.for_target(request, grant.target, left, grant.tier)
+        time_left = request.deadline - self._clock.elapsed()
+        headers = self._codec.for_target(request, grant.target, time_left, grant.tier)
         if resume_after:
             headers = self._codec.resumed_after(headers, resume_after)
         result = self._exchange(connection, request, headers, until, caller_gone)
         if isinstance(result, RefusedUnrun):
-            self._release_refused(connection, result)
+            self._recycle_after_refusal(connection, result)
         elif not isinstance(result, OpenedAnswer):
             self._pool.discard(connection)
         return result
 
     def finished(self, opened: OpenedAnswer) -> None:
-        """Take back the connection of an answer read to its end."""
+        """Pool or close the connection of an answer read to its end."""
         if opened.head.idle is None:
             self._pool.discard(opened.connection)
         else:
             self._pool.give_back(opened.connection, opened.head.idle)
 
-    def _release_refused(
+    def _recycle_after_refusal(
         self, connection: TargetConnection, refused: RefusedUnrun
     ) -> None:
-        """Keep the connection of a refusal if it can be read to its end."""
+        """Pool the connection of a refusal if its body can be read to the end."""
         try:
             connection.set_timeout(READ_TIMEOUT)
             connection.read_whole()
@@ -97,7 +97,7 @@
             self._pool.give_back(connection, refused.idle)
 
     def abandon(self, opened: OpenedAnswer) -> None:
-        """Close the connection of an answer that is not read on."""
+        """Close the connection of an answer that is not read to its end."""
         self._pool.discard(opened.connection)
 
     def _exchange(
@@ -108,12 +108,14 @@
         until: timedelta,
         caller_gone: Callable[[], bool],
     ) -> AttemptResult:
-        left = request.deadline - self._clock.elapsed()
+        time_left = request.deadline - self._clock.elapsed()
         try:
-            connection.send(request.method, request.uri, headers, request.body, left)
-            failure = self._await_head(connection, until, caller_gone)
-            if failure is not None:
-                return UnknownResult(failure)
+            connection.send(
+                request.method, request.uri, headers, request.body, time_left
+            )
+            abort_reason = self._await_head(connection, until, caller_gone)
+            if abort_reason is not None:
+                return UnknownResult(abort_reason)
             response = connection.read_head(READ_TIMEOUT)
         except TimeoutError:
             return UnknownResult(AttemptReason.TIMED_OUT)
@@ -123,7 +125,7 @@
         head = self._codec.read_answer(
             response.status, response.reason, names, response.will_close
         )
-        return self._judge(connection, request, head)
+        return self._classify(connection, request, head)
 
     def _await_head(
         self,
@@ -132,29 +134,29 @@
         caller_gone: Callable[[], bool],
     ) -> AttemptReason | None:
         while True:
-            left = until - self._clock.elapsed()
-            if left <= timedelta():
+            time_left = until - self._clock.elapsed()
+            if time_left <= timedelta():
                 return AttemptReason.TIMED_OUT
-            if connection.wait(min(left, WATCH_SLICE)):
+            if connection.wait(min(time_left, WATCH_SLICE)):
                 return None
             if caller_gone():
                 return AttemptReason.CALLER_GONE
 
-    def _judge(
+    def _classify(
         self, connection: TargetConnection, request: GatewayRequest, head: AnswerHead
     ) -> AttemptResult:
         if head.attempt_id != request.attempt_id:
             if head.not_run and not head.attempt_id:
-                return _unrun(head)
+                return _make_refusal(head)
             return UnknownResult(AttemptReason.WRONG_ANSWER)
         if head.not_run:
-            return _unrun(head)
+            return _make_refusal(head)
         if head.encoded or not head.sealed:
             return UnknownResult(AttemptReason.WRONG_ANSWER)
         return OpenedAnswer(connection, head)
 
 
-def _unrun(head: AnswerHead) -> RefusedUnrun:
+def _make_refusal(head: AnswerHead) -> RefusedUnrun:
     if head.status == MISDIRECTED:
         return RefusedUnrun(
             AttemptReason.MODEL_NOT_THERE,
--- a/packages/runhatch-server/src/runhatch_server/gateway/_grant.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_grant.py
@@ -1,4 +1,4 @@
-"""A place for a request at a target."""
+"""The assignment of a request to a target."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -9,7 +9,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """A place for one request at one target; must be given back by ``released``."""
+    """Permission to send one request to one target.
+
+    The holder must end it by ``Balancer.released`` or one of its variants.
+    """
 
     number: int
     target: Target
--- a/packages/runhatch-server/src/runhatch_server/gateway/_held.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_held.py
@@ -1,7 +1,7 @@
-"""Requests that wait on a node for what they ask for to be loaded.
+"""Requests held on a node until their model or adapter is loaded.
 
-One is held only as long as it can still be answered; what other nodes and later
-requests should know of it is counted at the target that it waits for.
+Requests are held only while they can still be answered in time.  Each is counted as
+load of the target it waits for, so that peers and later requests account for it.
 """
 
 import threading
@@ -21,38 +21,41 @@
 from runhatch_server.refusals import Reason
 
 ADAPTER_WAIT = timedelta(milliseconds=400)
-"""How long a request waits for an adapter whose model is held: loading one takes
-some ten milliseconds, telling of it as much again."""
+"""Maximum wait for an adapter of a loaded model: loading it takes some ten milliseconds
+and publishing that as long again."""
 PLAN_WAIT = timedelta(milliseconds=200)
 PLAN_WAIT_SHARE = 0.125
-"""How long a request waits to hear whether its model will be loaded: so long, or
-this share of its goal, in which others may be loaded first."""
+"""Maximum wait for the announcement of a model's load: the larger of ``PLAN_WAIT`` and
+this fraction of the request's goal, as other models may be loaded first."""
 LOAD_SLACK = timedelta(seconds=1)
-"""How much later than announced a load may be done."""
+"""Tolerated delay of a load beyond its announced end."""
 MOST_HELD = 48
-"""Requests that wait for a model on one node; each holds a thread."""
+"""Maximum number of held requests on a node; each blocks a thread."""
 
 
 @dataclass(frozen=True, slots=True)
 class Wait:
-    """Nothing yet; it is worth waiting for news until then."""
+    """Decision to hold a request until a target can take it, or until ``until``."""
 
     until: timedelta
     reason: Reason
     target: str = ""
     look_after: timedelta | None = None
-    """When to look again without news; ``None`` if only news can help."""
+    """Interval of checks without a notification; ``None`` if only one can help."""
 
 
 @dataclass(frozen=True, slots=True)
 class ComesTooLate:
-    """The load under way ends too late for a request; others may come after it."""
+    """Decision to refuse a request, as the load in progress ends too late for it.
+
+    A retry after ``retry_after`` can find the model loaded.
+    """
 
     retry_after: timedelta
 
 
 class HeldRequests:
-    """The held requests of one node; safe for many threads.
+    """The held requests of one node; thread-safe.
 
     ``lock`` guards ``book``.
     """
@@ -69,39 +72,39 @@
         self._book = book
         self._lock = lock
         self.count = 0
-        """Requests that wait now."""
+        """Number of requests that currently wait."""
 
     @property
     def full(self) -> bool:
-        """Whether no further request may wait."""
+        """Whether no further request may be held."""
         return self.count >= MOST_HELD
 
     def judge(
         self, request: GatewayRequest, place: HeldPlace | None
     ) -> Wait | ComesTooLate:
-        """Decide about a request whose model or adapter no target holds."""
+        """Decide whether to hold a request whose model or adapter no target holds."""
         now = self._clock.elapsed()
-        model_held = self._directory.holders(request.service, request.model, "")
-        if model_held and request.adapter:
+        model_holders = self._directory.holders(request.service, request.model, "")
+        if model_holders and request.adapter:
             until = request.received + min(ADAPTER_WAIT, request.route.goal / 2)
             return Wait(until, Reason.NO_REPLICA)
-        expected = self._directory.expected(request.service, request.model)
-        if expected is None:
-            wait = max(PLAN_WAIT, request.route.goal * PLAN_WAIT_SHARE)
-            return Wait(request.received + wait, Reason.NO_REPLICA)
-        ready_at = max(expected.ready_at, now)
+        expected_load = self._directory.expected(request.service, request.model)
+        if expected_load is None:
+            plan_wait = max(PLAN_WAIT, request.route.goal * PLAN_WAIT_SHARE)
+            return Wait(request.received + plan_wait, Reason.NO_REPLICA)
+        ready_at = max(expected_load.ready_at, now)
         with self._lock:
-            load = self._book.load(expected.target)
+            load = self._book.load(expected_load.target)
             since = now if place is None else place.since
             ahead_ms = load.held_ahead_ms(since, now) + self._book.full_work_ms(request)
-        begins = ready_at + timedelta(milliseconds=ahead_ms)
-        if begins + BEGIN_SLACK >= request.begin_by:
-            return ComesTooLate(begins - now)
+        starts_at = ready_at + timedelta(milliseconds=ahead_ms)
+        if starts_at + BEGIN_SLACK >= request.begin_by:
+            return ComesTooLate(starts_at - now)
         until = min(ready_at + LOAD_SLACK, request.begin_by - BEGIN_SLACK)
-        return Wait(until, Reason.NO_REPLICA, expected.target)
+        return Wait(until, Reason.NO_REPLICA, expected_load.target)
 
     def count_at(self, request: GatewayRequest, target: str, place: HeldPlace) -> None:
-        """Count ``request`` among what waits for a load at ``target``."""
+        """Count ``request`` as load of ``target``, which is loading its model."""
         if place.target == target:
             return
         self.leave(place)
@@ -120,14 +123,14 @@
             self._book.load(target).own[place.number] = held
 
     def leave(self, place: HeldPlace) -> None:
-        """Count a request no longer."""
+        """Stop counting a request as load of the target it waits for."""
         if place.target:
             with self._lock:
                 self._book.load(place.target).own.pop(place.number, None)
             place.target = ""
 
     def pause(self, longest: timedelta) -> None:
-        """Wait for news of the targets."""
+        """Wait at most ``longest`` for an update of the targets."""
         self.count += 1
         try:
             with self._directory.news:
--- a/packages/runhatch-server/src/runhatch_server/gateway/_known_orderer.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_known_orderer.py
@@ -1,4 +1,4 @@
-"""Which node orders the targets, by what peers and the store tell."""
+"""The node that orders the targets, as known from peers and the store."""
 
 from datetime import timedelta
 
@@ -7,46 +7,46 @@
 from runhatch_server.peers import OrdererNotice
 
 ORDERER_SILENT = timedelta(seconds=1.5)
-"""Time without a renewal after which the orderer's lease is looked at: two renewals,
-each told at once."""
+"""Time without a renewal after which the lease is checked in the store: two renewal
+intervals, as each renewal is published at once."""
 NEVER = timedelta(days=-1)
 NO_RENEWAL = -1
-"""Stands for a holder of which only its epoch has been heard."""
+"""Renewal number of a holder of which only the epoch is known."""
 
 
 class KnownOrderer:
-    """The holder with the newest epoch that was heard of; used by one thread a peer.
+    """The lease holder with the highest epoch known; called by one thread per peer.
 
-    What an earlier holder still tells is told from it by its lower epoch.
+    Late messages of a previous holder are recognized by their lower epoch.
     """
 
     def __init__(self, clock: Clock, metrics: Metrics) -> None:
         self._clock = clock
         self._metrics = metrics
-        self._renewal = (0, NO_RENEWAL)
-        self._heard_at = NEVER
-        self._behind: dict[str, int] = {}
+        self._latest_renewal = (0, NO_RENEWAL)
+        self._renewed_at = NEVER
+        self._logged_behind: dict[str, int] = {}
         self.address = ""
         self.epoch = 0
         self.newest_notice = OrdererNotice(0, NO_RENEWAL)
-        """What the holder told of its last renewal."""
+        """The latest renewal published by the holder."""
 
     @property
     def is_heard(self) -> bool:
-        """Whether the holder has renewed its lease lately."""
-        return self._clock.elapsed() - self._heard_at < ORDERER_SILENT
+        """Whether a renewal arrived within ``ORDERER_SILENT``."""
+        return self._clock.elapsed() - self._renewed_at < ORDERER_SILENT
 
     def is_behind(self, epoch: int, address: str) -> bool:
-        """Tell whether a later epoch than that of the node at ``address`` is known.
+        """Return whether a higher epoch than that of the node at ``address`` is known.
 
-        Logged once for each epoch of a node: while it still orders, targets are
-        given a lower fence after a higher one.
+        Logged once for each epoch of a node: while such a node still orders, targets
+        receive a lower fence after a higher one.
         """
         if epoch >= self.epoch:
             return False
         self._metrics.orderers_behind.inc()
-        if self._behind.get(address) != epoch:
-            self._behind[address] = epoch
+        if self._logged_behind.get(address) != epoch:
+            self._logged_behind[address] = epoch
             log_change(
                 "orderer_behind",
                 address=address,
@@ -57,7 +57,7 @@
         return True
 
     def learn(self, address: str, epoch: int) -> bool:
-        """Take in who holds the lease, and tell whether that is another epoch."""
+        """Record the holder of the lease; return whether its epoch is higher."""
         is_newer = epoch > self.epoch
         if is_newer:
             log_change("orderer", address=address, epoch=epoch, before=self.epoch)
@@ -66,17 +66,17 @@
         return is_newer
 
     def renewed(self, epoch: int, renewal: int) -> bool:
-        """Note a renewal, and tell whether it is a new one.
+        """Record a renewal; return whether it is new.
 
-        A holder that cannot renew may be heard all the same.
+        Messages of a holder that cannot renew may still arrive.
         """
-        if (epoch, renewal) <= self._renewal:
+        if (epoch, renewal) <= self._latest_renewal:
             return False
-        self._renewal = (epoch, renewal)
-        self._heard_at = self._clock.elapsed()
+        self._latest_renewal = (epoch, renewal)
+        self._renewed_at = self._clock.elapsed()
         return True
 
     def resigned(self, epoch: int) -> None:
-        """Note that the holder of ``epoch`` orders no longer."""
+        """Record that the holder of ``epoch`` has released the lease."""
         if epoch >= self.epoch:
-            self._heard_at = NEVER
+            self._renewed_at = NEVER
--- a/packages/runhatch-server/src/runhatch_server/gateway/_listeners.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_listeners.py
@@ -1,4 +1,4 @@
-"""What a gateway listens on, for callers and for other nodes."""
+"""Servers of a gateway node for callers, and its links to other nodes."""
 
 from collections.abc import Callable, Iterable
 from datetime import timedelta
@@ -11,17 +11,17 @@
 from runhatch_server.routing import RequestLimits
 
 CALLER_THREADS = 200
-"""Requests answered at once: at 30 a second and 5 s at the most, some 150."""
+"""Requests served concurrently: 30 per second of at most 5 s need about 150."""
 CALLER_CONNECTIONS = 1_500
-"""Open connections of callers; a node may use some 3,900 descriptors."""
+"""Maximum open connections of callers; a node may use about 3,900 descriptors."""
 SIDE_THREADS = 2
 SIDE_LIMITS = ServerLimits(body=1_024, header=16_384)
 IDLE_SLACK = timedelta(seconds=10)
-"""Idle connections are kept longer than callers are told: the time of day, by which
-the HTTP server judges, may jump by seconds."""
+"""Time that idle connections stay open beyond the timeout announced to callers: the
+HTTP server measures idle time by the wall clock, which may jump by seconds."""
 HEARTBEAT = timedelta(seconds=1)
 MOST_MESSAGE = 1_048_576
-"""Bytes of one message between nodes."""
+"""Maximum size of a message between nodes in bytes."""
 
 Application = Callable[..., Iterable[bytes]]
 OnBroken = Callable[[InvariantError], None]
@@ -33,7 +33,7 @@
     readiness: Application,
     metrics: Application,
 ) -> list[HttpServer]:
-    """Return the servers of a node, that of its callers first."""
+    """Return the HTTP servers of a node, the one for callers first."""
     main = HttpServer(
         callers,
         settings.callers.host,
@@ -42,14 +42,14 @@
         server_limits(RequestLimits()),
         CALLER_CONNECTIONS,
     )
-    servers = [main, _side(readiness, settings.readiness)]
+    servers = [main, _build_side_server(readiness, settings.readiness)]
     if settings.metrics is not None:
-        servers.append(_side(metrics, settings.metrics))
+        servers.append(_build_side_server(metrics, settings.metrics))
     return servers
 
 
 def server_limits(limits: RequestLimits) -> ServerLimits:
-    """Return what the server of callers is to allow."""
+    """Return the limits of the server for callers."""
     return ServerLimits(
         limits.body_bytes, limits.header_bytes, limits.idle_timeout + IDLE_SLACK
     )
@@ -61,7 +61,7 @@
     metrics: Metrics,
     on_broken: OnBroken,
 ) -> PeerLinks:
-    """Return the links to other nodes, which receive from now on."""
+    """Open the links to other nodes; they receive messages at once."""
     return PeerLinks(
         str(settings.peers),
         peers.own,
@@ -80,7 +80,7 @@
     metrics: Metrics,
     on_broken: OnBroken,
 ) -> tuple[Broadcaster | None, Listener]:
-    """Return what tells all nodes of a failure domain at once, if set, and hears it."""
+    """Return the broadcaster to a failure domain, if configured, and the listener."""
     broadcaster = None
     if settings.broadcast_port:
         url = f"tcp://{settings.peers.host}:{settings.broadcast_port}"
@@ -88,5 +88,5 @@
     return broadcaster, Listener(peers.receive, metrics, MOST_MESSAGE, on_broken)
 
 
-def _side(app: Application, endpoint: Endpoint) -> HttpServer:
+def _build_side_server(app: Application, endpoint: Endpoint) -> HttpServer:
     return HttpServer(app, endpoint.host, endpoint.port, SIDE_THREADS, SIDE_LIMITS)
