--- a/packages/runhatch-server/src/runhatch_server/fleet/__init__.py
+++ b/packages/runhatch-server/src/runhatch_server/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""Targets that are learned while the system runs."""
+"""Targets discovered at run time."""
 
 from runhatch_server.fleet._directory import Directory, ExpectedLoad
 from runhatch_server.fleet._targets import (
--- a/packages/runhatch-server/src/runhatch_server/fleet/_directory.py
+++ b/packages/runhatch-server/src/runhatch_server/fleet/_directory.py
@@ -1,7 +1,7 @@
-"""Which targets there are and what each holds, as this node knows it.
+"""Directory of the targets and the models they hold, as known to this node.
 
-Two sources are merged: the entries that targets write about themselves, which
-come late, and what the orderer of the targets tells, which comes at once.
+It merges two sources: entries that targets write to the store, which arrive late, and
+messages of the orderer, which arrive at once.
 """
 
 import threading
@@ -15,34 +15,34 @@
 from runhatch_server.observability import log_change
 
 RELIST_GRACE = timedelta(seconds=1.8)
-"""After an outage of the store, how long a target may be missing from it before it
-is taken as gone: live ones are listed again within about two seconds."""
+"""Time after an outage of the store before a target missing from it is removed: running
+targets are listed again within about two seconds."""
 TOLD_VALID = timedelta(seconds=8)
-"""How long the orderer's word on a target counts for more than the target's own
-entry.  It repeats itself every few seconds; entries are written each 1.2 s and only
-if more than adapters changed."""
+"""Time for which the orderer's report on a target takes precedence over the target's
+entry.  The orderer repeats it every few seconds; entries are written every 1.2 s and
+only if more than adapters changed."""
 OLDER_LIFE_DOUBTED = timedelta(seconds=3)
-"""How long an entry of an earlier life than the known one is passed over: what a life
-wrote before it ended arrives within seconds, and its successor writes again meanwhile.
-One that stands longer is that of a target whose clock was set back."""
+"""Time for which an entry of an older incarnation than the known one is ignored.  Late
+writes of an ended incarnation arrive within seconds, and its successor overwrites them
+meanwhile; an entry that remains is that of a target whose clock was set back."""
 RESTORED_DOUBTED = timedelta(seconds=6)
-"""After the store came back from an older copy, how long its entry of a target that
-was gone is passed over, unless the target writes it again: that of a target which has
-ended expires meanwhile."""
+"""Time after a restore of the store from an older copy for which entries of removed
+targets are ignored unless written again: those of ended targets expire meanwhile."""
 GONE_REMEMBERED = timedelta(minutes=2)
-"""How long it is remembered that a target has gone; copies are seconds old."""
+"""Time for which removed incarnations are remembered; restored copies of the store are
+only seconds old."""
 LEAVING_REMEMBERED = timedelta(minutes=10)
-"""How long a target's word that it leaves is kept: its entry may expire with an outage
-of the store and come back, ready as it was written last."""
+"""Time for which an announced drain is remembered: the target's entry may expire in an
+outage of the store and come back with the state ``ready`` as last written."""
 CORRECTION_HOLDS = timedelta(milliseconds=120)
-"""How long a target that said it lacks a model is not asked for it, unless it or
-its orderer tells something newer: an adapter may be some ten milliseconds from
-being loaded."""
+"""Time for which a target that answered that it lacks a model gets no requests for it,
+unless the orderer reports on the target: an adapter may be loaded within some ten
+milliseconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class ExpectedLoad:
-    """A load under way: ``model`` will be held by ``target`` at about ``ready_at``."""
+    """A load in progress: ``target`` will hold ``model`` at about ``ready_at``."""
 
     target: str
     model: str
@@ -50,16 +50,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Told:
+class _Report:
     held: HeldModels
-    at: timedelta
+    received_at: timedelta
 
 
 class Directory:
-    """Targets by name, one life of each; readers get immutable values.
+    """Targets by name, one incarnation of each; readers get immutable values.
 
-    ``news`` is notified whenever a request that found no target might find
-    one now.  A :class:`runhatch_coordination.FeedListener`.
+    ``news`` is notified whenever a request that found no target may find one now.
+    A :class:`runhatch_coordination.FeedListener`.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -67,154 +67,159 @@
         self.news = threading.Condition()
         self._targets: dict[str, Target] = {}
         self._by_incarnation: dict[str, Target] = {}
-        self._told: dict[str, _Told] = {}
+        self._reports: dict[str, _Report] = {}
         self._expected: dict[str, tuple[ExpectedLoad, ...]] = {}
-        self._lacking: dict[tuple[str, str, str], timedelta] = {}
-        self._missing: dict[str, timedelta] = {}
-        self._leaving: dict[str, timedelta] = {}
-        """When an incarnation said in an answer that it leaves."""
-        self._gone: dict[str, timedelta] = {}
-        """When an incarnation was removed."""
-        self._doubted: dict[str, tuple[Target, timedelta]] = {}
+        self._lacking_until: dict[tuple[str, str, str], timedelta] = {}
+        self._missing_until: dict[str, timedelta] = {}
+        self._draining: dict[str, timedelta] = {}
+        """By incarnation, when it announced that it drains."""
+        self._removed: dict[str, timedelta] = {}
+        """By incarnation, when it was removed."""
+        self._ignored_entries: dict[str, tuple[Target, timedelta]] = {}
         self._ready: defaultdict[str, dict[str, Target]] = defaultdict(dict)
-        """By service and incarnation, in order: those that take new work."""
+        """Ready targets by service and incarnation, in order of incarnation."""
         self._by_service: dict[str, tuple[Target, ...]] = {}
         self._reachable = True
-        self._regained_at = clock.elapsed()
+        self._reachable_since = clock.elapsed()
         self._restored_at = timedelta(days=-1)
         self.known = False
-        """Whether the targets were listed at least once."""
+        """Whether the targets have been listed at least once."""
 
-    # What the store tells.
+    # Updates from the store.
 
     def listed(self, entries: tuple[Entry[Target], ...]) -> None:
-        """Replace the targets by those in ``entries``."""
+        """Replace all targets by those in ``entries``."""
         with self.news:
             present = {entry.key for entry in entries if entry.value is not None}
             for key in set(self._targets) - present:
-                self._lose(key)
+                self._remove_after_grace(key)
             for entry in entries:
-                if not self._is_of_gone(entry):
-                    self._take(entry)
+                if not self._is_of_removed(entry):
+                    self._apply(entry)
             self.known = True
             self._rebuild()
 
     def changed(self, entries: tuple[Entry[Target], ...]) -> None:
-        """Take in changes of single targets."""
+        """Apply changes of single targets."""
         with self.news:
             for entry in entries:
-                self._take(entry)
+                self._apply(entry)
             self._rebuild()
 
     def restored(self) -> None:
-        """What is listed next is older than what is known, until it is written again.
+        """Record that the store was restored from an older copy.
 
-        Targets that the copy lacks may live, those that leave or have gone still do
-        though the copy says otherwise.
+        Targets missing from the copy may still run; those known to drain or to be
+        removed stay so, even if the copy lists them as ready.
         """
         now = self._clock.elapsed()
         with self.news:
-            self._regained_at = self._restored_at = now
+            self._reachable_since = self._restored_at = now
             for target in self._targets.values():
                 if target.state is TargetState.DRAINING:
-                    self._leaving.setdefault(target.incarnation, now)
+                    self._draining.setdefault(target.incarnation, now)
 
     def unreachable(self, reason: str) -> None:
-        """Nothing is heard of the targets since now."""
+        """Record that the store sends no updates from now on."""
         log_change("targets_unreachable", why=reason)
         with self.news:
             self._reachable = False
 
     def reachable(self) -> None:
-        """Targets are heard of again."""
+        """Record that the store sends updates again."""
         log_change("targets_reachable")
         with self.news:
             self._reachable = True
-            self._regained_at = self._clock.elapsed()
+            self._reachable_since = self._clock.elapsed()
 
     def settle(self) -> None:
-        """Take targets as gone that are missing for too long."""
+        """Remove targets missing for too long, and apply old entries that remained."""
         now = self._clock.elapsed()
         with self.news:
-            gone = [key for key, since in self._missing.items() if now >= since]
-            for key in gone:
+            expired = [
+                key for key, until in self._missing_until.items() if now >= until
+            ]
+            for key in expired:
                 self._remove(key, "not listed again")
-            stands = [
-                target for target, until in self._doubted.values() if now >= until
+            remaining = [
+                target
+                for target, until in self._ignored_entries.values()
+                if now >= until
             ]
-            for target in stands:
-                self._replace(target)
-            if gone or stands:
+            for target in remaining:
+                self._put(target)
+            if expired or remaining:
                 self._rebuild()
-            self._forget_unknown(now)
-            _forget_older(self._leaving, now - LEAVING_REMEMBERED)
-            _forget_older(self._gone, now - GONE_REMEMBERED)
+            self._delete_unknown(now)
+            _delete_older(self._draining, now - LEAVING_REMEMBERED)
+            _delete_older(self._removed, now - GONE_REMEMBERED)
 
-    # What the orderer and answers tell.
+    # Updates from the orderer and from answers of targets.
 
     def told(
         self, target: str, held: HeldModels, expected: Iterable[ExpectedLoad]
     ) -> None:
-        """Take in what the orderer of ``target`` says it holds, and will hold."""
+        """Record the orderer's report of what ``target`` holds and is loading."""
         self.told_all([(target, held, expected)])
 
     def told_all(
         self, holdings: Iterable[tuple[str, HeldModels, Iterable[ExpectedLoad]]]
     ) -> None:
-        """Take in what the orderer says of several targets.
+        """Record the orderer's reports on several targets.
 
-        Only these are looked at: an orderer tells some of its targets ten times a
-        second, each node hears it by several ways, and looks at none of the others.
+        Only these are refreshed: the orderer reports on some targets ten times a
+        second, and each report reaches a node by several paths.
         """
-        told = set()
+        reported = set()
         with self.news:
             now = self._clock.elapsed()
             for target, held, expected in holdings:
                 self._expected[target] = tuple(expected)
-                self._told[target] = _Told(held, now)
-                self._forget_corrections(target)
-                told.add(target)
-            if told:
-                self._show(told)
+                self._reports[target] = _Report(held, now)
+                self._delete_corrections(target)
+                reported.add(target)
+            if reported:
+                self._refresh(reported)
 
     def leaves(self, incarnation: str, source: str = "answer") -> bool:
-        """Take in that a target takes no new work any more, whatever its entry says.
+        """Record that a target drains, whatever state its entry gives.
 
-        Its entry may say so many seconds later, or never.  Tells whether it is news.
+        The entry may change many seconds later, or never.  Return whether the drain
+        was unknown.
         """
         with self.news:
-            if incarnation in self._leaving:
+            if incarnation in self._draining:
                 return False
-            self._leaving[incarnation] = self._clock.elapsed()
+            self._draining[incarnation] = self._clock.elapsed()
             target = self._by_incarnation.get(incarnation)
             if target is not None:
-                self._replace(target, source)
+                self._put(target, source)
                 self._rebuild()
         return True
 
     def correct(self, target: str, model: str, adapter: str) -> None:
-        """Note that ``target`` said that it does not hold ``model``."""
+        """Record that ``target`` answered that it does not hold ``model``."""
         with self.news:
             until = self._clock.elapsed() + CORRECTION_HOLDS
-            self._lacking[target, model, adapter] = until
+            self._lacking_until[target, model, adapter] = until
 
     def wake(self) -> None:
-        """Have requests that wait for news look again."""
+        """Wake requests that wait for an update, so that they search again."""
         with self.news:
             self.news.notify_all()
 
-    # What requests ask.
+    # Queries.
 
     def get(self, incarnation: str) -> Target | None:
-        """Return one target, if that life of it is known."""
+        """Return the target with this incarnation, if known."""
         return self._by_incarnation.get(incarnation)
 
     def all(self) -> tuple[Target, ...]:
-        """Return all targets known."""
+        """Return all known targets."""
         return tuple(self._targets.values())
 
     def ready(self, service: str) -> tuple[Target, ...]:
-        """Return the targets of ``service`` that take new work."""
+        """Return the targets of ``service`` that accept new requests."""
         return self._by_service.get(service, ())
 
     def holders(self, service: str, model: str, adapter: str) -> list[Target]:
@@ -229,7 +234,7 @@
         ]
 
     def expected(self, service: str, model: str) -> ExpectedLoad | None:
-        """Return the load under way that will be ready first, if any."""
+        """Return the load of ``model`` in progress that ends first, if any."""
         loads = [
             load
             for target in self.ready(service)
@@ -239,44 +244,44 @@
         return min(loads, key=lambda load: load.ready_at, default=None)
 
     def loads_at(self, target: str) -> tuple[ExpectedLoad, ...]:
-        """Return the loads under way at ``target``, as its orderer told."""
+        """Return the loads in progress at ``target``, as reported by the orderer."""
         return self._expected.get(target, ())
 
-    # Inside, with the lock held.
+    # The methods below require the lock of ``news``.
 
-    def _take(self, entry: Entry[Target]) -> None:
+    def _apply(self, entry: Entry[Target]) -> None:
         if entry.value is None:
-            self._lose(entry.key)
+            self._remove_after_grace(entry.key)
             return
         known = self._targets.get(entry.key)
         if known is not None and entry.value.is_older_than(known):
             log_change("target_entry_old", target=known.incarnation)
             until = self._clock.elapsed() + OLDER_LIFE_DOUBTED
-            self._doubted.setdefault(entry.key, (entry.value, until))
+            self._ignored_entries.setdefault(entry.key, (entry.value, until))
             return
-        self._replace(entry.value)
+        self._put(entry.value)
 
-    def _is_of_gone(self, entry: Entry[Target]) -> bool:
-        """Tell whether a listed entry is that of a target which has gone.
+    def _is_of_removed(self, entry: Entry[Target]) -> bool:
+        """Return whether a restored entry is that of a removed target.
 
-        It is taken later if it still stands then.
+        The entry is applied later if it still exists then.
         """
         until = self._restored_at + RESTORED_DOUBTED
         target = entry.value
         if target is None or self._clock.elapsed() >= until:
             return False
-        if target.name in self._targets or target.incarnation not in self._gone:
+        if target.name in self._targets or target.incarnation not in self._removed:
             return False
         log_change("target_entry_old", target=target.incarnation)
-        self._doubted[entry.key] = (target, until)
+        self._ignored_entries[entry.key] = (target, until)
         return True
 
-    def _replace(self, target: Target, source: str = "store") -> None:
-        """Take ``target`` for what stands under its name."""
-        if target.incarnation in self._leaving:
+    def _put(self, target: Target, source: str = "store") -> None:
+        """Store ``target`` under its name, in place of a previous one."""
+        if target.incarnation in self._draining:
             target = replace(target, state=TargetState.DRAINING)
-        self._missing.pop(target.name, None)
-        self._doubted.pop(target.name, None)
+        self._missing_until.pop(target.name, None)
+        self._ignored_entries.pop(target.name, None)
         known = self._targets.get(target.name)
         if known is not None and known.incarnation != target.incarnation:
             self._remove(target.name, "started again")
@@ -297,90 +302,91 @@
                 "target_draining",
                 target=target.incarnation,
                 source=source,
-                leaves_in=_seconds(target.leaves_in),
+                leaves_in=_to_seconds(target.leaves_in),
             )
 
-    def _lose(self, key: str) -> None:
-        """Remove a target, after a grace if the store has just come back."""
+    def _remove_after_grace(self, key: str) -> None:
+        """Remove a target, after a grace period if the store was just unreachable."""
         now = self._clock.elapsed()
-        settled = self._regained_at + RELIST_GRACE
+        grace_end = self._reachable_since + RELIST_GRACE
         if key not in self._targets:
-            self._doubted.pop(key, None)
+            self._ignored_entries.pop(key, None)
             return
-        if not self._reachable or now < settled:
-            self._missing.setdefault(key, max(now, settled))
+        if not self._reachable or now < grace_end:
+            self._missing_until.setdefault(key, max(now, grace_end))
             return
         self._remove(key, "removed from the store")
 
-    def _remove(self, key: str, why: str) -> None:
-        self._missing.pop(key, None)
-        self._doubted.pop(key, None)
+    def _remove(self, key: str, reason: str) -> None:
+        self._missing_until.pop(key, None)
+        self._ignored_entries.pop(key, None)
         target = self._targets.pop(key, None)
         if target is None:
             return
-        self._gone[target.incarnation] = self._clock.elapsed()
-        self._told.pop(target.incarnation, None)
+        self._removed[target.incarnation] = self._clock.elapsed()
+        self._reports.pop(target.incarnation, None)
         self._expected.pop(target.incarnation, None)
-        log_change("target_gone", target=target.incarnation, why=why)
+        log_change("target_gone", target=target.incarnation, why=reason)
 
-    def _forget_unknown(self, now: timedelta) -> None:
-        """Drop what was told of targets, or lives of them, that are not listed."""
+    def _delete_unknown(self, now: timedelta) -> None:
+        """Delete old reports on incarnations that are not listed."""
         unknown = [
             name
-            for name, told in self._told.items()
-            if name not in self._by_incarnation and now - told.at >= TOLD_VALID
+            for name, report in self._reports.items()
+            if name not in self._by_incarnation
+            and now - report.received_at >= TOLD_VALID
         ]
         for name in unknown:
-            del self._told[name]
+            del self._reports[name]
             self._expected.pop(name, None)
 
-    def _forget_corrections(self, target: str) -> None:
-        for key in [key for key in self._lacking if key[0] == target]:
-            del self._lacking[key]
+    def _delete_corrections(self, target: str) -> None:
+        for key in [key for key in self._lacking_until if key[0] == target]:
+            del self._lacking_until[key]
 
     def _lacks(self, target: str, model: str, adapter: str) -> bool:
-        until = self._lacking.get((target, model, adapter))
+        until = self._lacking_until.get((target, model, adapter))
         return until is not None and self._clock.elapsed() < until
 
     def _rebuild(self) -> None:
-        """Show all targets as they are known now."""
+        """Rebuild the views read by requests from all targets."""
         self._by_incarnation = {
             target.incarnation: target for target in self._targets.values()
         }
         self._ready = defaultdict(dict)
         for target in sorted(self._targets.values(), key=lambda each: each.incarnation):
             if target.is_ready:
-                shown = replace(target, held=self._newest(target))
-                self._ready[target.service][target.incarnation] = shown
+                updated = replace(target, held=self._newest_held(target))
+                self._ready[target.service][target.incarnation] = updated
         self._by_service = {
             service: tuple(targets.values()) for service, targets in self._ready.items()
         }
         self.news.notify_all()
 
-    def _show(self, told: set[str]) -> None:
-        """Show anew the targets of which something was told."""
+    def _refresh(self, incarnations: set[str]) -> None:
+        """Refresh the ready targets with these incarnations in the views."""
         services = set()
-        for incarnation in told:
+        for incarnation in incarnations:
             target = self._by_incarnation.get(incarnation)
             if target is not None and target.is_ready:
-                shown = replace(target, held=self._newest(target))
-                self._ready[target.service][incarnation] = shown
+                updated = replace(target, held=self._newest_held(target))
+                self._ready[target.service][incarnation] = updated
                 services.add(target.service)
         for service in services:
             self._by_service[service] = tuple(self._ready[service].values())
         self.news.notify_all()
 
-    def _newest(self, target: Target) -> HeldModels:
-        told = self._told.get(target.incarnation)
-        if told is None or self._clock.elapsed() - told.at >= TOLD_VALID:
+    def _newest_held(self, target: Target) -> HeldModels:
+        report = self._reports.get(target.incarnation)
+        if report is None or self._clock.elapsed() - report.received_at >= TOLD_VALID:
             return target.held
-        return told.held
+        return report.held
 
 
-def _forget_older(noted: dict[str, timedelta], earliest: timedelta) -> None:
-    for name in [name for name, at in noted.items() if at <= earliest]:
-        del noted[name]
+def _delete_older(times: dict[str, timedelta], earliest: timedelta) -> None:
+    for name in [name for name, at in times.items() if at <= earliest]:
+        del times[name]
 
 
-def _seconds(duration: timedelta | None) -> float | None:
+def _to_seconds(duration: timedelta | None) -> float | None:
     return None if duration is None else duration.total_seconds()
--- a/packages/runhatch-server/src/runhatch_server/fleet/_targets.py
+++ b/packages/runhatch-server/src/runhatch_server/fleet/_targets.py
@@ -1,4 +1,4 @@
-"""Targets as they tell of themselves while the system runs."""
+"""Targets as described by the entries that they publish about themselves."""
 
 from dataclasses import dataclass, field
 from datetime import datetime, timedelta
@@ -6,7 +6,7 @@
 
 
 class TargetState(Enum):
-    """Whether a target takes new work."""
+    """Whether a target accepts new requests."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HeldModels:
-    """What a target holds and may be asked for.
+    """The models and adapters that a target has loaded and can serve.
 
     >>> held = HeldModels({"m": frozenset({"a1"})})
     >>> held.holds("m"), held.holds("m", "a1"), held.holds("m", "a2")
@@ -24,7 +24,7 @@
     adapters_by_model: dict[str, frozenset[str]] = field(default_factory=dict)
 
     def holds(self, model: str, adapter: str = "") -> bool:
-        """Tell whether requests for ``model`` with ``adapter`` can run."""
+        """Return whether requests for ``model`` with ``adapter`` can run."""
         adapters = self.adapters_by_model.get(model)
         if adapters is None:
             return False
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredCopies:
-    """Models of which a target keeps the weights beside its accelerators."""
+    """Models whose weights a target stores in host memory or on disk."""
 
     in_memory: frozenset[str] = frozenset()
     on_disk: frozenset[str] = frozenset()
@@ -41,11 +41,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """One life of one target.
+    """One incarnation of a target.
 
-    A target may start again under its ``name``; it then holds nothing, and counts
-    its orders anew.  Its address may be given to another target later.
-    ``leaves_in`` is set when it will be taken away at short notice.
+    A target may restart under the same ``name``; it then holds no models and numbers
+    its orders from the start.  Its address may be reused by another target later.
+    ``leaves_in`` is the time to its announced removal, if it is to be removed soon.
 
     >>> from datetime import UTC
     >>> born = datetime.fromtimestamp(1.5, UTC)
@@ -66,24 +66,24 @@
     slow_start_left: timedelta = timedelta()
     leaves_in: timedelta | None = None
     started_at: datetime | None = None
-    """``None`` if it does not tell; its name is then new after each start."""
+    """``None`` if not published; the target then has a new name after each start."""
     incarnation: str = field(init=False)
-    """Names this life of it, and no other."""
+    """Unique name of this incarnation."""
 
     def __post_init__(self) -> None:
-        """Name the incarnation; it is looked at for each request."""
-        named = self.name
+        """Compute the incarnation's name once, as it is read for each request."""
+        incarnation_name = self.name
         if self.started_at is not None:
-            named += f"@{round(self.started_at.timestamp() * 1000)}"
-        object.__setattr__(self, "incarnation", named)
+            incarnation_name += f"@{round(self.started_at.timestamp() * 1000)}"
+        object.__setattr__(self, "incarnation", incarnation_name)
 
     @property
     def is_ready(self) -> bool:
-        """Whether it takes new work."""
+        """Whether the target accepts new requests."""
         return self.state is TargetState.READY
 
     def is_older_than(self, other: "Target") -> bool:
-        """Tell whether this is an earlier life than ``other``."""
+        """Return whether this incarnation started before ``other``."""
         if self.started_at is None or other.started_at is None:
             return False
         return self.started_at < other.started_at
