--- a/packages/runhatch-server/src/runhatch_server/gateway_daemon.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway_daemon.py
@@ -1,7 +1,7 @@
-"""The daemon that passes requests through, from its settings to its exit status.
+"""Entry point of the gateway daemon.
 
-It imports nothing of the daemon with declared targets: each module costs time at
-every start, and after a loss of power callers wait for it.
+It doesn't import the daemon with declared targets, as each module delays the start, and
+callers wait for the start after a power failure.
 """
 
 import sys
@@ -22,9 +22,10 @@
     outside: GatewayOutside,
     reread: Callable[[], GatewaySettings | None],
 ) -> int:
-    """Run a gateway until told to stop; returns the exit status.
+    """Run a gateway until a stop signal; return the exit status.
 
-    ``reread`` returns the settings if they have changed since it was called last.
+    ``reread`` returns the settings if they changed since its previous call, else
+    ``None``.
     """
     signals = Signals()
     configure_logs(LogLevel.CHANGE, "stdout")
@@ -36,7 +37,7 @@
         print(f"runhatchd: cannot start: {error}", file=sys.stderr)
         return EXIT_CANNOT_START
     while not signals.wait_for_stop(LOOK_EVERY):
-        # The settings may also change without a signal.
+        # Settings are also reread without a signal.
         changed = reread()
         if changed is not None:
             node.reload(changed)
