--- a/packages/runhatch-server/tests/gateway_cases.py
+++ b/packages/runhatch-server/tests/gateway_cases.py
@@ -1,4 +1,4 @@
-"""Targets, routes and requests that the gateway's tests share."""
+"""Factories of targets, routes and requests for the gateway's tests."""
 
 from datetime import UTC, datetime, timedelta
 
@@ -55,11 +55,11 @@
     state=TargetState.READY,
     born=None,
 ):
-    """Return a target; ``born`` is the Unix time of its start in seconds."""
+    """Return a target that started at the Unix time ``born`` in seconds, if given."""
     held = HeldModels({model: frozenset(adapters) for model in models})
-    started = None if born is None else datetime.fromtimestamp(born, UTC)
+    started_at = None if born is None else datetime.fromtimestamp(born, UTC)
     return Target(
-        name, service, "127.0.0.1", 1, "d1", 8, state, held, started_at=started
+        name, service, "127.0.0.1", 1, "d1", 8, state, held, started_at=started_at
     )
 
 
@@ -74,7 +74,7 @@
 
 
 def make_balancer(directory, clock, failure_domain="d1", seed=1, **callbacks):
-    """Return a balancer; what it calls of others, by name, does nothing."""
+    """Return a balancer; callbacks that are not given do nothing."""
     defaults = {
         "on_missing": ignore,
         "has_connection": lambda target: True,
@@ -90,7 +90,7 @@
 
 
 class FakeTargets:
-    """Targets for a watch over crashes: all work, but for what a test says."""
+    """Targets for crash detection: all work, except where a test sets otherwise."""
 
     def __init__(self):
         self.standings = {}
--- a/packages/runhatch-server/tests/test_known_orderer.py
+++ b/packages/runhatch-server/tests/test_known_orderer.py
@@ -1,4 +1,4 @@
-"""Which node orders the targets, and what earlier holders still tell."""
+"""The known lease holder, and late messages of previous holders."""
 
 import pytest
 from gateway_cases import seconds
@@ -9,13 +9,13 @@
 
 @pytest.fixture
 def known(clock):
-    """A node has heard of a holder of epoch 5."""
+    """Return a record of a holder with epoch 5."""
     known = KnownOrderer(clock, Metrics())
     known.learn("10.0.0.2:1", 5)
     return known
 
 
-def told(lines):
+def orderer_behind_entries(lines):
     return [
         (line["address"], line["epoch"], line["newest"])
         for line in lines
@@ -24,22 +24,24 @@
 
 
 @pytest.mark.parametrize(("epoch", "behind"), [(4, True), (5, False), (6, False)])
-def test_who_orders_by_a_lower_epoch_is_behind(known, epoch, behind):
+def test_node_with_lower_epoch_is_behind(known, epoch, behind):
     assert known.is_behind(epoch, "10.0.0.3:1") is behind
 
 
-def test_each_epoch_of_a_node_that_is_behind_is_logged_once(known, lines):
+def test_each_outdated_epoch_of_a_node_is_logged_once(known, lines):
     for epoch in (3, 3, 4, 4):
         known.is_behind(epoch, "10.0.0.3:1")
 
-    assert told(lines) == [("10.0.0.3:1", 3, 5), ("10.0.0.3:1", 4, 5)]
+    assert orderer_behind_entries(lines) == [("10.0.0.3:1", 3, 5), ("10.0.0.3:1", 4, 5)]
 
 
 @pytest.mark.parametrize(
-    ("later", "heard"), [(seconds(0), True), (ORDERER_SILENT, False)]
+    ("elapsed", "expected_heard"), [(seconds(0), True), (ORDERER_SILENT, False)]
 )
-def test_a_holder_is_heard_until_it_renews_no_more(known, clock, later, heard):
+def test_holder_counts_as_heard_until_renewals_stop(
+    known, clock, elapsed, expected_heard
+):
     assert known.renewed(5, 1)
-    clock.advance(later)
-    assert known.is_heard is heard
+    clock.advance(elapsed)
+    assert known.is_heard is expected_heard
     assert not known.renewed(5, 1)
--- a/packages/runhatch-server/tests/test_target_connections.py
+++ b/packages/runhatch-server/tests/test_target_connections.py
@@ -1,4 +1,4 @@
-"""Connections to targets against answers that targets really send, good and bad."""
+"""Connections to targets that send valid and malformed answers."""
 
 import http.client
 import socket
@@ -19,7 +19,10 @@
 
 
 class RawTarget:
-    """Answers each request on a connection with the bytes that the test gives."""
+    """Sends the given bytes, part by part, in answer to each request on a connection.
+
+    A part ``None`` closes the connection.
+    """
 
     def __init__(self):
         self._listener = socket.create_server(("127.0.0.1", 0))
@@ -60,7 +63,7 @@
 
 
 @pytest.fixture
-def raw():
+def raw_target():
     target = RawTarget()
     yield target
     target.close()
@@ -71,7 +74,7 @@
     return ConnectionPool(SystemClock())
 
 
-def ask(connection):
+def send_request(connection):
     connection.send("GET", "/", (("host", "a"),), b"", seconds(1))
     assert connection.wait(seconds(1))
     return connection.read_head(seconds(1))
@@ -85,7 +88,7 @@
 
 
 class TestReading:
-    """Bodies in each framing, whole and broken."""
+    """Complete and truncated bodies in each framing."""
 
     @pytest.mark.parametrize(
         ("parts", "body"),
@@ -95,12 +98,12 @@
             ([CHUNKED + b"2\r\nab\r\n", b"2\r\ncd\r\n0\r\n\r\n"], b"abcd"),
             ([HEAD + b"\r\nab", b"cd", None], b"abcd"),
         ],
-        ids=["at once", "with a length", "chunked", "until the end"],
+        ids=["one part", "content length", "chunked", "until close"],
     )
-    def test_whole(self, raw, pool, parts, body):
-        raw.answers = [parts]
-        connection = pool.take(raw.target(), 4, seconds(1))
-        ask(connection)
+    def test_complete_body_is_read(self, raw_target, pool, parts, body):
+        raw_target.answers = [parts]
+        connection = pool.take(raw_target.target(), 4, seconds(1))
+        send_request(connection)
 
         assert read_all(connection) == body
 
@@ -112,39 +115,39 @@
             [CHUNKED + b"5\r\nab", None],
             [CHUNKED + b"zz\r\nab\r\n0\r\n\r\n"],
         ],
-        ids=["short", "no last chunk", "within a chunk", "no chunk"],
+        ids=["short", "no last chunk", "within a chunk", "bad chunk size"],
     )
-    def test_broken_never_looks_whole(self, raw, pool, parts):
-        raw.answers = [parts]
-        connection = pool.take(raw.target(), 4, seconds(1))
-        ask(connection)
+    def test_truncated_body_raises(self, raw_target, pool, parts):
+        raw_target.answers = [parts]
+        connection = pool.take(raw_target.target(), 4, seconds(1))
+        send_request(connection)
 
         with pytest.raises((OSError, http.client.HTTPException, ValueError)):
             read_all(connection)
 
-    def test_the_end_of_a_chunk_alone_is_nothing_to_read(self, raw, pool):
-        raw.answers = [[CHUNKED + b"2\r\nab\r\n"]]
-        connection = pool.take(raw.target(), 4, seconds(1))
-        ask(connection)
+    def test_end_of_a_chunk_alone_is_not_readable(self, raw_target, pool):
+        raw_target.answers = [[CHUNKED + b"2\r\nab\r\n"]]
+        connection = pool.take(raw_target.target(), 4, seconds(1))
+        send_request(connection)
         assert connection.read_some() == b"ab"
 
         assert not connection.wait(seconds(0.05))
 
 
-class TestKeeping:
-    """Which connections are used again."""
+class TestReuse:
+    """Connections that are reused, and those that are not."""
 
-    def exchange(self, raw, pool, parts):
-        raw.answers = [parts, [SHORT]]
-        connection = pool.take(raw.target(), 4, seconds(1))
-        ask(connection)
+    def complete_exchange(self, raw_target, pool, parts):
+        raw_target.answers = [parts, [SHORT]]
+        connection = pool.take(raw_target.target(), 4, seconds(1))
+        send_request(connection)
         read_all(connection)
         time.sleep(0.05)
         pool.give_back(connection, seconds(1))
         return connection
 
     @pytest.mark.parametrize(
-        ("parts", "kept"),
+        ("parts", "reused"),
         [
             ([SHORT], True),
             ([CHUNKED + b"2\r\nab\r\n0\r\n\r\n"], True),
@@ -155,65 +158,65 @@
             ([HEAD + b"Connection: close\r\nContent-Length: 2\r\n\r\nok"], False),
         ],
         ids=[
-            "whole",
-            "whole chunked",
+            "complete",
+            "complete chunked",
             "second answer with the first",
             "second answer later",
-            "part of an answer behind",
+            "partial answer follows",
             "closed",
-            "said to close",
+            "connection close header",
         ],
     )
-    def test_only_clean_ones(self, raw, pool, parts, kept):
-        first = self.exchange(raw, pool, parts)
+    def test_only_clean_connections_are_reused(self, raw_target, pool, parts, reused):
+        first = self.complete_exchange(raw_target, pool, parts)
 
-        second = pool.take(raw.target(), 4, seconds(1))
+        second = pool.take(raw_target.target(), 4, seconds(1))
 
-        assert (second is first) is kept
+        assert (second is first) is reused
 
-    def test_not_beyond_their_idle_time(self, raw, pool):
-        first = self.exchange(raw, pool, [SHORT])
+    def test_expired_idle_connection_is_not_reused(self, raw_target, pool):
+        first = self.complete_exchange(raw_target, pool, [SHORT])
         first.idle_until = SystemClock().elapsed()
 
-        assert pool.take(raw.target(), 4, seconds(1)) is not first
+        assert pool.take(raw_target.target(), 4, seconds(1)) is not first
 
-    def test_no_more_than_allowed_are_open(self, raw, pool):
-        target = raw.target()
+    def test_open_connections_are_limited(self, raw_target, pool):
+        target = raw_target.target()
         taken = [pool.take(target, 2, seconds(1)) for _ in range(3)]
 
         assert isinstance(taken[2], NotSent)
         pool.discard(taken[0])
         assert isinstance(pool.take(target, 2, seconds(1)), TargetConnection)
 
-    def test_those_to_targets_that_are_gone_are_closed(self, raw, pool):
-        self.exchange(raw, pool, [SHORT])
+    def test_connections_to_removed_targets_are_closed(self, raw_target, pool):
+        self.complete_exchange(raw_target, pool, [SHORT])
 
         pool.close_expired(frozenset())
 
         assert not pool.has_idle("t1")
 
 
-class TestRefusing:
-    """Whether anything listens at the address of a target."""
+class TestRefusedConnections:
+    """Detection of addresses at which no process listens."""
 
-    def test_one_that_listens_does_not(self, raw, pool):
-        assert not pool.refuses(raw.target())
+    def test_listening_target_does_not_refuse(self, raw_target, pool):
+        assert not pool.refuses(raw_target.target())
 
-    def test_one_whose_process_has_ended_does(self, pool):
+    def test_target_whose_process_ended_refuses(self, pool):
         with socket.create_server(("127.0.0.1", 0)) as listener:
             target = replace(make_target(), port=listener.getsockname()[1])
             assert not pool.refuses(target)
 
         assert pool.refuses(target)
 
-    def test_a_kept_connection_that_is_open_saves_a_new_one(self, raw, pool):
-        raw.answers = [[SHORT]]
-        target = raw.target()
+    def test_open_idle_connection_avoids_a_new_one(self, raw_target, pool):
+        raw_target.answers = [[SHORT]]
+        target = raw_target.target()
         connection = pool.take(target, 1, seconds(1))
-        ask(connection)
+        send_request(connection)
         connection.read_whole()
         pool.give_back(connection, seconds(5))
-        accepted = raw.accepted
+        accepted = raw_target.accepted
 
         assert not pool.refuses(target)
-        assert raw.accepted == accepted
+        assert raw_target.accepted == accepted
--- a/packages/runhatch-server/tests/test_window_budget.py
+++ b/packages/runhatch-server/tests/test_window_budget.py
@@ -1,4 +1,4 @@
-"""The retry budget that nodes keep together."""
+"""The retry budget that bounds the retries of all nodes."""
 
 from datetime import timedelta
 
@@ -14,42 +14,45 @@
 BOUNDS = RetryBounds(share=0.2, reserve=52, window=seconds(10))
 
 
-def paid(budget, nodes, wanted):
-    return sum(budget.withdraw(nodes) for _ in range(wanted))
+def count_allowed(budget, nodes, attempts):
+    return sum(budget.withdraw(nodes) for _ in range(attempts))
 
 
 class TestWindowBudget:
-    """Retries paid for in any window."""
+    """Retries allowed in any window."""
 
     @pytest.mark.parametrize(
         ("requests", "nodes", "most"),
         [(0, 6, 6), (0, 1, 9), (100, 6, 20), (0, 100, 0)],
     )
-    def test_allows_a_share_of_requests_and_of_the_reserve(
+    def test_allows_fractions_of_requests_and_reserve(
         self, clock, requests, nodes, most
     ):
         budget = WindowBudget(BOUNDS, clock)
         for _ in range(requests):
             budget.request()
 
-        assert paid(budget, nodes, 100) == most
+        assert count_allowed(budget, nodes, 100) == most
 
-    def test_pays_again_once_the_window_has_passed(self, clock):
+    def test_budget_is_restored_after_the_window(self, clock):
         budget = WindowBudget(BOUNDS, clock)
-        first = paid(budget, 6, 100)
+        first = count_allowed(budget, 6, 100)
 
         clock.advance(seconds(9))
-        assert paid(budget, 6, 100) == 0
+        assert count_allowed(budget, 6, 100) == 0
         clock.advance(seconds(2))
-        assert paid(budget, 6, 100) == first
+        assert count_allowed(budget, 6, 100) == first
 
     @given(
         st.integers(1, 9),
         st.lists(st.tuples(st.integers(0, 8), st.booleans(), st.integers(0, 900))),
     )
-    def test_all_nodes_together_keep_the_bound_in_every_window(self, nodes, events):
-        """Restarted nodes aside, whose memory is gone; the reserve's split is for
-        them."""
+    def test_all_nodes_together_stay_within_the_bound(self, nodes, events):
+        """The sum of all nodes' retries must stay within the bound in every window.
+
+        Restarts, which lose a node's counts, are covered by the minimum split of
+        the reserve and not simulated here.
+        """
         clock = ManualClock()
         budgets = [WindowBudget(BOUNDS, clock) for _ in range(nodes)]
         requests, retries = [], []
@@ -62,7 +65,9 @@
             elif budget.withdraw(nodes):
                 retries.append(clock.elapsed())
         for end in retries:
-            begin = end - BOUNDS.window
-            in_window = sum(begin <= at <= end for at in retries)
-            asked = sum(begin <= at <= end for at in requests)
-            assert in_window <= BOUNDS.share * asked + BOUNDS.reserve
+            start = end - BOUNDS.window
+            retries_in_window = sum(start <= at <= end for at in retries)
+            requests_in_window = sum(start <= at <= end for at in requests)
+            assert (
+                retries_in_window <= BOUNDS.share * requests_in_window + BOUNDS.reserve
+            )
