--- a/packages/runhatch-server/src/runhatch_server/gateway/_permits.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_permits.py
@@ -1,8 +1,9 @@
-"""Permits of targets that name a rate limit, asked for and allocated between nodes.
+"""Request and allocate permits of rate-limited targets between nodes.
 
-The node that ranks first for a target among those alive allocates its permits.  Any
-other asks it for one a request, so nothing is told where no target is limited.  While
-nodes disagree on who is alive, one that does not take itself for the first gives none.
+The live node with the highest rank for a target allocates its permits; other nodes
+request one permit per request, so no messages are sent for targets without a limit.
+While nodes disagree on which are alive, only a node that ranks itself first grants
+permits.
 """
 
 import math
@@ -24,18 +25,18 @@
 )
 
 LOST_COUNTED = timedelta(seconds=60)
-"""How long a node that fell silent counts as one that may give out permits as well."""
+"""How long a silent node counts as one that may still be granting permits."""
 LINK_KEPT = timedelta(seconds=5)
-"""How long nodes stay linked that ask for permits, or give them out."""
+"""How long a link to a node is kept after a permit request to or from it."""
 ELSEWHERE_PAUSE = timedelta(milliseconds=200)
-"""When to ask again a node that takes another for the one that gives out permits."""
+"""Wait before requesting again from a node that considers another the allocator."""
 MILLISECOND = timedelta(milliseconds=1)
 PermitFact = RateLimitsTold | PermitAsked | PermitAnswer
-"""What nodes tell each other of rate limits."""
+"""Messages between nodes about rate limits."""
 
 
 class PermitExchange:
-    """Rate limits and permits in and out of one node; safe for many threads."""
+    """Exchanges rate limits and permits of one node with its peers; thread-safe."""
 
     def __init__(
         self,
@@ -49,44 +50,46 @@
         self._limits = limits
         self._membership = membership
         self._clock = clock
-        self._tell = tell
-        self._tell_all = tell_all
+        self._send = tell
+        self._publish = tell_all
         self._on_answer = on_answer
         self._lock = threading.Lock()
         self._buckets: dict[str, PermitBucket] = {}
-        self._used: dict[str, timedelta] = {}
-        """When each address last asked or was asked for a permit."""
+        self._used_at: dict[str, timedelta] = {}
+        """When a permit request was last sent to or received from each address."""
         limits.on_limit = self.tell_limit
         limits.on_ask = self.ask
 
     def ask(self, target: str, tier: int) -> None:
-        """Ask for a permit to send a request of ``tier`` to ``target``."""
+        """Request a permit to send a request of ``tier`` to ``target``."""
         seen = self._limits.known(target)
         if seen is None or seen.rate is None:
             return
         alive = self._membership.alive()
         allocator = self._allocator(target, alive)
         if allocator.name == self._membership.own.name:
-            wait = self._take(target, tier, seen.rate, len(alive))
-            self._answered(target, tier, wait)
+            wait = self._take_permit(target, tier, seen.rate, len(alive))
+            self._record_answer(target, tier, wait)
             return
-        self._keep_linked(allocator.address)
-        limit = self._limit_of(target, seen)
-        self._tell(allocator.address, PermitAsked(tier, limit))
+        self._record_use(allocator.address)
+        limit = self._limit_message(target, seen)
+        self._send(allocator.address, PermitAsked(tier, limit))
 
     def tell_limit(self, target: str, seen: LimitSeen) -> None:
-        """Tell peers what is news of the limit of ``target``; they pass it on."""
-        self._tell_all(RateLimitsTold([self._limit_of(target, seen)]))
+        """Publish a changed limit of ``target`` to peers, which forward it."""
+        self._publish(RateLimitsTold([self._limit_message(target, seen)]))
 
     def state(self) -> list[Fact]:
-        """Return the limits in force, for a node that has just started."""
+        """Return the limits in force as messages for a node that has just started."""
         limits = self._limits.all_limits()
         if not limits:
             return []
-        return [RateLimitsTold([self._limit_of(*limit) for limit in limits.items()])]
+        return [
+            RateLimitsTold([self._limit_message(*limit) for limit in limits.items()])
+        ]
 
     def choose_links(self, alive: list[Vm]) -> list[Vm]:
-        """Return the nodes to link to for permits."""
+        """Drop state of expired links; return the nodes to link to for permits."""
         now = self._clock.elapsed()
         limits = self._limits.all_limits()
         with self._lock:
@@ -95,79 +98,84 @@
                 for target, bucket in self._buckets.items()
                 if target in limits
             }
-            self._used = {
+            self._used_at = {
                 address: at
-                for address, at in self._used.items()
+                for address, at in self._used_at.items()
                 if now - at < LINK_KEPT
             }
-            return [vm for vm in alive if vm.address in self._used]
+            return [vm for vm in alive if vm.address in self._used_at]
 
     @singledispatchmethod
     def take_in(self, fact: PermitFact, sender: Member) -> None:
-        """Take in what a peer tells of rate limits, or asks."""
+        """Apply a message of a peer about rate limits or permits."""
         raise NotImplementedError(type(fact))
 
     @take_in.register
-    def _take_in_limits(self, fact: RateLimitsTold, sender: Member) -> None:
+    def _apply_limits(self, fact: RateLimitsTold, sender: Member) -> None:
         for limit in fact.limits:
-            self._learn(limit)
+            self._apply_limit(limit)
 
     @take_in.register
-    def _take_in_question(self, fact: PermitAsked, sender: Member) -> None:
+    def _apply_request(self, fact: PermitAsked, sender: Member) -> None:
         target = fact.limit.target
-        self._learn(fact.limit)
-        self._keep_linked(sender.address)
+        self._apply_limit(fact.limit)
+        self._record_use(sender.address)
         wait: timedelta | None = ELSEWHERE_PAUSE
         alive = self._membership.alive()
         known = self._limits.known(target)
         rate = None if known is None else known.rate
         if rate is None and known is not None:
-            self._tell(sender.address, RateLimitsTold([self._limit_of(target, known)]))
+            self._send(
+                sender.address, RateLimitsTold([self._limit_message(target, known)])
+            )
         elif self._allocator(target, alive).name != self._membership.own.name:
             with self._lock:
                 self._buckets.pop(target, None)
         elif rate is not None:
-            wait = self._take(target, fact.tier, rate, len(alive))
-        # Rounded up: one that is over at once would look like no answer.
+            wait = self._take_permit(target, fact.tier, rate, len(alive))
+        # Rounded up: the requester would take a wait of 0 for a missing answer.
         wait_ms = None if wait is None else math.ceil(wait / MILLISECOND)
-        self._tell(sender.address, PermitAnswer(target, fact.tier, wait_ms))
+        self._send(sender.address, PermitAnswer(target, fact.tier, wait_ms))
 
     @take_in.register
-    def _take_in_answer(self, fact: PermitAnswer, sender: Member) -> None:
+    def _apply_answer(self, fact: PermitAnswer, sender: Member) -> None:
         wait = None if fact.wait_ms is None else fact.wait_ms * MILLISECOND
-        self._answered(fact.target, fact.tier, wait)
+        self._record_answer(fact.target, fact.tier, wait)
         self._on_answer()
 
-    def _answered(self, target: str, tier: int, wait: timedelta | None) -> None:
+    def _record_answer(self, target: str, tier: int, wait: timedelta | None) -> None:
         if wait is None:
             self._limits.granted(target)
         else:
             self._limits.denied(target, tier, wait)
 
-    def _take(
-        self, target: str, tier: int, rate: float, alive: int
+    def _take_permit(
+        self, target: str, tier: int, rate: float, alive_count: int
     ) -> timedelta | None:
-        """Take a permit of a target whose permits this node gives out."""
+        """Take a permit of a target that this node allocates.
+
+        Return ``None`` if one is granted, else the time until the next may be.
+        """
         now = self._clock.elapsed()
-        rate *= share_of_rate(alive, self._membership.lost_within(LOST_COUNTED))
+        rate *= share_of_rate(alive_count, self._membership.lost_within(LOST_COUNTED))
         with self._lock:
             bucket = self._buckets.setdefault(target, PermitBucket(rate, now))
             return bucket.ask(tier, rate, now)
 
     def _allocator(self, target: str, alive: list[Vm]) -> Vm:
-        """Return the node that gives out the permits of ``target``."""
+        """Return the node that allocates the permits of ``target``."""
         if not alive:
             return self._membership.own
         return max(alive, key=lambda vm: weight(target, vm.name))
 
-    def _learn(self, limit: LimitOfTarget) -> None:
+    def _apply_limit(self, limit: LimitOfTarget) -> None:
         at = self._clock.elapsed() - limit.age_ms * MILLISECOND
         self._limits.told(limit.target, LimitSeen(limit.rate, at))
 
-    def _limit_of(self, target: str, seen: LimitSeen) -> LimitOfTarget:
+    def _limit_message(self, target: str, seen: LimitSeen) -> LimitOfTarget:
         age = self._clock.elapsed() - seen.at
         return LimitOfTarget(target, seen.rate, round(age / MILLISECOND))
 
-    def _keep_linked(self, address: str) -> None:
+    def _record_use(self, address: str) -> None:
         with self._lock:
-            self._used[address] = self._clock.elapsed()
+            self._used_at[address] = self._clock.elapsed()
--- a/packages/runhatch-server/src/runhatch_server/gateway/_search.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_search.py
@@ -1,4 +1,4 @@
-"""The search for a place for one request, over as many looks as it takes."""
+"""State of the search of one request for a target, and its use of permits."""
 
 from dataclasses import dataclass, field
 from datetime import timedelta
@@ -15,22 +15,22 @@
 
 @dataclass(slots=True)
 class Search:
-    """A request that looks for a place, and what it has met so far."""
+    """A request that needs a target, and the results of its search so far."""
 
     request: GatewayRequest
     tried: Tried
     tier: int
     place: HeldPlace | None = None
-    """Set once it waits on this node."""
+    """The place in this node's queue, set once the request waits."""
     asked: dict[str, timedelta] = field(default_factory=dict)
-    """When a permit of each target was asked for."""
+    """When a permit was requested, by target."""
     closed: dict[str, timedelta] = field(default_factory=dict)
-    """Until when limited targets have no permit for it."""
+    """Until when no permit is available, by target."""
 
 
 @dataclass(frozen=True, slots=True)
 class PermitWanted:
-    """A permit of ``target`` is to be asked for."""
+    """The request needs a permit of ``target``, and has to request one."""
 
     target: str
     tier: int
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Closed:
-    """``target`` has no permit for the request until then."""
+    """``target`` has no permit for the request before ``until``."""
 
     target: str
     until: timedelta
@@ -47,7 +47,10 @@
 def use_permit(
     limits: RateLimits, search: Search, target: str, tier: int, now: timedelta
 ) -> Wait | PermitWanted | Closed | None:
-    """Use a permit if ``target`` is limited; return what to do without one."""
+    """Use a permit if ``target`` is limited.
+
+    Return ``None`` if the request may be sent, else the next step.
+    """
     asked_at = search.asked.get(target)
     if limits.take(target, asked_at is not None):
         return None
@@ -56,8 +59,8 @@
         return Closed(target, opens_at)
     if asked_at is None:
         return PermitWanted(target, tier)
-    patience = min(ASK_PATIENCE, search.request.route.goal / 2)
-    left = asked_at + patience - now
+    longest_wait = min(ASK_PATIENCE, search.request.route.goal / 2)
+    left = asked_at + longest_wait - now
     if left > timedelta():
         return Wait(now + 2 * ASK_PATIENCE, Reason.TARGETS_LIMITED, look_after=left)
     limits.unanswered(target, tier)
--- a/packages/runhatch-server/tests/test_rate_limits.py
+++ b/packages/runhatch-server/tests/test_rate_limits.py
@@ -248,7 +248,7 @@
         other.limits.heard("t1", 100.0, clock.elapsed())
         clock.advance(seconds(10))
         told = []
-        other.exchange._tell = lambda address, fact: told.append(fact)
+        other.exchange._send = lambda address, fact: told.append(fact)
 
         asked = PermitAsked(URGENT, LimitOfTarget("t1", 100.0, 0))
         other.exchange.take_in(asked, Member("x", "d", "x", 1, Standing.ALIVE))
@@ -261,7 +261,7 @@
         allocator = world.allocator()
         allocator.limits.heard("t1", 100.0, clock.elapsed())
         told = []
-        allocator.exchange._tell = lambda address, fact: told.append(fact)
+        allocator.exchange._send = lambda address, fact: told.append(fact)
         sender = Member("x", "d", "x", 1, Standing.ALIVE)
         asked = PermitAsked(URGENT, LimitOfTarget("t1", 100.0, 0))
         allocator.exchange.take_in(asked, sender)
