--- a/packages/runhatch-server/src/runhatch_server/gateway/_load_exchange.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_load_exchange.py
@@ -1,11 +1,10 @@
-"""What nodes have outstanding at targets, told from node to node.
-
-The load that this answers is that of many nodes before one target.  A dozen nodes
-tell each other directly.  Among more, each would hear of a few others only, and take
-a target for idle that the rest keep busy.  There each tells the readers of its
-failure domain.  These tell the readers of other domains what the nodes of theirs have
-together, and their own domain what all nodes have.  So each node knows all, and what
-it sends and hears does not grow with their number.
+"""Exchange of the outstanding load at targets between nodes.
+
+Without it, a node takes a target for idle that other nodes keep busy.  Up to a dozen
+nodes publish their loads to each other directly.  In a larger cluster each node sends
+its loads to the readers of its failure domain.  Readers send the sum of their domain
+to the readers of other domains, and broadcast the sum of all nodes in their own.  So
+the traffic of a node does not grow with the number of nodes.
 """
 
 from collections.abc import Callable, Iterable
@@ -19,67 +18,69 @@
 from runhatch_server.peers import ALL_DOMAINS, Fact, Member, TargetLoads
 
 TELL_WHOLE_EVERY = timedelta(seconds=1)
-"""Now and then all is told, for nodes that missed some of it."""
+"""Interval between full updates, for nodes that missed a partial one."""
 SUM_EVERY = timedelta(milliseconds=100)
-"""How often a reader tells sums: of 45 targets 1.8 KB at the most, which to 20 nodes is
-2.9 Mbit/s, where a VM has 5.  Prompts take 20 to 100 ms to read."""
+"""Interval between sums sent by a reader.  The sums of 45 targets take up to 1.8 KB,
+which is 2.9 Mbit/s to 20 nodes, and a VM has 5 Mbit/s.  Reading a prompt takes 20 to
+100 ms."""
 SUMS_SILENT = timedelta(milliseconds=500)
-"""How long the first reader of a domain may be silent before the second tells sums:
-four of its pauses missed, and what a busy node is late."""
+"""How long the first reader of a domain may be silent before the second sends sums:
+four intervals, plus the delay of a busy node."""
 READING_GRAIN_MS, RUNNING_GRAIN = 20.0, 2
-"""Steps in which sums are compared: smaller changes are no news of a busy target."""
+"""Rounding steps for comparing sums: smaller changes of a busy target aren't sent."""
 IDLE_PAUSE = timedelta(seconds=1)
-"""Between two looks of a node that sums nothing at whether it is to."""
+"""Interval at which a node that sends no sums checks whether it should."""
 
 
-def _as_is(share: LoadShare) -> object:
+def _identity(share: LoadShare) -> object:
     return share
 
 
-def _coarse(share: LoadShare) -> object:
-    """Return what two sums must differ in to be told anew."""
+def _rounded(share: LoadShare) -> object:
+    """Return ``share`` rounded; sums are sent again when this value changes."""
     reading = tuple(round(ms / READING_GRAIN_MS) for ms in share.waiting_ms)
     return reading, share.waiting, share.running // RUNNING_GRAIN
 
 
 class LoadNews:
-    """Tells changes of shares by target, and all of them now and then.
+    """Selects changed shares to send, and all of them once per interval.
 
-    Shares are equal if ``looks`` of them are.
+    Two shares count as equal if ``looks`` returns equal values for them.
     """
 
-    def __init__(self, looks: Callable[[LoadShare], object] = _as_is) -> None:
-        self._looks = looks
-        self._told: Shares = {}
-        self._whole_at = timedelta(days=-1)
+    def __init__(self, looks: Callable[[LoadShare], object] = _identity) -> None:
+        self._comparison_key = looks
+        self._sent: Shares = {}
+        self._all_sent_at = timedelta(days=-1)
 
     @property
     def told(self) -> Shares:
-        """What was told last of each target."""
-        return self._told
+        """The last share sent of each target."""
+        return self._sent
 
     def take(self, shares: Shares, now: timedelta) -> tuple[Shares, bool] | None:
-        """Return what to tell of ``shares``, and whether that is all of them.
+        """Return the shares to send, and whether they are all of ``shares``.
 
-        ``None`` if there is nothing to tell.
+        Returns ``None`` if there is nothing to send.
         """
-        before = self._told
-        if now - self._whole_at >= TELL_WHOLE_EVERY:
-            self._whole_at = now
-            self._told = shares
-            return (shares, True) if shares or before else None
-        known = {**dict.fromkeys(before, LoadShare()), **shares}
+        previous = self._sent
+        if now - self._all_sent_at >= TELL_WHOLE_EVERY:
+            self._all_sent_at = now
+            self._sent = shares
+            return (shares, True) if shares or previous else None
+        merged = {**dict.fromkeys(previous, LoadShare()), **shares}
         changed = {
             target: share
-            for target, share in known.items()
-            if self._looks(share) != self._looks(before.get(target, LoadShare()))
+            for target, share in merged.items()
+            if self._comparison_key(share)
+            != self._comparison_key(previous.get(target, LoadShare()))
         }
-        self._told = {**before, **changed}
+        self._sent = {**previous, **changed}
         return (changed, False) if changed else None
 
 
 class LoadExchange:
-    """Loads in and out of one node."""
+    """Exchanges the loads of one node with its peers."""
 
     def __init__(
         self,
@@ -94,94 +95,97 @@
         self._clock = clock
         self._loads = loads
         self._tables = tables
-        self._tell = tell
-        self._tell_all = tell_all
-        self._own_news = LoadNews()
-        self._domain_news, self._all_news = LoadNews(_coarse), LoadNews(_coarse)
-        self._readers: list[Vm] = []
-        """Those that this node tells its loads; none where all tell each other."""
-        self._readers_elsewhere: list[Vm] = []
-        self._sums = False
-        self._sums_heard = timedelta(days=-1)
+        self._send = tell
+        self._publish = tell_all
+        self._own_changes = LoadNews()
+        self._domain_changes, self._total_changes = (
+            LoadNews(_rounded),
+            LoadNews(_rounded),
+        )
+        self._domain_readers: list[Vm] = []
+        """Readers that get this node's loads; empty if all nodes send to each other."""
+        self._other_domain_readers: list[Vm] = []
+        self._sends_sums = False
+        self._sums_received_at = timedelta(days=-1)
 
     @property
     def pause(self) -> timedelta:
         """How long to pause between two calls of :meth:`tell_sums`."""
-        return SUM_EVERY if self._sums else IDLE_PAUSE
+        return SUM_EVERY if self._sends_sums else IDLE_PAUSE
 
     def choose_links(self, alive: Iterable[Vm]) -> list[Vm]:
-        """Take in who is there, and return whom to keep links to for loads."""
+        """Choose the readers among ``alive``; return the nodes to link to for loads."""
         own = self._membership.own
         vms = list(alive)
-        many = len(vms) > FULL_MESH and self._tables.broadcasts
-        domains = {vm.failure_domain for vm in vms} if many else set()
+        uses_readers = len(vms) > FULL_MESH and self._tables.broadcasts
+        domains = {vm.failure_domain for vm in vms} if uses_readers else set()
         readers = [
             vm
             for domain in sorted(domains)
             for vm in choose_readers(domain, vms)
             if vm.name != own.name
         ]
-        self._readers = [
+        self._domain_readers = [
             vm for vm in readers if vm.failure_domain == own.failure_domain
         ]
-        self._sums = many and self._tables.reads
-        self._readers_elsewhere = [
-            vm for vm in readers if self._sums and vm not in self._readers
+        self._sends_sums = uses_readers and self._tables.reads
+        self._other_domain_readers = [
+            vm for vm in readers if self._sends_sums and vm not in self._domain_readers
         ]
-        return self._readers + self._readers_elsewhere
+        return self._domain_readers + self._other_domain_readers
 
     def tell_own(self) -> None:
-        """Tell what has changed of what this node has outstanding."""
-        news = self._own_news.take(self._loads.own(), self._clock.elapsed())
-        if news is None:
+        """Send the changes of this node's outstanding load."""
+        update = self._own_changes.take(self._loads.own(), self._clock.elapsed())
+        if update is None:
             return
-        fact = _loads_of(*news)
-        if not self._readers:
-            self._tell_all(fact)
-        for vm in self._readers:
-            self._tell(vm.address, fact)
+        fact = _loads_message(*update)
+        if not self._domain_readers:
+            self._publish(fact)
+        for vm in self._domain_readers:
+            self._send(vm.address, fact)
 
     def tell_sums(self) -> None:
-        """Tell, as a reader among many, what nodes have together.
+        """Send the sums of the domain and of all nodes, if this node is a reader.
 
-        The second reader of a domain does so only while the first is silent.
+        The second reader of a domain sends them only while the first is silent.
         """
         now = self._clock.elapsed()
-        heard = now - self._sums_heard < SUMS_SILENT
-        if not self._sums or (self._tables.is_second and heard):
+        is_first_heard = now - self._sums_received_at < SUMS_SILENT
+        if not self._sends_sums or (self._tables.is_second and is_first_heard):
             return
-        of_domain = self._domain_news.take(self._loads.gathered(), now)
+        of_domain = self._domain_changes.take(self._loads.gathered(), now)
         if of_domain is not None:
-            fact = _loads_of(*of_domain, self._membership.own.failure_domain)
-            for vm in self._readers_elsewhere:
-                self._tell(vm.address, fact)
-        of_all = self._all_news.take(self._loads.totals(), now)
+            fact = _loads_message(*of_domain, self._membership.own.failure_domain)
+            for vm in self._other_domain_readers:
+                self._send(vm.address, fact)
+        of_all = self._total_changes.take(self._loads.totals(), now)
         if of_all is not None:
-            self._tables.broadcast([_loads_of(*of_all, ALL_DOMAINS)])
+            self._tables.broadcast([_loads_message(*of_all, ALL_DOMAINS)])
 
     def take_in(self, fact: TargetLoads, sender: Member) -> None:
-        """Take in what one node, a domain, or all nodes have outstanding."""
+        """Apply the outstanding load of one node, a domain, or all nodes."""
         shares = {load.target: share_of_load(load) for load in fact.loads}
         if not fact.domain:
             self._loads.of_peer(sender.name, shares, fact.whole)
         elif fact.domain != ALL_DOMAINS:
             self._loads.of_domain(fact.domain, shares, fact.whole)
         else:
-            self._sums_heard = self._clock.elapsed()
-            if not self._sums:
-                # One that sums hears the nodes and the other domains themselves.
-                others = self._without_own(shares)
+            self._sums_received_at = self._clock.elapsed()
+            if not self._sends_sums:
+                # A reader receives the loads of nodes and other domains directly.
+                others = self._subtract_own(shares)
                 self._loads.of_all(others, fact.whole)
 
-    def _without_own(self, shares: Shares) -> Shares:
-        """Return the sums of all nodes without what this one has told."""
-        told = self._own_news.told
+    def _subtract_own(self, shares: Shares) -> Shares:
+        """Return the sums of all nodes without the last load this node sent."""
+        sent = self._own_changes.told
         return {
-            target: share.minus(told[target]) if target in told else share
+            target: share.minus(sent[target]) if target in sent else share
             for target, share in shares.items()
         }
 
 
-def _loads_of(shares: Shares, whole: bool, domain: str = "") -> TargetLoads:
+def _loads_message(shares: Shares, whole: bool, domain: str = "") -> TargetLoads:
     loads = [load_of_share(target, share) for target, share in shares.items()]
     return TargetLoads(loads, whole, domain)
--- a/packages/runhatch-server/src/runhatch_server/gateway/_messages.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_messages.py
@@ -1,4 +1,4 @@
-"""What headers of requests and answers say, decoded."""
+"""Decoded headers of requests and answers, and the codec protocol for them."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerHeaders:
-    """What a caller's headers say; ``passed`` is what goes on to the target."""
+    """Decoded headers of a caller; ``passed`` are forwarded to the target."""
 
     attempt_id: str
     time_left: timedelta | None
@@ -23,21 +23,22 @@
 
 @dataclass(frozen=True, slots=True)
 class HeaderFault:
-    """A header that cannot be used: which, and what is allowed."""
+    """An invalid header; ``detail`` names it and the allowed values."""
 
     detail: str
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerHead:
-    """What the head of a target's answer says.
-
-    ``attempt_id`` is the request's that it answers, empty if it names none.
-    ``sealed`` tells that the target vouches for the answer; ``not_run`` that it
-    did not run the request.  ``idle`` is how long the connection may be kept
-    without a request, ``None`` if it must not be used again.  ``leaving`` tells that
-    the target takes no new work; ``rest`` is how long it wants none from this node,
-    ``rate_limit`` how many requests a second it takes from all nodes together.
+    """The decoded head of a target's answer.
+
+    ``attempt_id`` identifies the answered request, empty if the answer names none.
+    ``sealed`` is whether the target confirms that the answer is its own, ``not_run``
+    whether it did not run the request.  ``idle`` is how long the connection may stay
+    open without a request, ``None`` if it must not be reused.  ``leaving`` is whether
+    the target drains and takes no new work; ``rest`` is the backoff that it requests
+    of this node, ``rate_limit`` the requests per second that it accepts from all
+    nodes together.
     """
 
     status: int
@@ -55,10 +56,10 @@
 
 
 class HeaderCodec(Protocol):
-    """Between headers and what they mean; the one place that knows their names."""
+    """Encodes and decodes headers; only implementations know their names."""
 
     def read_caller(self, headers: Mapping[str, str]) -> CallerHeaders | HeaderFault:
-        """Decode a caller's headers, by name in lower case."""
+        """Decode a caller's ``headers``, keyed by lower-case name."""
 
     def for_target(
         self,
@@ -69,18 +70,17 @@
     ) -> Headers:
         """Return all headers for sending ``request`` to ``target``.
 
-        It gets ``time_left`` for its work, takes requests of a lower ``tier``
-        first, and is asked to work only if it is the life of the target that is
-        meant.
+        The target has ``time_left`` for the request, prefers requests of a lower
+        ``tier``, and must run it only if it is the incarnation addressed.
         """
 
     def resumed_after(self, headers: Headers, event: str) -> Headers:
-        """Return ``headers`` with the request to go on after ``event``."""
+        """Return ``headers`` plus the one that resumes a stream after ``event``."""
 
     def read_answer(
         self, status: int, reason: str, headers: Mapping[str, str], closes: bool
     ) -> AnswerHead:
-        """Decode the head of an answer; ``closes`` if its connection ends with it."""
+        """Decode the head of an answer; ``closes`` if the connection ends after it."""
 
     def for_refusal(self, attempt_id: str) -> Headers:
-        """Return the headers by which a caller matches a refusal to its attempt."""
+        """Return the headers that let a caller match a refusal to its attempt."""
--- a/packages/runhatch-server/src/runhatch_server/gateway/_missed.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_missed.py
@@ -1,4 +1,4 @@
-"""Since when each model is missed on this node, for whoever orders the targets next."""
+"""Records since when models have been missed, for the next orderer of the targets."""
 
 from collections.abc import Callable, Iterable
 from datetime import timedelta
@@ -7,14 +7,14 @@
 
 
 class MissedModels:
-    """Models that requests of this node missed and that nobody has held since.
+    """Models that requests of this node missed and that no target has held since.
 
-    A new orderer is told of them: how long a model has been missed decides when it
-    gets its turn, and that is known to nobody else once an orderer has ended.
+    They are sent to a new orderer: the time for which a model has been missed decides
+    when it is loaded, and no other process knows it once the orderer has ended.
     """
 
     def __init__(self) -> None:
-        self._times: dict[Wanted, tuple[timedelta, timedelta]] = {}
+        self._miss_times: dict[Wanted, tuple[timedelta, timedelta]] = {}
 
     def note(
         self,
@@ -22,23 +22,23 @@
         is_held: Callable[[Wanted], bool],
         now: timedelta,
     ) -> None:
-        """Take in what was missed until ``now``, and drop what is held."""
+        """Record models missed up to ``now``; drop held and expired ones."""
         for share in shares:
             if share.missed:
-                since, _ = self._times.get(share.wanted, (now, now))
-                self._times[share.wanted] = since, now
-        over = [
+                since, _ = self._miss_times.get(share.wanted, (now, now))
+                self._miss_times[share.wanted] = since, now
+        expired = [
             wanted
-            for wanted, (_, last) in self._times.items()
-            if now - last > MISSES_REMEMBERED or is_held(wanted)
+            for wanted, (_, last_missed) in self._miss_times.items()
+            if now - last_missed > MISSES_REMEMBERED or is_held(wanted)
         ]
-        for wanted in over:
-            del self._times[wanted]
+        for wanted in expired:
+            del self._miss_times[wanted]
 
     def shares(self, now: timedelta) -> list[DemandShare]:
-        """Return what is missed, each with how long it has been."""
+        """Return missed models, each with the time for which it has been missed."""
         return [
             DemandShare(wanted, 0, 0, 0.0, now - since)
-            for wanted, (since, _) in self._times.items()
+            for wanted, (since, _) in self._miss_times.items()
             if since < now
         ]
--- a/packages/runhatch-server/src/runhatch_server/gateway/_peer_facts.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_peer_facts.py
@@ -1,4 +1,4 @@
-"""Between what a gateway decides by and the messages that tell it to peers."""
+"""Conversion between a gateway's own values and the messages to its peers."""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterable
@@ -13,7 +13,7 @@
 def summed_demand(
     recent: Iterable[tuple[timedelta, list[DemandShare]]],
 ) -> list[DemandShare]:
-    """Return what was asked for in all, without what was missed then."""
+    """Return the total demand of ``recent``, without its misses."""
     requests: Counter[Wanted] = Counter()
     work_ms: defaultdict[Wanted, float] = defaultdict(float)
     for _, shares in recent:
@@ -28,7 +28,7 @@
 
 
 def told_of_holding(holding: Holding, now: timedelta) -> HoldingOfTarget:
-    """Return the message for what a target holds, and is loading."""
+    """Return the message for the models that a target holds and loads."""
     return HoldingOfTarget(
         holding.target,
         {
@@ -42,7 +42,7 @@
 def holding_of_told(
     told: HoldingOfTarget, now: timedelta
 ) -> tuple[str, HeldModels, list[ExpectedLoad]]:
-    """Return a target, what it holds, and what it is loading."""
+    """Return the target of ``told``, the models it holds, and its running loads."""
     held = HeldModels(
         {model: frozenset(adapters) for model, adapters in told.models.items()}
     )
@@ -54,7 +54,7 @@
 
 
 def demand_of_share(share: DemandShare) -> DemandOfModel:
-    """Return the message for what was asked for."""
+    """Return the message for ``share``."""
     return DemandOfModel(
         share.wanted.service,
         share.wanted.model,
@@ -69,7 +69,7 @@
 
 
 def share_of_demand(demand: DemandOfModel) -> DemandShare:
-    """Return what a message says was asked for."""
+    """Return the demand in a message."""
     return DemandShare(
         Wanted(
             demand.service,
@@ -86,7 +86,7 @@
 
 
 def load_of_share(target: str, share: LoadShare) -> LoadOfTarget:
-    """Return the message for what a node has outstanding at ``target``."""
+    """Return the message for the outstanding load at ``target``."""
     return LoadOfTarget(
         target,
         tuple(round(waiting) for waiting in share.waiting_ms),
@@ -99,7 +99,7 @@
 
 
 def share_of_load(load: LoadOfTarget) -> LoadShare:
-    """Return what a message says that others have outstanding at a target."""
+    """Return the outstanding load at a target in a message."""
     return LoadShare(
         tuple(float(waiting) for waiting in load.waiting_ms),
         load.waiting,
--- a/packages/runhatch-server/src/runhatch_server/gateway/_peers.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_peers.py
@@ -1,4 +1,4 @@
-"""What gateways tell each other: loads, demand, and what targets hold."""
+"""Messages between gateways: loads, demand, and the models that targets hold."""
 
 import itertools
 from collections import deque
@@ -50,21 +50,21 @@
 from runhatch_server.residency import DemandShare, Holding, Resignation, Wanted
 
 DEMAND_KEPT = timedelta(seconds=2)
-"""How long demand is kept for an orderer that is not known yet, twice the time in
-which each is heard; told later still, it would look like a sudden rise."""
+"""How long demand is kept while no orderer is known: twice the time within which a
+new orderer is normally known.  Sent later, it would look like a sudden rise."""
 MISSERS_TOLD = timedelta(seconds=2)
-"""How long a node that missed a model or adapter is told what targets hold, though it
-is not linked.  Adapters are loaded within some 10 ms, and targets' own entries do not
-tell of them: requests would be refused for an adapter that is there."""
+"""How long an unlinked node that missed a model or adapter is sent the holdings of
+targets.  Adapters load in some 10 ms, and the targets' entries in the store don't list
+them, so requests would be refused for a loaded adapter."""
 DEMAND_AGAIN = timedelta(seconds=3)
-"""How far back a new orderer is told what was asked for: it knows no demand yet, and
-would let models give way that are asked for all the time."""
+"""Period of past demand that is sent to a new orderer.  It knows no demand yet, and
+would evict models that are requested all the time."""
 
 OnDemand = Callable[[str, list[DemandShare], timedelta], None]
 
 
 class GatewayPeers(MemberExchange):
-    """Facts in and out of one gateway."""
+    """Exchanges the facts of one gateway with its peers."""
 
     def __init__(
         self,
@@ -88,62 +88,62 @@
         self._on_resigned = on_resigned
         self._tables = tables
         self._orderer = KnownOrderer(clock, metrics)
-        self._asks_left = 2
-        self._numbers = itertools.count(1)
-        self._newest_told: dict[str, tuple[int, int]] = {}
+        self._member_requests_left = 2
+        self._holdings_numbers = itertools.count(1)
+        self._newest_holdings: dict[str, tuple[int, int]] = {}
         self.loads = LoadExchange(
             membership, clock, loads, tables, self.tell, self.tell_all
         )
-        """What nodes have outstanding at targets, told and heard."""
+        """Exchange of the outstanding loads at targets."""
         self.suspects = SuspectExchange(
             crashes, clock, lambda: [*self._linked], self.tell, self.tell_all
         )
-        """Under which requests targets have ended, told and heard."""
+        """Exchange of the requests during which targets have ended."""
         self.permits = PermitExchange(
             limits, membership, clock, self.tell, self.tell_all, directory.wake
         )
-        """Rate limits of targets, told and heard, and permits for them."""
-        self._told_demand = clock.elapsed()
-        self._missers: dict[str, timedelta] = {}
-        self._recent: deque[tuple[timedelta, list[DemandShare]]] = deque()
-        self._owes_recent = False
+        """Exchange of the rate limits of targets and of permits for them."""
+        self._demand_sent_at = clock.elapsed()
+        self._holdings_wanted_until: dict[str, timedelta] = {}
+        self._recent_demand: deque[tuple[timedelta, list[DemandShare]]] = deque()
+        self._owes_recent_demand = False
         self._missed = MissedModels()
 
     @property
     def orderer_epoch(self) -> int:
-        """The newest epoch of the orders' lease that was heard of."""
+        """The newest known epoch of the orders' lease."""
         return self._orderer.epoch
 
     def orderer_is_heard(self) -> bool:
-        """Tell whether the node that orders the targets has renewed its lease."""
+        """Return whether a recent renewal of the orderer's lease is known."""
         return self._orderer.is_heard
 
     def learn_orderer(self, record: LeaseRecord | None) -> None:
-        """Take in who holds the orders' lease by the store.
+        """Record the holder of the orders' lease from its record in the store.
 
-        A node that has just started has heard no peer yet.
+        A node that has just started has received no message of a peer yet.
         """
         if record is not None and record.holder and record.epoch > self._orderer.epoch:
-            self._orderer_is(record.address, record.epoch)
+            self._record_orderer(record.address, record.epoch)
 
     def tell_demand(self, counter: DemandCounter) -> None:
-        """Send what was counted to the node that orders the targets.
+        """Send the counted demand to the orderer.
 
-        While none is known it stays counted for a while: dropped, what was missed
-        would be loaded only once it is missed again.
+        While no orderer is known the demand stays counted for a while.  If it were
+        dropped, a missed model would be loaded only after another miss.
         """
         now = self._clock.elapsed()
-        if not self._orderer.address and now - self._told_demand < DEMAND_KEPT:
+        if not self._orderer.address and now - self._demand_sent_at < DEMAND_KEPT:
             return
-        self._told_demand = now
-        while self._recent and now - self._recent[0][0] > DEMAND_AGAIN:
-            self._recent.popleft()
-        if self._owes_recent and self._orderer.address:
-            self._owes_recent = False
-            recent = summed_demand(self._recent) + self._missed.shares(now)
+        self._demand_sent_at = now
+        while self._recent_demand and now - self._recent_demand[0][0] > DEMAND_AGAIN:
+            self._recent_demand.popleft()
+        if self._owes_recent_demand and self._orderer.address:
+            self._owes_recent_demand = False
+            recent = summed_demand(self._recent_demand) + self._missed.shares(now)
             self._send_demand(recent, DEMAND_AGAIN)
         shares = counter.take()
-        self._recent.append((now, shares))
+        self._recent_demand.append((now, shares))
         self._missed.note(shares, self._is_held, now)
         self._send_demand(shares, timedelta())
 
@@ -166,16 +166,16 @@
             self.tell(self._orderer.address, ModelDemand(demand, age_ms))
 
     def tell_holdings(self, epoch: int, holdings: list[Holding]) -> None:
-        """Tell peers, and this node itself, what targets hold."""
+        """Publish the models that targets hold to peers, and apply them here."""
         now = self._clock.elapsed()
-        told = [told_of_holding(holding, now) for holding in holdings]
+        messages = [told_of_holding(holding, now) for holding in holdings]
         own = self._membership.own.address
-        fact = TargetHoldings(epoch, told, next(self._numbers), own)
+        fact = TargetHoldings(epoch, messages, next(self._holdings_numbers), own)
         self.tell_all(fact)
         self._tables.broadcast([fact])
-        for address, until in list(self._missers.items()):
+        for address, until in list(self._holdings_wanted_until.items()):
             if now >= until:
-                del self._missers[address]
+                del self._holdings_wanted_until[address]
             elif not self._tables.broadcasts:
                 self.tell(address, fact)
         self._directory.told_all(
@@ -183,15 +183,15 @@
         )
 
     def tell_renewal(self, epoch: int, renewal: int) -> None:
-        """Tell peers that this node orders the targets, once a renewal."""
-        self._orderer_is(self._membership.own.address, epoch)
+        """Publish that this node is the orderer, once per renewal of its lease."""
+        self._record_orderer(self._membership.own.address, epoch)
         if self._orderer.renewed(epoch, renewal):
             notice = OrdererNotice(epoch, renewal, self._membership.own.address)
             self._orderer.newest_notice = notice
             self.tell_all(notice)
 
     def tell_resigned(self, resignation: Resignation) -> None:
-        """Tell peers that this node orders the targets no longer."""
+        """Publish that this node is no longer the orderer."""
         self._orderer.resigned(resignation.epoch)
         waits = {
             target: wait.total_seconds() for target, wait in resignation.waits.items()
@@ -202,14 +202,14 @@
         self._tables.broadcast([fact])
 
     def tell_leaving(self, target: str) -> None:
-        """Tell peers that ``target`` said in an answer that it leaves."""
+        """Publish that ``target`` drains, as it reported in an answer."""
         self.tell_all(DrainingTargets((target,)))
 
     def keep_links(self) -> None:
-        """Link to the peers that the membership asks for, and to the orderer.
+        """Link to the peers chosen by the membership, and to the orderer.
 
-        The node that orders the targets links to the readers of every failure domain
-        as well, which tell the nodes of theirs what it tells.
+        The orderer also links to the readers of every failure domain, which broadcast
+        its messages in theirs.
         """
         super().keep_links()
         if self._links is not None:
@@ -219,20 +219,22 @@
         self._tables.keep_readers()
 
     def look_for_members(self, seeds: Iterable[str]) -> None:
-        """Make this node known, and have one of ``seeds`` tell who is there.
+        """Announce this node to ``seeds`` and request the members from one of them.
 
-        It is asked twice: when all nodes start together the first answer lacks most.
+        They are requested twice: while all nodes start together, the first answer
+        lacks most members.
         """
         others = [seed for seed in seeds if seed != self._membership.own.address]
         super().look_for_members(others)
-        if others and self._asks_left:
-            self._asks_left -= 1
+        if others and self._member_requests_left:
+            self._member_requests_left -= 1
             self.tell(self._random.choice(others), StateAsked({}, members=True))
 
     def also_linked(self) -> list[Vm]:
-        """Return the nodes to link to beside those that keep all connected.
+        """Return the nodes to link to beside those that keep all nodes connected.
 
-        The orderer tells all readers; loads go by readers where nodes are many.
+        The orderer links to all readers.  Large clusters exchange loads through
+        readers.
         """
         own = self._membership.own
         alive = self._membership.alive()
@@ -244,27 +246,27 @@
         return others + [vm for vm in readers if vm.name != own.name]
 
     def tell_state(self) -> None:
-        """Tell, as a reader, what is known of tables and of who orders the targets."""
+        """Broadcast the state of the tables and the orderer, if a reader."""
         notice = self._orderer.newest_notice
         known = notice.epoch > 0 and self.orderer_is_heard()
         self._tables.tell_state([notice] if known else [])
 
     @singledispatchmethod
     def take_in(self, fact: Fact, sender: Member) -> None:
-        """Pass over what only nodes with declared targets tell each other."""
+        """Ignore facts that only nodes with declared targets exchange."""
 
     @take_in.register
-    def _take_in_version(self, fact: TableVersion, sender: Member) -> None:
-        # Passed on only if it is news, so that it dies out.
+    def _apply_version(self, fact: TableVersion, sender: Member) -> None:
+        # Forwarded only if new to this node, so that forwarding ends.
         if self._tables.take_in_version(fact):
             self.tell_all(fact)
 
     @take_in.register
-    def _take_in_news(self, fact: TableNews, sender: Member) -> None:
+    def _apply_table_changes(self, fact: TableNews, sender: Member) -> None:
         self._tables.take_in_news(fact, sender)
 
     @take_in.register
-    def _take_in_question(self, fact: StateAsked, sender: Member) -> None:
+    def _answer_state_request(self, fact: StateAsked, sender: Member) -> None:
         answer = self._tables.state_since(fact.versions)
         if fact.members:
             answer += map(member_of_fact, self._membership.facts())
@@ -275,52 +277,52 @@
             self._links.tell(sender.address, answer)
 
     @take_in.register
-    def _take_in_leaving(self, fact: DrainingTargets, sender: Member) -> None:
-        # Passed on only if it is news, so that it dies out.
+    def _apply_draining(self, fact: DrainingTargets, sender: Member) -> None:
+        # Forwarded only if new to this node, so that forwarding ends.
         for target in fact.targets:
             if self._directory.leaves(target, source="peer"):
                 self.tell_leaving(target)
 
     @take_in.register
-    def _take_in_suspects(self, fact: SuspectFact, sender: Member) -> None:
+    def _apply_suspects(self, fact: SuspectFact, sender: Member) -> None:
         self.suspects.take_in(fact, sender)
 
     @take_in.register
-    def _take_in_permits(self, fact: PermitFact, sender: Member) -> None:
+    def _apply_permits(self, fact: PermitFact, sender: Member) -> None:
         self.permits.take_in(fact, sender)
 
     @take_in.register
-    def _take_in_loads(self, fact: TargetLoads, sender: Member) -> None:
+    def _apply_loads(self, fact: TargetLoads, sender: Member) -> None:
         self.loads.take_in(fact, sender)
 
     @take_in.register
-    def _take_in_demand(self, fact: ModelDemand, sender: Member) -> None:
+    def _apply_demand(self, fact: ModelDemand, sender: Member) -> None:
         shares = [share_of_demand(each) for each in fact.demand]
         missed = [share.wanted for share in shares if share.missed]
-        orders = self._orderer.address == self._membership.own.address
-        if missed and orders and sender.address not in self._linked:
-            self._answer_misser(sender.address, missed)
+        is_orderer = self._orderer.address == self._membership.own.address
+        if missed and is_orderer and sender.address not in self._linked:
+            self._send_holders(sender.address, missed)
         self._on_demand(sender.name, shares, timedelta(milliseconds=fact.age_ms))
 
     @take_in.register
-    def _take_in_holdings(self, fact: TargetHoldings, sender: Member) -> None:
+    def _apply_holdings(self, fact: TargetHoldings, sender: Member) -> None:
         orderer = fact.orderer or sender.address
         if self._orderer.is_behind(fact.epoch, orderer):
             return
-        self._orderer_is(orderer, fact.epoch)
+        self._record_orderer(orderer, fact.epoch)
         if sender.address == orderer and self._tables.reads:
             self._tables.broadcast([fact])
         now = self._clock.elapsed()
         self._directory.told_all(
-            holding_of_told(holding, now) for holding in self._news_of(fact)
+            holding_of_told(holding, now) for holding in self._select_newer(fact)
         )
 
     @take_in.register
-    def _take_in_orderer(self, fact: OrdererNotice, sender: Member) -> None:
+    def _apply_orderer_notice(self, fact: OrdererNotice, sender: Member) -> None:
         orderer = fact.orderer or sender.address
         if self._orderer.is_behind(fact.epoch, orderer):
             return
-        self._orderer_is(orderer, fact.epoch)
+        self._record_orderer(orderer, fact.epoch)
         if not self._orderer.renewed(fact.epoch, fact.renewal):
             return
         notice = OrdererNotice(fact.epoch, fact.renewal, orderer)
@@ -328,7 +330,7 @@
         self._on_orderer(fact.epoch, fact.renewal)
 
     @take_in.register
-    def _take_in_resigned(self, fact: OrdererResigned, sender: Member) -> None:
+    def _apply_resignation(self, fact: OrdererResigned, sender: Member) -> None:
         if fact.epoch < self._orderer.epoch:
             return
         self._orderer.resigned(fact.epoch)
@@ -338,23 +340,23 @@
         if sender.address == self._orderer.address and self._tables.reads:
             self._tables.broadcast([fact])
 
-    def _news_of(self, fact: TargetHoldings) -> list[HoldingOfTarget]:
-        """Return what ``fact`` tells of targets of which nothing newer was told."""
+    def _select_newer(self, fact: TargetHoldings) -> list[HoldingOfTarget]:
+        """Return the holdings in ``fact`` that are newer than those received before."""
         if not fact.number:
             return fact.holdings
-        told = (fact.epoch, fact.number)
-        news = [
+        order = (fact.epoch, fact.number)
+        newer = [
             holding
             for holding in fact.holdings
-            if told > self._newest_told.get(holding.target, (0, 0))
+            if order > self._newest_holdings.get(holding.target, (0, 0))
         ]
-        self._newest_told.update((holding.target, told) for holding in news)
-        return news
+        self._newest_holdings.update((holding.target, order) for holding in newer)
+        return newer
 
-    def _answer_misser(self, address: str, missed: list[Wanted]) -> None:
-        """Tell a node that is not linked who holds what it did not find."""
+    def _send_holders(self, address: str, missed: list[Wanted]) -> None:
+        """Send an unlinked node the holders of the models that it missed."""
         now = self._clock.elapsed()
-        self._missers[address] = now + MISSERS_TOLD
+        self._holdings_wanted_until[address] = now + MISSERS_TOLD
         holders = {
             target.incarnation: target.held
             for wanted in missed
@@ -368,11 +370,11 @@
             Holding(target, held, self._directory.loads_at(target))
             for target, held in holders.items()
         ]
-        told = [told_of_holding(holding, now) for holding in holdings]
-        self.tell(address, TargetHoldings(self._orderer.epoch, told))
+        messages = [told_of_holding(holding, now) for holding in holdings]
+        self.tell(address, TargetHoldings(self._orderer.epoch, messages))
 
-    def _orderer_is(self, address: str, epoch: int) -> None:
+    def _record_orderer(self, address: str, epoch: int) -> None:
         if self._orderer.learn(address, epoch):
             self._on_orderer(epoch, NO_RENEWAL)
-            self._owes_recent = True
-            self._newest_told.clear()
+            self._owes_recent_demand = True
+            self._newest_holdings.clear()
--- a/packages/runhatch-server/src/runhatch_server/gateway/_shared_loads.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_shared_loads.py
@@ -1,4 +1,4 @@
-"""What nodes have outstanding at targets, for the exchange between nodes."""
+"""Locked access to the outstanding loads that nodes exchange."""
 
 import threading
 from collections.abc import Mapping
@@ -10,9 +10,9 @@
 
 
 class SharedLoads:
-    """The part of a balancer's book that nodes tell each other.
+    """The part of a balancer's load book that nodes exchange.
 
-    Safe for many threads; ``lock`` guards ``book``.
+    Thread-safe; ``lock`` guards ``book``.
     """
 
     def __init__(self, book: LoadBook, lock: threading.Lock, clock: Clock) -> None:
@@ -21,40 +21,40 @@
         self._clock = clock
 
     def own(self) -> dict[str, LoadShare]:
-        """Return what this node has outstanding at each target."""
+        """Return the outstanding load of this node by target."""
         now = self._clock.elapsed()
         with self._lock:
             return self._book.shares(now)
 
     def of_peer(self, node: str, shares: Shares, whole: bool) -> None:
-        """Take in what ``node`` has outstanding at some targets.
+        """Apply the outstanding load of ``node`` at some targets.
 
-        If ``whole``, it has nothing at others.
+        If ``whole``, it has none at any other target.
         """
         now = self._clock.elapsed()
         with self._lock:
             self._book.peer_shares(node, shares, whole, now)
 
     def of_domain(self, domain: str, shares: Shares, whole: bool) -> None:
-        """Take in what the nodes of a failure domain have outstanding together."""
+        """Apply the total outstanding load of the nodes of a failure domain."""
         now = self._clock.elapsed()
         with self._lock:
             self._book.domain_shares(domain, shares, whole, now)
 
     def of_all(self, shares: Shares, whole: bool) -> None:
-        """Take in what all other nodes have outstanding together."""
+        """Apply the total outstanding load of all other nodes."""
         now = self._clock.elapsed()
         with self._lock:
             self._book.all_shares(shares, whole, now)
 
     def gathered(self) -> dict[str, LoadShare]:
-        """Return what this node has outstanding, with those that told it themselves."""
+        """Return the load of this node plus that of nodes that sent theirs directly."""
         now = self._clock.elapsed()
         with self._lock:
             return self._book.gathered(now)
 
     def totals(self) -> dict[str, LoadShare]:
-        """Return what all nodes have outstanding, as far as it is known."""
+        """Return the known outstanding load of all nodes."""
         now = self._clock.elapsed()
         with self._lock:
             return self._book.totals(now)
