--- a/packages/runhatch-server/src/runhatch_server/gateway/_pace.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_pace.py
@@ -1,15 +1,15 @@
-"""How the events of one stream came: when the first, how far apart the others."""
+"""Measure the time of the first event of a stream and the gaps between others."""
 
 from dataclasses import dataclass
 from datetime import timedelta
 
 LEAST_EVENTS = 4
-"""Events from which the mean time between two tells of the target's speed."""
+"""Fewest events whose mean gap is a useful measure of the target's speed."""
 
 
 @dataclass(slots=True)
 class StreamPace:
-    """Times of the events of one stream, on the clock's elapsed time."""
+    """Times of the events of one stream, in elapsed time of the clock."""
 
     pieces: int = 0
     first_at: timedelta | None = None
@@ -17,7 +17,7 @@
     longest_pause: timedelta = timedelta()
 
     def piece(self, now: timedelta) -> None:
-        """Take in that a piece was passed on."""
+        """Record a piece sent to the caller at ``now``."""
         self.pieces += 1
         if self.first_at is None:
             self.first_at = now
@@ -27,7 +27,7 @@
 
     @property
     def mean_gap(self) -> timedelta | None:
-        """The mean time between two events, ``None`` if there were too few."""
+        """The mean time between events, ``None`` if there were too few."""
         if self.first_at is None or self.pieces < LEAST_EVENTS:
             return None
         return (self.last_at - self.first_at) / (self.pieces - 1)
--- a/packages/runhatch-server/src/runhatch_server/gateway/_records.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_records.py
@@ -1,4 +1,4 @@
-"""What is recorded of each request: metrics, and a line of the log at its end."""
+"""Record each request in metrics and in one log line when it ends."""
 
 from datetime import timedelta
 
@@ -12,7 +12,7 @@
 
 
 class RequestRecord:
-    """One request as it went; filled in by its run."""
+    """Attempts, timing and outcome of one request, filled in while it runs."""
 
     def __init__(self, request: GatewayRequest) -> None:
         self.request = request
@@ -22,18 +22,18 @@
         self.busy: float | None = None
         self.pause_ms: float | None = None
         self.waited = timedelta()
-        """Time that it waited on the node for a target."""
+        """Total time for which the request waited on this node for a target."""
         self.tier = 0
         self.outcome = ""
         self.status = 0
         self.retry_after: timedelta | None = None
         self.refused_by = ""
-        """The target whose word decided a refusal."""
+        """The target whose answer led to the refusal."""
         self.pace = StreamPace()
         self.first_byte: timedelta | None = None
 
     def attempt(self, grant: Grant, outcome: str) -> None:
-        """Note how one attempt ended or went on."""
+        """Record the outcome of one attempt, or the status of the answer it began."""
         if self.predicted_ms is None:
             self.predicted_ms = grant.predicted_ms
             self.busy = grant.busy
@@ -42,45 +42,45 @@
         self.attempts.append(f"{grant.target.incarnation}:{outcome}")
 
     def first_byte_after(self, took: timedelta) -> None:
-        """Note how long the target took to begin its answer."""
+        """Record the time that the target took to begin its answer."""
         self.first_byte = took
 
     def retry(self, reason: AttemptReason, paid: bool) -> None:
-        """Note that another attempt was wanted, and whether the budget paid."""
+        """Record a wanted retry, and whether the retry budget paid for it."""
         self.retries.append((reason, paid))
 
     def answered(self, status: int) -> None:
-        """Note the status of a whole answer."""
+        """Record the status of a whole answer."""
         self.outcome = "answered"
         self.status = status
 
     def streamed(self, outcome: str, pace: StreamPace) -> None:
-        """Note how a stream ended, and how its events came."""
+        """Record the outcome of a stream and the times of its events."""
         self.outcome = outcome
         self.status = 200
         self.pace = pace
 
     def is_in_time(self, now: timedelta) -> bool:
-        """Tell whether the answer was worth its full price to its caller."""
+        """Return whether a successful answer met its goal and its longest pause."""
         request = self.request
         if self.outcome != "answered" or self.status >= 300:
             return False
-        began = now if self.pace.first_at is None else self.pace.first_at
+        began_at = now if self.pace.first_at is None else self.pace.first_at
         max_gap = request.route.max_gap
-        paused = max_gap is not None and self.pace.longest_pause > max_gap
-        return began <= request.goal_at and not paused
+        exceeds_gap = max_gap is not None and self.pace.longest_pause > max_gap
+        return began_at <= request.goal_at and not exceeds_gap
 
     def refused(self, refusal: Refusal) -> None:
-        """Note a refusal."""
+        """Record a refusal."""
         self.outcome = refusal.reason.code
         self.status = refusal.reason.status
         self.retry_after = refusal.retry_after
         self.refused_by = refusal.target
-        judged_by = refusal.judged_by
-        if judged_by is not None and not self.attempts:
-            self.predicted_ms = judged_by.predicted_ms
-            self.busy = judged_by.busy
-            self.pause_ms = judged_by.pause_ms
+        prediction = refusal.judged_by
+        if prediction is not None and not self.attempts:
+            self.predicted_ms = prediction.predicted_ms
+            self.busy = prediction.busy
+            self.pause_ms = prediction.pause_ms
 
 
 class RequestRecorder:
@@ -91,7 +91,7 @@
         self._clock = clock
 
     def ended(self, record: RequestRecord) -> None:
-        """Take in one request."""
+        """Count and log one request that has ended."""
         request = record.request
         in_time = record.is_in_time(self._clock.elapsed())
         if record.outcome == "answered":
--- a/packages/runhatch-server/src/runhatch_server/gateway/_relay.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_relay.py
@@ -1,4 +1,4 @@
-"""Passing a stream on as it comes, and going on elsewhere where that is allowed."""
+"""Relay a stream to its caller, and resume it at another target where allowed."""
 
 import http.client
 from collections.abc import Callable, Generator, Iterator
@@ -20,21 +20,21 @@
 
 
 class Resumer(Protocol):
-    """Finds a target that goes on with a stream after an event."""
+    """Resumes a stream at another target."""
 
     def resume(self, after: str) -> tuple[Grant, OpenedAnswer] | None:
-        """Return the answer that goes on, ``None`` if there is none."""
+        """Return an answer that continues after event ``after``, or ``None``."""
 
     def no_answer(self, grant: Grant, reason: AttemptReason) -> None:
-        """Take in that ``grant`` brought no whole answer, and why."""
+        """Record that the attempt of ``grant`` got no whole answer, and why."""
 
 
 class StreamRelay:
-    """One stream from its head to its end, for one caller.
+    """Relays the body of one stream to one caller.
 
-    Iterating yields bytes for the caller; it ends normally only if the stream is
-    complete, and raises :class:`AbortedStreamError` otherwise, so that the
-    caller's connection is broken off.  ``on_end`` is called once, however it ends.
+    Iterating yields bytes for the caller.  It ends normally only if the stream is
+    complete, and raises :class:`AbortedStreamError` otherwise, so that the caller's
+    connection is aborted.  ``on_end`` is called once, after success or failure.
     """
 
     def __init__(
@@ -50,8 +50,8 @@
         on_end: Callable[["StreamRelay"], None],
     ) -> None:
         self._on_end = on_end
-        self._ended = False
-        self._events = self._relay()
+        self._is_closed = False
+        self._chunks = self._relay()
         self._request = request
         self._grant = grant
         self._opened = opened
@@ -61,51 +61,51 @@
         self._clock = clock
         self._caller_gone = caller_gone
         self._splitter = EventSplitter() if request.route.resumable else None
-        self._last_event = request.last_event
+        self._last_event_id = request.last_event
         self._holds_target = True
         self.pace = StreamPace()
         self.outcome = "cut"
-        """How it ended, for the log."""
+        """The outcome for the log; ``cut`` while the stream runs."""
 
     @property
     def grant(self) -> Grant:
-        """The place at the target that sent the newest part of it."""
+        """The grant at the target that sent the newest part of the stream."""
         return self._grant
 
     def __iter__(self) -> Iterator[bytes]:
         return self
 
     def __next__(self) -> bytes:
-        return next(self._events)
+        return next(self._chunks)
 
     def close(self) -> None:
-        """Let go of the target; called by the HTTP server, whatever happened."""
-        self._events.close()
-        if self._ended:
+        """Release the target; the HTTP server calls this after success or failure."""
+        self._chunks.close()
+        if self._is_closed:
             return
-        self._ended = True
-        self._leave()
+        self._is_closed = True
+        self._abandon()
         self._on_end(self)
 
     def _relay(self) -> Generator[bytes, None, None]:
         while True:
-            chunk = self._next()
+            chunk = self._read_chunk()
             if chunk is None:
                 if not self._resume():
                     raise AbortedStreamError(self._request.attempt_id)
                 continue
             if not chunk:
                 break
-            whole = self._whole_events(chunk)
-            if whole:
+            sendable = self._take_sendable(chunk)
+            if sendable:
                 self.pace.piece(self._clock.elapsed())
-                yield whole
+                yield sendable
         if self._splitter is not None and self._splitter.rest:
             yield self._splitter.rest
-        self._complete()
+        self._finish()
 
-    def _next(self) -> bytes | None:
-        """Return the next bytes, empty at the end, ``None`` if it broke off."""
+    def _read_chunk(self) -> bytes | None:
+        """Return the next bytes, empty at the end, ``None`` if the connection broke."""
         connection = self._opened.connection
         try:
             while not connection.wait(WATCH_SLICE):
@@ -120,28 +120,28 @@
         except (OSError, ValueError, http.client.HTTPException):
             return None
 
-    def _whole_events(self, chunk: bytes) -> bytes:
-        """Return what may be passed on of ``chunk``.
+    def _take_sendable(self, chunk: bytes) -> bytes:
+        """Return the part of ``chunk`` that may be sent to the caller.
 
-        Where the stream may go on elsewhere only whole events are: another target
-        would send the broken one again.
+        Only whole events of a resumable stream may be: after an interruption the
+        next target sends the incomplete event again.
         """
         if self._splitter is None:
             return chunk
         events = list(self._splitter.feed(chunk))
         for event in events:
-            found = event_id(event)
-            if found is not None:
-                self._last_event = found.decode("latin-1")
+            found_id = event_id(event)
+            if found_id is not None:
+                self._last_event_id = found_id.decode("latin-1")
         return b"".join(events)
 
     def _resume(self) -> bool:
-        self._give_up_target(faulty=True)
+        self._release_target(faulty=True)
         self._resumer.no_answer(self._grant, AttemptReason.BROKEN)
         if self._splitter is None:
             self.outcome = "target_broke_off"
             return False
-        resumed = self._resumer.resume(self._last_event)
+        resumed = self._resumer.resume(self._last_event_id)
         if resumed is None:
             self.outcome = "not_resumed"
             return False
@@ -150,7 +150,7 @@
         self._splitter = EventSplitter()
         return True
 
-    def _complete(self) -> None:
+    def _finish(self) -> None:
         self.outcome = "answered"
         self._holds_target = False
         self._forwarder.finished(self._opened)
@@ -159,14 +159,14 @@
             self._balancer.streamed(self._grant, mean_gap)
         self._balancer.released(self._grant, faulty=False)
 
-    def _leave(self) -> None:
+    def _abandon(self) -> None:
         if self._holds_target:
             if self.outcome == "cut":
                 self.outcome = "caller_gone"
-            self._give_up_target(faulty=False)
+            self._release_target(faulty=False)
             self._resumer.no_answer(self._grant, AttemptReason.CALLER_GONE)
 
-    def _give_up_target(self, faulty: bool) -> None:
+    def _release_target(self, faulty: bool) -> None:
         self._holds_target = False
         self._forwarder.abandon(self._opened)
         self._balancer.released(self._grant, faulty)
--- a/packages/runhatch-server/src/runhatch_server/gateway/_run.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_run.py
@@ -1,4 +1,4 @@
-"""One request from its first place at a target to its answer."""
+"""Run the attempts of one request, from its first target to its answer."""
 
 import http.client
 from collections.abc import Callable
@@ -30,24 +30,24 @@
 )
 
 MOST_UNRUN = 2
-"""Times a request that did not run is sent elsewhere; each is an arrival that the
-retry budget pays for."""
+"""Attempts at other targets after one that did not run the request; each is paid for
+by the retry budget."""
 MOST_UNSENT = 4
-"""Times another target is tried for one that could not be reached."""
+"""Attempts at other targets after one that could not be reached."""
 HUNG_SHARE = 0.4
-"""Share of the time left after which an answer to a request that may be repeated is
-awaited no longer, if it may still be sent to another target."""
+"""Share of the remaining time to wait for the answer to a repeatable request, if the
+request may still be sent to another target."""
 HUNG_FACTOR = 8.0
-"""It is awaited at least so many times longer than predicted."""
+"""Shortest wait for such an answer, as a multiple of the predicted time."""
 RETRY_AFTER_UNKNOWN = timedelta(milliseconds=250)
-"""When a caller may come back whose request did not run for want of a target."""
+"""Retry delay for a caller whose request no target could run."""
 SUCCESS = range(200, 300)
 SERVER_FAULT = 500
 
 
 @dataclass(frozen=True, slots=True)
 class RunParts:
-    """What all requests of a node share."""
+    """The parts of a node that all its requests share."""
 
     balancer: Balancer
     forwarder: Forwarder
@@ -57,7 +57,7 @@
 
 
 class RequestRun:
-    """The attempts of one request, straight down; used by one thread."""
+    """Makes the attempts of one request in sequence; used by one thread."""
 
     def __init__(
         self,
@@ -70,35 +70,38 @@
         self._request = request
         self._budget = budget
         self._caller_gone = caller_gone
-        self._tried = Tried()
-        self._attempts = 0
-        self._unrun = 0
-        self._unsent = 0
-        self._maybe_ran = False
+        self._tried_targets = Tried()
+        self._attempt_count = 0
+        self._unrun_count = 0
+        self._unsent_count = 0
+        self._may_have_run = False
         self.record = RequestRecord(request)
 
     def answer(self) -> GatewayAnswer | Refusal:
-        """Return the answer, which may still be arriving, or the refusal."""
+        """Return the answer, whose body may still be arriving, or the refusal."""
         while True:
-            sent = self._attempt("")
+            sent = self._send("")
             if isinstance(sent, Refusal):
-                return self._refuse(sent)
+                return self._record_refusal(sent)
             grant, opened = sent
             if self._is_stream(opened):
-                return self._stream(grant, opened)
+                return self._stream_answer(grant, opened)
             answer = self._read_whole(grant, opened)
             if isinstance(answer, Refusal):
-                return self._refuse(answer)
+                return self._record_refusal(answer)
             if answer is not None:
                 self.record.answered(answer.status)
                 self._parts.recorder.ended(self.record)
                 return answer
 
     def resume(self, after: str) -> tuple[Grant, OpenedAnswer] | None:
-        """Go on with a stream elsewhere, after the event called ``after``."""
-        if not self._may_go_on(AttemptReason.BROKEN):
+        """Resume a stream at another target after the event with id ``after``.
+
+        Return ``None`` if that is not possible.
+        """
+        if not self._may_retry(AttemptReason.BROKEN):
             return None
-        sent = self._attempt(after)
+        sent = self._send(after)
         if isinstance(sent, Refusal):
             return None
         grant, opened = sent
@@ -109,170 +112,180 @@
         return sent
 
     def no_answer(self, grant: Grant, reason: AttemptReason) -> None:
-        """Take in that ``grant`` brought no whole answer, and why."""
+        """Record that the attempt of ``grant`` got no whole answer, and why."""
         crashes, fingerprint = self._parts.crashes, self._request.fingerprint
         if reason is AttemptReason.BROKEN:
             crashes.cut_off(fingerprint, grant.target.incarnation)
         else:
             crashes.unfinished(fingerprint, grant.target.incarnation)
 
-    def _whole_answer(self, grant: Grant, sound: bool = True) -> None:
-        """Take in that ``grant`` brought one, a failure if it is not ``sound``."""
+    def _record_answer(self, grant: Grant, is_success: bool = True) -> None:
+        """Record a whole answer for ``grant``, a failed one unless ``is_success``."""
         self._parts.crashes.answered(
             self._request.fingerprint,
             grant.target.incarnation,
             grant.granted_at,
-            sound,
+            is_success,
         )
 
-    def _attempt(self, resume_after: str) -> tuple[Grant, OpenedAnswer] | Refusal:
-        """Send the request until a target has begun to answer."""
+    def _send(self, resume_after: str) -> tuple[Grant, OpenedAnswer] | Refusal:
+        """Send the request until a target begins to answer, or return a refusal."""
         while True:
-            # Also before it is sent once more: it may just have ended a target.
-            held_back = self._parts.crashes.judge(self._request.fingerprint)
-            if held_back is not None:
-                return held_back.as_unknown() if self._maybe_ran else held_back
-            asked = self._parts.clock.elapsed()
+            # Checked before retries too: the last attempt may have crashed a target.
+            suspect_refusal = self._parts.crashes.judge(self._request.fingerprint)
+            if suspect_refusal is not None:
+                return (
+                    suspect_refusal.as_unknown()
+                    if self._may_have_run
+                    else suspect_refusal
+                )
+            asked_at = self._parts.clock.elapsed()
             grant = self._parts.balancer.acquire(
-                self._request, self._tried, self._caller_gone
+                self._request, self._tried_targets, self._caller_gone
             )
-            self.record.waited += self._parts.clock.elapsed() - asked
+            self.record.waited += self._parts.clock.elapsed() - asked_at
             if isinstance(grant, Refusal):
-                return grant.as_unknown() if self._maybe_ran else grant
+                return grant.as_unknown() if self._may_have_run else grant
             result = self._parts.forwarder.send(
                 self._request,
                 grant,
-                self._patience(grant),
+                self._head_deadline(grant),
                 self._caller_gone,
                 resume_after,
             )
             if isinstance(result, OpenedAnswer):
-                self._attempts += 1
+                self._attempt_count += 1
                 self._parts.balancer.started(grant)
-                self._heed(grant, result.head)
+                self._apply_target_state(grant, result.head)
                 took = self._parts.clock.elapsed() - grant.granted_at
                 self.record.first_byte_after(took)
                 self.record.attempt(grant, f"status_{result.head.status}")
                 return grant, result
-            refusal = self._judge(grant, result)
+            refusal = self._handle_failed_attempt(grant, result)
             if refusal is not None:
                 return refusal
 
-    def _patience(self, grant: Grant) -> timedelta:
-        """Return until when the head of an answer is awaited."""
+    def _head_deadline(self, grant: Grant) -> timedelta:
+        """Return the time at which to stop waiting for the head of the answer."""
         request = self._request
-        if not request.route.may_repeat or not self._attempts_left(after=1):
+        if not request.route.may_repeat or not self._has_attempts_left(after=1):
             return request.deadline
         now = self._parts.clock.elapsed()
         predicted = timedelta(milliseconds=grant.predicted_ms) * HUNG_FACTOR
-        hung = max(predicted, (request.deadline - now) * HUNG_SHARE)
-        return min(request.deadline, now + hung)
+        longest_wait = max(predicted, (request.deadline - now) * HUNG_SHARE)
+        return min(request.deadline, now + longest_wait)
 
-    def _attempts_left(self, after: int = 0) -> bool:
-        return self._attempts + after < self._request.route.max_attempts
+    def _has_attempts_left(self, after: int = 0) -> bool:
+        return self._attempt_count + after < self._request.route.max_attempts
 
-    def _judge(self, grant: Grant, result: AttemptResult) -> Refusal | None:
-        """Give the place back; return a refusal unless another attempt is due."""
+    def _handle_failed_attempt(
+        self, grant: Grant, result: AttemptResult
+    ) -> Refusal | None:
+        """Release the grant; return a refusal unless another attempt is due."""
         balancer = self._parts.balancer
         target = grant.target.incarnation
-        self._tried = self._tried.failed_at(target)
+        self._tried_targets = self._tried_targets.failed_at(target)
         match result:
             case NotSent(reason):
                 self.record.attempt(grant, f"not_sent_{reason.value}")
                 balancer.limits.give_back(target)
-                self._unsent += 1
+                self._unsent_count += 1
                 if reason is AttemptReason.TIMED_OUT:
                     balancer.released(grant, faulty=False)
-                    return self._give_up(Reason.DEADLINE_PASSED)
+                    return self._make_refusal(Reason.DEADLINE_PASSED)
                 balancer.unreachable(grant)
-                if self._unsent <= MOST_UNSENT:
+                if self._unsent_count <= MOST_UNSENT:
                     return None
-                return self._give_up(Reason.TARGETS_BUSY)
+                return self._make_refusal(Reason.TARGETS_BUSY)
             case RefusedUnrun(reason):
                 self.record.attempt(grant, f"not_run_{reason.value}")
-                self._heed(grant, result)
+                self._apply_target_state(grant, result)
                 if reason is AttemptReason.MODEL_NOT_THERE:
                     balancer.misdirected(grant)
                 else:
-                    self._tried = self._tried.turned_away_at(target)
+                    self._tried_targets = self._tried_targets.turned_away_at(target)
                     balancer.refused(grant)
-                return self._after_unrun(reason)
+                return self._decide_after_unrun(reason)
             case UnknownResult(reason):
                 self.record.attempt(grant, f"unknown_{reason.value}")
-                self._attempts += 1
-                self._maybe_ran = True
+                self._attempt_count += 1
+                self._may_have_run = True
                 balancer.released(grant, reason is not AttemptReason.CALLER_GONE)
                 self.no_answer(grant, reason)
-                return self._after_unknown(reason)
+                return self._decide_after_unknown(reason)
             case _:
                 raise AssertionError(result)
 
-    def _heed(self, grant: Grant, answer: AnswerHead | RefusedUnrun) -> None:
-        """Do as a target asked in its answer, which counts for more than its entry."""
+    def _apply_target_state(
+        self, grant: Grant, answer: AnswerHead | RefusedUnrun
+    ) -> None:
+        """Apply drain, backoff and rate limit in an answer; they override the entry."""
         balancer = self._parts.balancer
-        rest = answer.retry_after if isinstance(answer, RefusedUnrun) else answer.rest
+        backoff = (
+            answer.retry_after if isinstance(answer, RefusedUnrun) else answer.rest
+        )
         if answer.leaving:
             balancer.leaves(grant)
-        if rest is not None:
-            balancer.rests(grant, rest)
+        if backoff is not None:
+            balancer.rests(grant, backoff)
         balancer.limits.heard(
             grant.target.incarnation, answer.rate_limit, grant.granted_at
         )
 
-    def _after_unrun(self, reason: AttemptReason) -> Refusal | None:
-        self._unrun += 1
+    def _decide_after_unrun(self, reason: AttemptReason) -> Refusal | None:
+        self._unrun_count += 1
         missing = reason is AttemptReason.MODEL_NOT_THERE
-        why = Reason.NO_REPLICA if missing else Reason.TARGETS_BUSY
-        unwilling = self._parts.balancer.unwilling(self._request, self._tried)
+        refusal_reason = Reason.NO_REPLICA if missing else Reason.TARGETS_BUSY
+        unwilling = self._parts.balancer.unwilling(self._request, self._tried_targets)
         if unwilling is not None:
-            return unwilling.as_unknown() if self._maybe_ran else unwilling
-        if self._unrun > MOST_UNRUN or not self._pay(reason):
-            return self._give_up(why)
+            return unwilling.as_unknown() if self._may_have_run else unwilling
+        if self._unrun_count > MOST_UNRUN or not self._withdraw_retry(reason):
+            return self._make_refusal(refusal_reason)
         return None
 
-    def _after_unknown(self, reason: AttemptReason) -> Refusal | None:
+    def _decide_after_unknown(self, reason: AttemptReason) -> Refusal | None:
         if reason is AttemptReason.CALLER_GONE:
             return Refusal(Reason.CALLER_GONE, Executed.UNKNOWN)
-        if self._may_go_on(reason):
+        if self._may_retry(reason):
             return None
         if self._parts.clock.elapsed() >= self._request.deadline:
-            return self._give_up(Reason.DEADLINE_PASSED)
-        return self._give_up(Reason.TARGETS_FAILED)
+            return self._make_refusal(Reason.DEADLINE_PASSED)
+        return self._make_refusal(Reason.TARGETS_FAILED)
 
-    def _may_go_on(self, reason: AttemptReason) -> bool:
-        """Tell whether a request that may have run is sent once more; pays for it."""
-        if not self._request.route.may_repeat or not self._attempts_left():
+    def _may_retry(self, reason: AttemptReason) -> bool:
+        """Return whether a request that may have run is retried; pays for the retry."""
+        if not self._request.route.may_repeat or not self._has_attempts_left():
             return False
         if self._parts.clock.elapsed() >= self._request.deadline:
             return False
-        return self._pay(reason)
+        return self._withdraw_retry(reason)
 
-    def _pay(self, reason: AttemptReason) -> bool:
-        paid = self._budget.withdraw(self._parts.balancer.nodes)
-        self.record.retry(reason, paid)
-        return paid
+    def _withdraw_retry(self, reason: AttemptReason) -> bool:
+        is_paid = self._budget.withdraw(self._parts.balancer.nodes)
+        self.record.retry(reason, is_paid)
+        return is_paid
 
-    def _give_up(self, reason: Reason) -> Refusal:
-        if self._maybe_ran:
+    def _make_refusal(self, reason: Reason) -> Refusal:
+        if self._may_have_run:
             return Refusal(reason, Executed.UNKNOWN)
         if reason.status != http.client.SERVICE_UNAVAILABLE:
-            # Nothing ran, so the caller may be told to come back.
+            # Nothing ran, so the caller may retry.
             reason = Reason.TARGETS_BUSY
         return Refusal(reason, Executed.NO, retry_after=RETRY_AFTER_UNKNOWN)
 
-    def _refuse(self, refusal: Refusal) -> Refusal:
+    def _record_refusal(self, refusal: Refusal) -> Refusal:
         if refusal.executed is Executed.UNKNOWN and refusal.reason.status == 503:
-            # That status would promise that nothing ran.
+            # Status 503 promises that nothing ran.
             refusal = Refusal(Reason.TARGETS_FAILED, Executed.UNKNOWN)
         self.record.refused(refusal)
         self._parts.recorder.ended(self.record)
         return refusal
 
     def _is_stream(self, opened: OpenedAnswer) -> bool:
-        streams = self._request.route.kind is RequestKind.STREAM
-        return streams and opened.head.status in SUCCESS
+        is_stream_route = self._request.route.kind is RequestKind.STREAM
+        return is_stream_route and opened.head.status in SUCCESS
 
-    def _stream(self, grant: Grant, opened: OpenedAnswer) -> StreamAnswer:
+    def _stream_answer(self, grant: Grant, opened: OpenedAnswer) -> StreamAnswer:
         parts = self._parts
         relay = StreamRelay(
             self._request,
@@ -283,14 +296,14 @@
             self,
             parts.clock,
             self._caller_gone,
-            self._stream_ended,
+            self._record_stream,
         )
         head = opened.head
         return StreamAnswer(head.status, head.reason, head.passed, relay)
 
-    def _stream_ended(self, relay: StreamRelay) -> None:
+    def _record_stream(self, relay: StreamRelay) -> None:
         if relay.outcome == "answered":
-            self._whole_answer(relay.grant)
+            self._record_answer(relay.grant)
         self.record.streamed(relay.outcome, relay.pace)
         self._parts.recorder.ended(self.record)
 
@@ -304,27 +317,27 @@
             opened.connection.set_timeout(left)
             body = opened.connection.read_whole()
         except TimeoutError:
-            return self._broken(grant, opened, AttemptReason.TIMED_OUT)
+            return self._handle_broken_answer(grant, opened, AttemptReason.TIMED_OUT)
         except (OSError, ValueError, http.client.HTTPException):
-            return self._broken(grant, opened, AttemptReason.BROKEN)
+            return self._handle_broken_answer(grant, opened, AttemptReason.BROKEN)
         self._parts.forwarder.finished(opened)
         failed = head.status >= SERVER_FAULT
         self._parts.balancer.released(grant, faulty=failed)
-        self._whole_answer(grant, sound=not failed)
-        self._tried = self._tried.failed_at(grant.target.incarnation)
+        self._record_answer(grant, is_success=not failed)
+        self._tried_targets = self._tried_targets.failed_at(grant.target.incarnation)
         if failed:
-            self._maybe_ran = True
-            if self._may_go_on(AttemptReason.SERVER_ERROR):
+            self._may_have_run = True
+            if self._may_retry(AttemptReason.SERVER_ERROR):
                 return None
         return WholeAnswer(head.status, head.reason, head.passed, body)
 
-    def _broken(
+    def _handle_broken_answer(
         self, grant: Grant, opened: OpenedAnswer, reason: AttemptReason
     ) -> Refusal | None:
         self._parts.forwarder.abandon(opened)
         self._parts.balancer.released(grant, faulty=True)
-        self._tried = self._tried.failed_at(grant.target.incarnation)
-        self._maybe_ran = True
+        self._tried_targets = self._tried_targets.failed_at(grant.target.incarnation)
+        self._may_have_run = True
         self.record.attempt(grant, f"unknown_{reason.value}")
         self.no_answer(grant, reason)
-        return self._after_unknown(reason)
+        return self._decide_after_unknown(reason)
--- a/packages/runhatch-server/src/runhatch_server/gateway/_service.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_service.py
@@ -1,4 +1,4 @@
-"""Serving the requests of callers, each by a run of its own."""
+"""Serve the requests of callers, each with its own run and service budget."""
 
 from collections.abc import Callable
 
@@ -11,7 +11,7 @@
 
 
 class GatewayService:
-    """Serves requests; safe for many threads."""
+    """Serves requests; thread-safe."""
 
     def __init__(self, parts: RunParts, bounds: RetryBounds) -> None:
         self._parts = parts
@@ -21,10 +21,10 @@
     def serve(
         self, request: GatewayRequest, caller_gone: Callable[[], bool]
     ) -> GatewayAnswer | Refusal:
-        """Return the answer to ``request``, which may still be arriving."""
+        """Return the answer to ``request``, whose body may still be arriving."""
         budget = self._budgets.get(request.service)
         if budget is None:
-            made = WindowBudget(self._bounds, self._parts.clock)
-            budget = self._budgets.setdefault(request.service, made)
+            new_budget = WindowBudget(self._bounds, self._parts.clock)
+            budget = self._budgets.setdefault(request.service, new_budget)
         budget.request()
         return RequestRun(self._parts, request, budget, caller_gone).answer()
