--- a/packages/runhatch-server/src/runhatch_server/gateway/_node.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_node.py
@@ -1,4 +1,4 @@
-"""A gateway put together: what it owns, how its parts refer to each other."""
+"""Build a gateway from its parts, run its tasks, and shut it down."""
 
 import threading
 import time
@@ -50,45 +50,47 @@
 from runhatch_server.routing import RouteTable
 
 SUSPECT_AFTER = timedelta(seconds=3.5)
-"""Three heartbeats lost."""
+"""Three lost heartbeats."""
 ORDERS_LEASE = "orders"
 LEASE_TTL = timedelta(seconds=2)
-"""Long enough for two renewals to fail, short enough for models to be loaded again
-within some seconds of the holder's death."""
+"""Allows two renewals to fail, and lets models be loaded again within a few seconds
+after the holder crashes."""
 LEASE_EVERY = timedelta(milliseconds=300)
 LEASE_CANDIDATES = 3
-"""Nodes that challenge the lease; were all to, the store's reads would grow with
-their number."""
+"""Number of nodes that try to acquire the lease; if all did, reads of the store would
+grow with the number of nodes."""
 SHARE_EVERY = timedelta(milliseconds=250)
-"""How often loads and demand are told at least; each request that is sent is told
-of at once, since its prompt takes some 100 ms to read and others are sent by it."""
+"""Longest interval between messages with loads and demand.  A request that is sent
+causes one at once, as reading its prompt takes some 100 ms and other nodes choose
+targets by it."""
 SHARE_TOGETHER = timedelta(milliseconds=25)
-"""Requests that are sent within so long are told of together."""
+"""Requests sent within this time are reported in one message."""
 ORDER_EVERY = timedelta(milliseconds=60)
-"""Between two rounds of the orderer; an adapter takes some 10 ms to load."""
+"""Interval between rounds of the orderer; an adapter loads in some 10 ms."""
 ORDER_IDLE = timedelta(seconds=1)
-"""The same on a node that orders nothing, which rounds would cost processor time for
-nothing: it is woken when it takes the lease."""
+"""Interval on a node without work for the orderer, to save processor time; taking the
+lease starts a round at once."""
 SETTLE_EVERY = timedelta(milliseconds=500)
-"""Between two looks at what is gone: targets are kept 1.8 s when they are missing."""
+"""Interval between removals of expired state; missing targets are kept for 1.8 s."""
 LEAST_STOP = timedelta(seconds=4.2)
-"""How long a stopping node serves on at least: the balancer asks once a second, needs
-two misses, and callers have connections open by then."""
+"""Shortest time for which a stopping node keeps serving.  The load balancer checks
+readiness once a second and needs two failures, and callers have open connections."""
 QUIET = timedelta(milliseconds=300)
-"""Without a request for so long, a stopping node has served its last."""
+"""Time without a request after which a stopping node stops serving."""
 RESIGNED_AHEAD = timedelta(milliseconds=30)
-"""How long before the orders' lease is released peers are told: a message takes some
-milliseconds, and a successor that has heard orders most targets at once."""
+"""Time between the notice to peers and the release of the orders' lease.  A message
+takes a few milliseconds, and a successor that has received the notice can order most
+targets at once."""
 KILL_SLACK = timedelta(milliseconds=500)
-"""A stopping node ends so long before it would be killed."""
+"""Time before the kill at which a stopping node ends at the latest."""
 
 
 class GatewayNode:
-    """A whole gateway; ``start`` returns, ``drain`` ends it."""
+    """A gateway; ``start`` returns once it runs, ``drain`` shuts it down."""
 
     def __init__(self, settings: GatewaySettings, outside: GatewayOutside) -> None:
         self._settings = settings
-        self._outside = outside
+        self._platform = outside
         self._clock = outside.clock
         self._stopping = threading.Event()
         self._metrics = Metrics()
@@ -96,7 +98,7 @@
         self._progress = Progress()
         self._demand = DemandCounter()
         self._directory = Directory(self._clock)
-        self._keeper = ConfigurationKeeper(self._on_routes, self._metrics)
+        self._configuration = ConfigurationKeeper(self._on_routes, self._metrics)
         self._pool = ConnectionPool(self._clock)
         self._limits = RateLimits(self._clock, self._metrics)
         self._balancer = Balancer(
@@ -131,7 +133,7 @@
             self._tables,
             self._crashes,
         )
-        self._order_now = threading.Event()
+        self._order_wanted = threading.Event()
         self._links: PeerLinks | None = None
         self._app = self._build_app()
         self._servers = build_servers(
@@ -139,39 +141,43 @@
         )
 
     def is_ready(self) -> bool:
-        """Tell whether the balancer should send requests here."""
-        known = self._keeper.routes is not None and self._directory.known
-        return known and not self._stopping.is_set()
+        """Return whether the load balancer should send requests to this node."""
+        is_configured = self._configuration.routes is not None and self._directory.known
+        return is_configured and not self._stopping.is_set()
 
     def start(self) -> None:
-        """Open the listeners and start every task."""
+        """Open the listeners and start all tasks."""
         self._open_links()
         self._tables.start()
-        self._tasks.every("settle", SETTLE_EVERY, self._settle)
+        self._tasks.every("settle", SETTLE_EVERY, self._remove_expired)
         self._tasks.every(
-            "members", HEARTBEAT, self._keep_members, self._peers.met_member
+            "members", HEARTBEAT, self._update_members, self._peers.met_member
+        )
+        self._tasks.every("readers", self._tables.told_every, self._update_tables)
+        self._tasks.every("lease", LEASE_EVERY, self._update_lease)
+        self._tasks.every(
+            "share", SHARE_EVERY, self._send_loads_and_demand, self._demand.wake
         )
-        self._tasks.every("readers", self._tables.told_every, self._keep_tables)
-        self._tasks.every("lease", LEASE_EVERY, self._keep_lease)
-        self._tasks.every("share", SHARE_EVERY, self._share, self._demand.wake)
         self._tasks.every(
             "crashes", LOOK_EVERY, self._crashes.look_again, self._crashes.doubts
         )
         self._tasks.every("suspects", ASK_EVERY, self._peers.suspects.ask)
-        self._tasks.every("sums", self._sum_pause, self._peers.loads.tell_sums)
-        self._tasks.every("orders", self._order_pause, self._order, self._order_now)
+        self._tasks.every("sums", self._sums_interval, self._peers.loads.tell_sums)
+        self._tasks.every(
+            "orders", self._order_interval, self._run_orderer, self._order_wanted
+        )
         for server in self._servers:
             server.start()
         log_change("started", node=self._settings.name)
 
     def reload(self, settings: GatewaySettings) -> None:
-        """Put changed settings in force; addresses to listen on need a new start."""
+        """Apply changed settings; changed listen addresses need a restart."""
         log_change("reload", node=settings.name, seeds=len(settings.seeds))
         self._settings = settings
 
     def drain(self) -> None:
-        """Stop taking requests and finish those there are, within the grace."""
-        begun = self._clock.elapsed()
+        """Stop accepting requests and finish running ones within the shutdown grace."""
+        started_at = self._clock.elapsed()
         log_change("stopping", in_progress=self._progress.count)
         self._stopping.set()
         self._app.draining = True
@@ -183,16 +189,16 @@
             self._peers.tell_resigned(resignation)
             self._clock.sleep(RESIGNED_AHEAD)
         self._orderer.release()
-        latest = begun + self._settings.shutdown_grace - KILL_SLACK
-        self._sleep_until(min(begun + LEAST_STOP, latest))
-        callers = self._servers[0]
-        callers.stop_listening()
-        callers.close_idle()
-        while self._clock.elapsed() < latest:
-            seen = self._progress.begun
+        ends_at = started_at + self._settings.shutdown_grace - KILL_SLACK
+        self._sleep_until(min(started_at + LEAST_STOP, ends_at))
+        caller_server = self._servers[0]
+        caller_server.stop_listening()
+        caller_server.close_idle()
+        while self._clock.elapsed() < ends_at:
+            begun_count = self._progress.begun
             if self._progress.wait_idle(QUIET):
                 self._clock.sleep(QUIET)
-                if self._progress.begun == seen:
+                if self._progress.begun == begun_count:
                     break
         if self._links is not None:
             self._links.close()
@@ -200,33 +206,33 @@
         log_change("stopped", in_progress=self._progress.count)
 
     def on_broken_invariant(self, stop: Callable[[InvariantError], None]) -> None:
-        """Have ``stop`` called if a task finds a promise broken."""
+        """Set ``stop`` to be called if a task finds a broken invariant."""
         self._tasks.on_broken = stop
 
     def _build_app(self) -> GatewayApp:
-        forwarder = Forwarder(self._pool, self._outside.headers, self._clock)
+        forwarder = Forwarder(self._pool, self._platform.headers, self._clock)
         recorder = RequestRecorder(self._metrics, self._clock)
         parts = RunParts(
             self._balancer, forwarder, recorder, self._crashes, self._clock
         )
         return GatewayApp(
             GatewayService(parts, self._settings.retries),
-            self._outside.headers,
+            self._platform.headers,
             self._progress,
             self._metrics,
             self._clock,
-            self._note_demand,
+            self._record_demand,
         )
 
     def _build_membership(self) -> Membership:
         settings = self._settings
-        # A node that comes back must outrank what is still said of its last life.
-        born = int(time.time())
+        # A restarted node must supersede reports of its previous incarnation.
+        incarnation = int(time.time())
         own = Vm(
             settings.name,
             settings.failure_domain,
             str(settings.peers),
-            born,
+            incarnation,
             settings.broadcast_port,
         )
         return Membership(own, self._clock, SUSPECT_AFTER)
@@ -243,15 +249,15 @@
             lambda fact: self._peers.tell_all(fact),
             lambda: map(str, self._settings.seeds),
         )
-        outside = self._outside
-        tables.add(outside.configurations, self._keeper, CHANGES_TOGETHER)
+        outside = self._platform
+        tables.add(outside.configurations, self._configuration, CHANGES_TOGETHER)
         tables.add(outside.targets, self._directory, coalescing_of_targets(drain))
         return tables
 
     def _build_orderer(self) -> Orderer:
         bounds = self._settings.orders
         self._lease = Lease(
-            self._outside.table,
+            self._platform.table,
             self._clock,
             ORDERS_LEASE,
             self._settings.name,
@@ -262,11 +268,11 @@
             self._lease,
             self._settings.name,
             self._directory,
-            self._outside.orders,
+            self._platform.orders,
             self._clock,
             self._metrics,
             lambda epoch, holdings: self._peers.tell_holdings(epoch, holdings),
-            lambda: self._order_now.set(),
+            lambda: self._order_wanted.set(),
             self._balancer.is_down,
             self._limits.rates,
             lambda: self._peers.orderer_epoch,
@@ -275,7 +281,7 @@
         )
 
     def _open_links(self) -> None:
-        """Begin to hear other nodes, and to tell them."""
+        """Open the connections and broadcasts to other nodes."""
 
         def on_broken(error: InvariantError) -> None:
             self._tasks.on_broken(error)
@@ -293,29 +299,30 @@
         self._servers[0].limit(server_limits(routes.configuration.limits))
         self._app.routes = routes
 
-    def _note_demand(self, request: GatewayRequest) -> None:
+    def _record_demand(self, request: GatewayRequest) -> None:
         self._demand.note(request, self._balancer.work_ms(request))
 
     def _on_demand(self, node: str, shares: list[DemandShare], age: timedelta) -> None:
         self._orderer.asked(node, shares, age)
         if any(share.missed for share in shares):
-            self._order_now.set()
+            self._order_wanted.set()
 
-    def _keep_members(self) -> None:
+    def _update_members(self) -> None:
         self._peers.look_for_members(map(str, self._settings.seeds))
         self._peers.keep_links()
         self._peers.look_round()
         self._balancer.nodes = len(self._membership.alive())
 
-    def _keep_tables(self) -> None:
+    def _update_tables(self) -> None:
         self._peers.tell_state()
         self._tables.check()
 
-    def _keep_lease(self) -> None:
-        """Renew the lease and tell so, or challenge it if its holder is not heard.
+    def _update_lease(self) -> None:
+        """Renew the lease and publish the renewal, or try to acquire an expired one.
 
-        Challengers time the holder from the newest renewal that they heard of; told
-        with the heartbeat it would be a second old, and so would be the takeover.
+        Other nodes measure expiry from the newest renewal that they received.  Sent
+        with the heartbeat, it would be up to a second old, and delay a takeover as
+        much.
         """
         if self._orderer.holds_lease() is None and self._peers.orderer_is_heard():
             return
@@ -325,7 +332,7 @@
             return
         change = self._orderer.keep_lease(eager=ranked[0] == own)
         if change is LeaseChange.ACQUIRED:
-            self._order_now.set()
+            self._order_wanted.set()
         resignation = self._orderer.resign_if_cut_off()
         if resignation is not None:
             self._peers.tell_resigned(resignation)
@@ -336,34 +343,34 @@
             self._peers.tell_renewal(epoch.number, record.renewal)
 
     def _lease_candidates(self) -> list[str]:
-        """Return who challenges the lease: those that started last, then by hash.
+        """Return the nodes that may acquire the lease: latest started, then by rank.
 
-        Where all VMs are restarted in turn, theirs is over.
+        During a rolling restart, these have already been restarted.
         """
         alive = {vm.name: vm for vm in self._membership.alive()}
         ranked = rank(ORDERS_LEASE, alive)
         ranked.sort(key=lambda name: alive[name].incarnation, reverse=True)
         return ranked[:LEASE_CANDIDATES]
 
-    def _share(self) -> None:
-        """Tell loads and demand; what comes within a moment goes together."""
+    def _send_loads_and_demand(self) -> None:
+        """Send loads and demand, after a short pause that batches requests."""
         self._clock.sleep(SHARE_TOGETHER)
         self._peers.loads.tell_own()
         self._peers.tell_demand(self._demand)
 
-    def _sum_pause(self) -> timedelta:
+    def _sums_interval(self) -> timedelta:
         return self._peers.loads.pause
 
-    def _order_pause(self) -> timedelta:
+    def _order_interval(self) -> timedelta:
         return ORDER_EVERY if self._orderer.has_work else ORDER_IDLE
 
-    def _order(self) -> None:
-        """Make a round, and pause even if news has come meanwhile."""
+    def _run_orderer(self) -> None:
+        """Run a round of the orderer, then pause even if another was requested."""
         self._orderer.step()
         if self._orderer.has_work:
             self._clock.sleep(self._orderer.rest)
 
-    def _settle(self) -> None:
+    def _remove_expired(self) -> None:
         self._directory.settle()
         known = frozenset(target.incarnation for target in self._directory.all())
         self._pool.close_expired(known)
--- a/packages/runhatch-server/src/runhatch_server/gateway/_outside.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_outside.py
@@ -1,4 +1,4 @@
-"""What a gateway needs from the platform that it runs on."""
+"""Interfaces that a gateway needs from its platform."""
 
 from dataclasses import dataclass
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayOutside:
-    """The outside as one gateway reaches it; tests pass their own."""
+    """Platform services of one gateway; tests pass their own."""
 
     clock: Clock
     table: Table
--- a/packages/runhatch-server/src/runhatch_server/gateway/_settings.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_settings.py
@@ -1,4 +1,4 @@
-"""What a gateway is told when it starts: who it is, and the bounds it must keep."""
+"""Settings of a gateway: its name, its addresses and its bounds."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -6,7 +6,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """An address to listen on or to reach."""
+    """A host and port to listen on or connect to."""
 
     host: str
     port: int
@@ -17,10 +17,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryBounds:
-    """How many attempts beyond the first all nodes may make together.
+    """Bounds of the retries that all nodes together may make for a service.
 
-    In any ``window`` a service may get ``share`` of its requests and ``reserve``
-    attempts on top.
+    In any ``window`` a service may get ``share`` of its requests plus ``reserve``
+    as retries.
     """
 
     share: float
@@ -30,10 +30,10 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderBounds:
-    """What must hold for orders to targets.
+    """Bounds of the orders to targets.
 
-    Two nodes must not order within ``handover`` of each other.  The rate of the
-    weight store holds over any ``load_window``.
+    Two nodes must not send orders within ``handover`` of each other.  The rate limit
+    of the weight store applies to any ``load_window``.
     """
 
     handover: timedelta
@@ -42,14 +42,14 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewaySettings:
-    """The whole of it.
-
-    ``callers`` takes requests, ``readiness`` tells the balancer whether to send
-    any, ``peers`` is for other nodes.  ``seeds`` are addresses of some other nodes,
-    old ones perhaps.  ``shutdown_grace`` is the time between the request to stop
-    and the kill, ``drain`` the time after which a target that says it leaves must get
-    no more requests.  On ``broadcast_port`` of the peers' host a node that reads the
-    store tells others; 0 if it cannot.
+    """All settings of one gateway.
+
+    ``callers`` is the address for requests, ``readiness`` for the readiness checks of
+    the load balancer, ``peers`` for other nodes.  ``seeds`` are addresses of some
+    other nodes, and may be outdated.  ``shutdown_grace`` is the time between the
+    request to stop and the kill, ``drain`` the time after which a draining target must
+    get no more requests.  A node that reads the store broadcasts on
+    ``broadcast_port`` of the peers' host; 0 if it cannot.
     """
 
     name: str
--- a/packages/runhatch-server/src/runhatch_server/gateway/_tables.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_tables.py
@@ -1,8 +1,8 @@
-"""The watched tables of one gateway, and the nodes that tell it what they read.
+"""Watched tables of one gateway, and their exchange with other nodes.
 
-A reader tells whatever it has read by a broadcast that the nodes of its failure domain
-listen to, and several times within the time after which it counts as silent that it is
-there, with the versions that it has.
+A reader broadcasts the changes that it reads from the store to the nodes of its failure
+domain.  It also broadcasts its current versions several times within the time after
+which it counts as silent.
 """
 
 import random
@@ -50,22 +50,22 @@
 DRAIN_SLACK = timedelta(milliseconds=1_300)
 LEAST_TARGET_CHANGES_TOGETHER = timedelta(milliseconds=300)
 MOST_TARGET_CHANGES_TOGETHER = timedelta(milliseconds=1_500)
-"""Changes within so long are read in one call, each of which is paid.  Of targets only
-leaving is urgent: it must be known so long before requests to them must end, in which
-a call is made, what is on its way arrives, and a node whose readers are cut off hears
-of it from another failure domain."""
+"""Changes within these times are read in one call, as each call is billed.  Of the
+changes of targets only draining is urgent.  Nodes must know of it ``DRAIN_SLACK``
+before requests to the target must end: enough for the call, for messages in flight, and
+for a node whose readers are cut off to be notified by another failure domain."""
 SILENT_SHARE = 0.4
-"""Share of the time in which a leaving target must be known after which a reader that
-tells nothing is not relied on: what it missed is then read in time."""
+"""Share of the drain time after which a reader that sends nothing is not relied on, so
+that changes it missed are still read in time."""
 TOLD_PER_SILENCE = 2
-"""Signs of life of a reader within that time: if one is late, those that it tells look
-at the store themselves once, and each wakes an idle node."""
+"""Heartbeats of a reader within that time.  After a late one the nodes of its domain
+read the store themselves once, and each heartbeat wakes idle nodes."""
 RENEW_EVERY = timedelta(seconds=2)
-"""Between two tries to listen anew to a reader that is not heard."""
+"""Interval between reconnections to a silent reader."""
 
 
 class GatewayTables:
-    """All watched tables of one node; a :class:`runhatch_coordination.TablePeers`."""
+    """All watched tables of a node, a :class:`runhatch_coordination.TablePeers`."""
 
     def __init__(
         self,
@@ -82,29 +82,29 @@
         self._clock = clock
         self._metrics = metrics
         self._stopping = stopping
-        self._silent = drain * SILENT_SHARE
-        self._tell = tell
-        self._tell_all = tell_all
+        self._silence_timeout = drain * SILENT_SHARE
+        self._send = tell
+        self._publish = tell_all
         self._seeds = seeds
         self._tables: dict[str, SharedTable] = {}
         self._broadcaster: Broadcaster | None = None
         self._listener: Listener | None = None
-        self._started = clock.elapsed()
-        self._role = self._role_at_start()
+        self._started_at = clock.elapsed()
+        self._role = self._initial_role()
         self._readers: dict[str, Vm] = {}
         self._is_second = False
-        self._heard: dict[str, timedelta] = {}
-        self._news_at: dict[str, timedelta] = {}
-        self._renewed: dict[str, timedelta] = {}
+        self._received_at: dict[str, timedelta] = {}
+        self._updated_at: dict[str, timedelta] = {}
+        self._renewed_at: dict[str, timedelta] = {}
 
     @property
     def told_every(self) -> timedelta:
-        """How often a reader tells that it is there."""
-        return self._silent / TOLD_PER_SILENCE
+        """The interval between heartbeats of a reader."""
+        return self._silence_timeout / TOLD_PER_SILENCE
 
     @property
     def broadcasts(self) -> bool:
-        """Whether this node can tell all others at once."""
+        """Whether this node can broadcast to other nodes."""
         return self._broadcaster is not None
 
     @property
@@ -114,7 +114,7 @@
 
     @property
     def reader_addresses(self) -> list[str]:
-        """Where the other readers of this failure domain are."""
+        """Addresses of the other readers of this failure domain."""
         return [vm.address for vm in self._readers.values()]
 
     @property
@@ -128,7 +128,7 @@
         listener: FeedListener[ValueT],
         coalesce: timedelta,
     ) -> None:
-        """Watch ``table`` and pass what it holds to ``listener``."""
+        """Watch ``table`` and pass its entries to ``listener``."""
         self._tables[table.name] = SharedTable(
             table.name,
             table.feed,
@@ -137,13 +137,13 @@
             self._clock,
             self._stopping,
             _log_failure,
-            SharedTableBounds(coalesce, self._silent),
+            SharedTableBounds(coalesce, self._silence_timeout),
         )
 
     def attach(
         self, broadcaster: Broadcaster | None, listener: Listener | None
     ) -> None:
-        """Tell and hear by these from now on."""
+        """Use ``broadcaster`` and ``listener`` from now on."""
         self._broadcaster = broadcaster
         self._listener = listener
 
@@ -153,14 +153,14 @@
             threading.Thread(target=table.run, name=name, daemon=True).start()
 
     def close(self) -> None:
-        """Tell and hear no more."""
+        """Close the broadcaster and the listener."""
         if self._broadcaster is not None:
             self._broadcaster.close()
         if self._listener is not None:
             self._listener.close()
 
     def keep_readers(self) -> None:
-        """Listen to those that the membership now names, and note the own part."""
+        """Listen to the readers of the current membership, and update the own role."""
         own = self._membership.own
         alive = self._membership.alive()
         readers = choose_readers(own.failure_domain, alive)
@@ -170,9 +170,9 @@
         }
         if self._listener is not None:
             self._listener.keep(frozenset(map(_url, self._readers.values())))
-            self._renew_silent(self._listener)
-        young = self._clock.elapsed() - self._started < START_GRACE
-        role = self._role_at_start() if young else role_of(own, alive)
+            self._renew_silent_readers(self._listener)
+        is_starting = self._clock.elapsed() - self._started_at < START_GRACE
+        role = self._initial_role() if is_starting else role_of(own, alive)
         if role is not self._role:
             log_change("role", role=role.value, readers=sorted(self._readers))
             self._role = role
@@ -180,7 +180,7 @@
                 table.wake()
 
     def tell_state(self, more: list[Fact]) -> None:
-        """Tell, as a reader, what this node has read, and ``more``."""
+        """Broadcast the tables' current versions and ``more``, if a reader."""
         if not self.reads:
             return
         facts: list[Fact] = []
@@ -188,29 +188,29 @@
             unchanged = table.unchanged
             if unchanged is not None:
                 if table.reachable:
-                    self._news_at[name] = self._clock.elapsed()
-                facts.append(_news_of(name, unchanged, table.reachable))
+                    self._updated_at[name] = self._clock.elapsed()
+                facts.append(_news_message(name, unchanged, table.reachable))
         self.broadcast(facts + more)
 
     def broadcast(self, facts: list[Fact]) -> None:
-        """Tell ``facts`` to whoever listens."""
+        """Broadcast ``facts`` to all listeners."""
         if self._broadcaster is not None and facts:
             self._broadcaster.tell(facts)
 
     def check(self) -> None:
-        """Have changes read that were noticed elsewhere and are overdue here."""
+        """Read changes that other nodes reported and that are overdue here."""
         for table in self._tables.values():
             table.check()
 
     def take_in_news(self, news: TableNews, sender: Member) -> None:
-        """Take in what a reader tells."""
+        """Apply the changes of a table that a reader sent."""
         table = self._tables.get(news.table)
         if table is None:
             return
-        self._heard[sender.name] = self._clock.elapsed()
-        self._news_at[news.table] = self._clock.elapsed()
+        self._received_at[sender.name] = self._clock.elapsed()
+        self._updated_at[news.table] = self._clock.elapsed()
         try:
-            changes = _changes_of(news)
+            changes = _decode_news(news)
         except ValueError as error:
             self._metrics.peer_messages.labels("unreadable").inc()
             log_change("news_unreadable", sender=sender.name, why=str(error))
@@ -218,12 +218,12 @@
         table.told(sender.name, changes, news.reachable)
 
     def take_in_version(self, fact: TableVersion) -> bool:
-        """Take in that a table has had a version; tell whether that is news."""
+        """Record a version of a table; return whether it is new to this node."""
         table = self._tables.get(fact.table)
         return table is not None and table.noticed(fact.version)
 
     def state_since(self, versions: dict[str, StoreVersion]) -> list[Fact]:
-        """Return what has changed of tables since ``versions``."""
+        """Return the changes of tables since ``versions``."""
         facts: list[Fact] = []
         for name, version in versions.items():
             table = self._tables.get(name)
@@ -231,80 +231,83 @@
                 continue
             changes = table.since(None if version == UNKNOWN_VERSION else version)
             if changes is not None:
-                facts.append(_news_of(name, changes, table.reachable))
+                facts.append(_news_message(name, changes, table.reachable))
         return facts
 
-    # What the tables need of the other nodes.
+    # Implementation of TablePeers.
 
     def role(self) -> Role:
-        """Return what this node does about watched tables."""
+        """Return the role of this node for watched tables."""
         return self._role
 
     def ask(self, table: str, version: StoreVersion | None) -> bool:
-        """Ask a reader, or a node named in the settings, what has changed.
+        """Request the changes of a table from a reader, or else from a seed.
 
-        One that is named there itself asks nobody, as all others ask it.
+        A node that is a seed itself requests none, as the others request them of it.
+        Return whether a request was sent.
         """
         addresses = self.reader_addresses or list(self._seeds())
         if not addresses or self._membership.own.address in addresses:
             return False
-        asked = {table: UNKNOWN_VERSION if version is None else version}
-        self._tell(random.choice(addresses), StateAsked(asked, version is None))
+        versions = {table: UNKNOWN_VERSION if version is None else version}
+        self._send(random.choice(addresses), StateAsked(versions, version is None))
         return True
 
     def publish(self, table: str, changes: TableChanges, reachable: bool) -> None:
-        """Tell the nodes of this failure domain what was read."""
-        self._news_at[table] = self._clock.elapsed()
-        self.broadcast([_news_of(table, changes, reachable)])
+        """Broadcast changes that were read to the nodes of this failure domain."""
+        self._updated_at[table] = self._clock.elapsed()
+        self.broadcast([_news_message(table, changes, reachable)])
 
     def notice(self, table: str, version: StoreVersion) -> None:
-        """Tell nodes everywhere that the table has had ``version``."""
-        self._tell_all(TableVersion(table, version))
+        """Publish ``version`` of the table to the nodes of all failure domains."""
+        self._publish(TableVersion(table, version))
 
     def note_source(self, table: str, source: Source) -> None:
-        """Log that this node gets a table from elsewhere now."""
-        age = self._news_age(table)
+        """Log and count a change of the source of a table."""
+        age = self._age(table)
         log_change("table_source", table=table, source=source.value, age_s=age)
         self._metrics.table_sources.labels(table, source.value).inc()
 
     def measure(self) -> None:
-        """Put the age of each table among the metrics."""
+        """Update the metric of the age of each table."""
         for name in self._tables:
-            self._metrics.table_age.labels(name).set(self._news_age(name))
+            self._metrics.table_age.labels(name).set(self._age(name))
 
-    def _news_age(self, table: str) -> float:
-        """Return the seconds since a table was read, or a reader told of it."""
-        newest = self._news_at.get(table, self._started)
-        return round((self._clock.elapsed() - newest).total_seconds(), 3)
+    def _age(self, table: str) -> float:
+        """Return the seconds since a table was read or received from a reader."""
+        updated_at = self._updated_at.get(table, self._started_at)
+        return round((self._clock.elapsed() - updated_at).total_seconds(), 3)
 
-    def _role_at_start(self) -> Role:
-        """Return what this node does until it knows who else is there.
+    def _initial_role(self) -> Role:
+        """Return the role of this node while it doesn't know the other nodes yet.
 
-        The nodes that all settings name read the store, and the others ask them.
+        Seeds read the store; the other nodes request changes from them.
         """
         seeds = set(self._seeds())
-        named = not seeds or self._membership.own.address in seeds
-        return Role.READER if named else Role.FOLLOWER
+        is_seed = not seeds or self._membership.own.address in seeds
+        return Role.READER if is_seed else Role.FOLLOWER
 
-    def _renew_silent(self, listener: Listener) -> None:
-        """Connect anew to readers that are not heard."""
+    def _renew_silent_readers(self, listener: Listener) -> None:
+        """Reconnect to silent readers."""
         now = self._clock.elapsed()
         for name, vm in self._readers.items():
-            heard = self._heard.get(name, self._renewed.setdefault(name, now))
-            newest = max(heard, self._renewed[name])
-            if now - newest >= RENEW_EVERY:
-                self._renewed[name] = now
+            received_at = self._received_at.get(
+                name, self._renewed_at.setdefault(name, now)
+            )
+            last_try = max(received_at, self._renewed_at[name])
+            if now - last_try >= RENEW_EVERY:
+                self._renewed_at[name] = now
                 listener.renew(_url(vm))
 
 
 def coalescing_of_targets(drain: timedelta) -> timedelta:
-    """Return how long changes of targets are read together.
+    """Return the time within which changes of targets are read in one call.
 
     >>> coalescing_of_targets(timedelta(seconds=2)).total_seconds()
     0.7
     """
-    longest = min(drain - DRAIN_SLACK, MOST_TARGET_CHANGES_TOGETHER)
-    return max(LEAST_TARGET_CHANGES_TOGETHER, longest)
+    available = min(drain - DRAIN_SLACK, MOST_TARGET_CHANGES_TOGETHER)
+    return max(LEAST_TARGET_CHANGES_TOGETHER, available)
 
 
 def _url(vm: Vm) -> str:
@@ -312,7 +315,7 @@
     return f"tcp://{host}:{vm.broadcast_port}"
 
 
-def _news_of(name: str, changes: TableChanges, reachable: bool) -> TableNews:
+def _news_message(name: str, changes: TableChanges, reachable: bool) -> TableNews:
     rows = [(entry.key, entry.value) for entry in changes.entries]
     return TableNews(
         name,
@@ -324,8 +327,8 @@
     )
 
 
-def _changes_of(news: TableNews) -> TableChanges:
-    """Decode ``news``; raises ``ValueError`` if its rows cannot be read."""
+def _decode_news(news: TableNews) -> TableChanges:
+    """Decode ``news``; raise ``ValueError`` if its rows cannot be read."""
     rows = unpack_rows(news.rows) if news.rows else []
     entries = tuple(Entry(key, value) for key, value in rows)
     return TableChanges(news.after, news.version, entries, news.whole)
--- a/packages/runhatch-server/src/runhatch_server/gateway/_watched.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_watched.py
@@ -1,4 +1,4 @@
-"""A table of the store that nodes watch, and what its rows stand for."""
+"""Watched tables of the store, and the decoding of their rows."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -16,11 +16,10 @@
     decode: Callable[[str, bytes], ValueT],
     unreadable_is_gone: bool,
 ) -> tuple[Entry[ValueT], ...]:
-    """Return what ``rows`` of ``table`` stand for.
+    """Return the decoded ``rows`` of ``table``.
 
-    ``decode`` raises ``ValueError`` for a row that it cannot read; such a row is
-    logged and passed over, so that what was known of it stays, or with
-    ``unreadable_is_gone`` taken as removed.
+    A row for which ``decode`` raises ``ValueError`` is logged and skipped, so that
+    its previous value stays, or is returned as removed if ``unreadable_is_gone``.
     """
     decoded: list[Entry[ValueT]] = []
     for row in rows:
@@ -38,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchedTable(Generic[ValueT]):
-    """Where a table is read, and how its rows are decoded, see :func:`decode_rows`."""
+    """The feed of a table and the decoder of its rows, see :func:`decode_rows`."""
 
     name: str
     feed: Feed[bytes]
@@ -46,12 +45,12 @@
     unreadable_is_gone: bool = False
 
     def decoded(self, rows: Iterable[Entry[bytes]]) -> tuple[Entry[ValueT], ...]:
-        """Return what ``rows`` stand for."""
+        """Return the decoded ``rows``."""
         return decode_rows(self.name, rows, self.decode, self.unreadable_is_gone)
 
 
 class DecodingListener(Generic[ValueT]):
-    """Passes a table's rows on to ``listener``, decoded."""
+    """Decodes the rows of a table for ``listener``."""
 
     def __init__(
         self, table: WatchedTable[ValueT], listener: FeedListener[ValueT]
@@ -60,22 +59,22 @@
         self._listener = listener
 
     def listed(self, entries: tuple[Entry[bytes], ...]) -> None:
-        """Replace all that was known."""
+        """Replace all entries."""
         self._listener.listed(self._table.decoded(entries))
 
     def changed(self, entries: tuple[Entry[bytes], ...]) -> None:
-        """Take in changes."""
+        """Apply changed entries."""
         self._listener.changed(self._table.decoded(entries))
 
     def restored(self) -> None:
-        """The table came back from an older copy, and is listed next."""
+        """Record that the table was restored from a backup; a listing follows."""
         log_change("table_restored", table=self._table.name)
         self._listener.restored()
 
     def unreachable(self, reason: str) -> None:
-        """The table cannot be read since now; what is known may grow old."""
+        """Record that the table cannot be read, so that its entries may be stale."""
         self._listener.unreachable(reason)
 
     def reachable(self) -> None:
-        """The table can be read again."""
+        """Record that the table can be read again."""
         self._listener.reachable()
