--- a/packages/runhatch-server/tests/late_world.py
+++ b/packages/runhatch-server/tests/late_world.py
@@ -1,7 +1,7 @@
-"""Nodes whose messages and threads come late, before targets that name a limit.
+"""Simulated nodes with delayed messages and threads, for rate-limited targets.
 
-Each request is a thread of its own, and one runs at a time, so a replay is the same
-each time and the balancer's own loop decides what a request does when it wakes.
+Each request is a thread, and only one runs at a time, so a simulation is deterministic
+and still uses the balancer's own loop for requests that wake.
 """
 
 import heapq
@@ -26,9 +26,9 @@
 from runhatch_server.peers import Member
 from runhatch_server.routing import RequestKind, ServiceShare
 
-PROMPT = (0.002, 0.01)
-LATE = (0.15, 0.4)
-"""Seconds, at random between both."""
+PROMPT_DELAYS = (0.002, 0.01)
+LATE_DELAYS = (0.15, 0.4)
+"""Ranges in seconds of the random delays."""
 ROUTE = make_route(
     RequestKind.IDEMPOTENT,
     shares=(ServiceShare("plain", 1.0),),
@@ -36,69 +36,75 @@
 )
 
 
-class Turn:
-    """A thread that runs only while the world waits for it."""
+class RequestThread:
+    """A thread that runs only while the cluster waits for it."""
 
     def __init__(self, work):
         self._work = work
-        self._own, self._worlds = threading.Semaphore(0), threading.Semaphore(0)
+        self._own_turn, self._cluster_turn = (
+            threading.Semaphore(0),
+            threading.Semaphore(0),
+        )
         self.pauses = 0
         threading.Thread(target=self._run, daemon=True).start()
 
     def _run(self):
-        self._own.acquire()
+        self._own_turn.acquire()
         try:
             self._work()
         finally:
-            self._worlds.release()
+            self._cluster_turn.release()
 
     def resume(self):
-        self._own.release()
-        self._worlds.acquire()
+        self._own_turn.release()
+        self._cluster_turn.acquire()
 
     def pause(self):
-        self._worlds.release()
-        self._own.acquire()
+        self._cluster_turn.release()
+        self._own_turn.acquire()
 
 
-class LateNode:
-    """One node, whose requests pause in the world's time."""
+class DelayedNode:
+    """One node, whose requests wait in simulated time."""
 
-    def __init__(self, world, vm, vms, targets):
+    def __init__(self, cluster, vm, vms, targets):
         self.vm = vm
         self.waiting = []
-        membership = Membership(vm, world.clock)
+        membership = Membership(vm, cluster.clock)
         membership.learn(MemberFact(each, Standing.ALIVE) for each in vms)
         fleet = [make_target(name, "plain", ()) for name in targets]
-        directory = make_directory(world.clock, *fleet)
-        self.balancer = make_balancer(directory, world.clock, seed=int(vm.name[1:]))
-        self.balancer._held.pause = lambda longest: world.pause(self, longest)
+        directory = make_directory(cluster.clock, *fleet)
+        self.balancer = make_balancer(directory, cluster.clock, seed=int(vm.name[1:]))
+        self.balancer._held.pause = lambda longest: cluster.pause(self, longest)
         self.limits = self.balancer.limits
         self.exchange = PermitExchange(
             self.limits,
             membership,
-            world.clock,
-            lambda address, fact: world.tell(self, address, fact),
-            lambda fact: [world.tell(self, vm.address, fact) for vm in vms],
-            lambda: world.wake(self),
+            cluster.clock,
+            lambda address, fact: cluster.send(self, address, fact),
+            lambda fact: [cluster.send(self, vm.address, fact) for vm in vms],
+            lambda: cluster.wake(self),
         )
 
 
-class LateWorld:
-    """Nodes whose messages take ``message`` seconds, and whose threads wake late."""
+class DelayedCluster:
+    """Nodes whose messages and threads are delayed.
+
+    ``message`` and ``thread`` are the ranges of the delays in seconds.
+    """
 
     def __init__(self, clock, rng, count, targets, message, thread):
         self.clock = clock
         self.sent = {target: [] for target in targets}
-        self._rng, self._message, self._thread = rng, message, thread
+        self._rng, self._message_delays, self._thread_delays = rng, message, thread
         self._events = []
         self._numbers = itertools.count()
         self._running = None
         vms = [Vm(f"n{i}", f"d{i % 3}", f"n{i}", 1) for i in range(count)]
-        self.nodes = {vm.name: LateNode(self, vm, vms, targets) for vm in vms}
+        self.nodes = {vm.name: DelayedNode(self, vm, vms, targets) for vm in vms}
 
     def outcomes(self):
-        """Return what became of all permits."""
+        """Return the counts of all permits by outcome."""
         counted = Counter()
         for node in self.nodes.values():
             for metric in node.limits._metrics.permits.collect():
@@ -108,59 +114,63 @@
         return dict(counted)
 
     def play(self, demand, duration):
-        """Have requests come at random, as many a second as ``demand``."""
+        """Run for ``duration`` with ``demand`` random requests per second."""
         end = self.clock.elapsed() + duration
-        self._come(demand)
+        self._send_requests(demand)
         while self._events[0][0] < end:
-            at, _, happens = heapq.heappop(self._events)
+            at, _, action = heapq.heappop(self._events)
             self.clock.advance(max(seconds(0), at - self.clock.elapsed()))
-            happens()
+            action()
 
-    def tell(self, sender, address, fact):
+    def send(self, sender, address, fact):
         node = self.nodes[address]
         member = Member(sender.vm.name, "d", sender.vm.name, 1, Standing.ALIVE)
-        self._later(self._message, lambda: node.exchange.take_in(fact, member))
+        self._schedule(
+            self._message_delays, lambda: node.exchange.take_in(fact, member)
+        )
 
     def pause(self, node, longest):
-        """Have the request that runs wait for news of its node."""
-        turn = self._running
-        turn.pauses += 1
-        node.waiting.append(turn)
-        self._wake(turn, node, longest)
-        turn.pause()
+        """Let the running request wait for a wake-up, at most ``longest``."""
+        thread = self._running
+        thread.pauses += 1
+        node.waiting.append(thread)
+        self._schedule_wake(thread, node, longest)
+        thread.pause()
 
     def wake(self, node):
-        for turn in node.waiting:
-            self._wake(turn, node, seconds(0))
+        for thread in node.waiting:
+            self._schedule_wake(thread, node, seconds(0))
 
-    def _wake(self, turn, node, after):
-        pauses = turn.pauses
+    def _schedule_wake(self, thread, node, after):
+        pauses = thread.pauses
 
         def resume():
-            if turn in node.waiting and turn.pauses == pauses:
-                node.waiting.remove(turn)
-                self._run(turn)
+            if thread in node.waiting and thread.pauses == pauses:
+                node.waiting.remove(thread)
+                self._run(thread)
 
-        self._later(self._thread, resume, after)
+        self._schedule(self._thread_delays, resume, after)
 
-    def _run(self, turn):
-        self._running = turn
-        turn.resume()
+    def _run(self, thread):
+        self._running = thread
+        thread.resume()
 
-    def _later(self, span, happens, after=seconds(0)):
-        at = self.clock.elapsed() + after + seconds(self._rng.uniform(*span))
-        heapq.heappush(self._events, (at, next(self._numbers), happens))
+    def _schedule(self, delays, action, after=seconds(0)):
+        at = self.clock.elapsed() + after + seconds(self._rng.uniform(*delays))
+        heapq.heappush(self._events, (at, next(self._numbers), action))
 
-    def _come(self, demand):
+    def _send_requests(self, demand):
         node = self._rng.choice(list(self.nodes.values()))
-        self._run(Turn(lambda: self._ask(node)))
+        self._run(RequestThread(lambda: self._acquire(node)))
         pause = self._rng.expovariate(demand)
-        self._later((pause, pause), lambda: self._come(demand))
+        self._schedule((pause, pause), lambda: self._send_requests(demand))
 
-    def _ask(self, node):
+    def _acquire(self, node):
         request = make_request(self.clock, ROUTE, "plain", "")
         found = node.balancer.acquire(request, Tried(), never_gone)
         if isinstance(found, Grant):
             node.balancer.released(found, faulty=False)
             arrivals = self.sent[found.target.incarnation]
-            self._later(self._thread, lambda: arrivals.append(self.clock.elapsed()))
+            self._schedule(
+                self._thread_delays, lambda: arrivals.append(self.clock.elapsed())
+            )
--- a/packages/runhatch-server/tests/rate_limit_cases.py
+++ b/packages/runhatch-server/tests/rate_limit_cases.py
@@ -1,4 +1,4 @@
-"""Nodes before targets that name a rate limit, for replays."""
+"""Simulated gateway nodes in front of a rate-limited target, for tests."""
 
 from collections import deque
 
@@ -20,20 +20,21 @@
 
 WINDOW = seconds(4)
 LINKS = 8
-"""Nodes that each node tells what is news."""
+"""Number of nodes to which each node publishes."""
 
 
-def allowed(rate):
-    """Return how many requests may come within the window."""
+def max_requests_in_window(rate):
+    """Return the most requests allowed within ``WINDOW`` at ``rate`` per second."""
     return 1.5 * rate * WINDOW.total_seconds() + 5
 
 
-def most_in_window(times):
+def count_busiest_window(times):
+    """Return the largest number of ``times`` within any ``WINDOW``."""
     return max(sum(at <= other < at + WINDOW for other in times) for at in times)
 
 
-class World:
-    """Nodes before one target, which hear each other at once."""
+class Cluster:
+    """Nodes in front of one target, whose messages arrive without delay."""
 
     def __init__(self, clock, count):
         self.clock = clock
@@ -43,15 +44,15 @@
         vms = [Vm(f"n{i}", f"d{i % 3}", f"n{i}", 1) for i in range(count)]
         self.nodes = {vm.name: Node(self, vm, vms) for vm in vms}
 
-    def tell_all(self, sender, fact):
-        """Tell those that ``sender`` is linked to."""
+    def publish(self, sender, fact):
+        """Deliver ``fact`` to the nodes that ``sender`` is linked to."""
         names = list(self.nodes)
         own = names.index(sender.vm.name)
         for step in range(1, min(LINKS, len(names) - 1) + 1):
             self.deliver(sender, names[(own + step * step) % len(names)], fact)
 
     def deliver(self, sender, address, fact):
-        """Have what is told heard in order, also what is told meanwhile."""
+        """Deliver ``fact`` after all earlier messages, also while one is delivered."""
         self.queue.append((sender, self.nodes[address], fact))
         if self.delivering:
             return
@@ -70,22 +71,22 @@
 
 
 class Node:
-    """One node: its balancer, and what it tells of limits."""
+    """One node with its balancer and its exchange of permits."""
 
-    def __init__(self, world, vm, vms):
+    def __init__(self, cluster, vm, vms):
         self.vm = vm
         self.silent = False
-        self.membership = Membership(vm, world.clock)
+        self.membership = Membership(vm, cluster.clock)
         self.membership.learn(MemberFact(each, Standing.ALIVE) for each in vms)
-        directory = make_directory(world.clock, make_target("t1"))
-        self.balancer = make_balancer(directory, world.clock)
+        directory = make_directory(cluster.clock, make_target("t1"))
+        self.balancer = make_balancer(directory, cluster.clock)
         self.limits = self.balancer.limits
         self.exchange = PermitExchange(
             self.limits,
             self.membership,
-            world.clock,
-            lambda address, fact: world.deliver(self, address, fact),
-            lambda fact: world.tell_all(self, fact),
+            cluster.clock,
+            lambda address, fact: cluster.deliver(self, address, fact),
+            lambda fact: cluster.publish(self, fact),
             lambda: None,
         )
 
@@ -97,5 +98,5 @@
         return found
 
     def suspect(self, vms):
-        """Take other nodes for lost."""
+        """Record other nodes as suspected to have failed."""
         self.membership.learn(MemberFact(vm, Standing.SUSPECT) for vm in vms)
--- a/packages/runhatch-server/tests/test_late_permits.py
+++ b/packages/runhatch-server/tests/test_late_permits.py
@@ -1,28 +1,28 @@
-"""Permits of limited targets while messages and threads come late."""
+"""Permits of rate-limited targets while messages and threads are delayed."""
 
 import random
 from datetime import timedelta
 
 import pytest
 from gateway_cases import seconds
-from late_world import LATE, PROMPT, LateWorld
-from rate_limit_cases import allowed, most_in_window
+from late_world import LATE_DELAYS, PROMPT_DELAYS, DelayedCluster
+from rate_limit_cases import count_busiest_window, max_requests_in_window
 
 from runhatch_server.gateway._rate_limits import RateLimits
 from runhatch_server.observability import Metrics
 
-LEAST_USED = 0.8
-"""Share of the limits that is used where callers want more."""
+MIN_USED_SHARE = 0.8
+"""Smallest share of a limit that must be used while demand exceeds it."""
 DEMAND = 3.0
-"""Requests that callers send, as a multiple of what the targets take."""
-LATE_ANSWERS = (0.075, 0.2)
-"""Seconds that each of a question and its answer takes."""
+"""Requests that callers send, as a multiple of the targets' limits."""
+SLOW_MESSAGES = (0.075, 0.2)
+"""Delay in seconds of a permit request, and of its answer."""
 
 
-class TestCounts:
-    """What became of permits."""
+class TestPermitMetrics:
+    """Counts of permits by outcome."""
 
-    def test_each_is_counted_by_its_end(self, clock):
+    def test_permits_are_counted_by_outcome(self, clock):
         metrics = Metrics()
         limits = RateLimits(clock, metrics)
         limits.heard("t1", 10.0, clock.elapsed())
@@ -56,8 +56,11 @@
         }
 
 
-class TestLateReplay:
-    """Six nodes, before targets that callers want more of than they take."""
+class TestDelays:
+    """Six nodes in front of targets whose callers exceed their limits.
+
+    Permits that expire unused while messages or threads are late waste the limit.
+    """
 
     @pytest.mark.parametrize("seed", range(3))
     @pytest.mark.parametrize("targets", [["t1"], ["t1", "t2"]])
@@ -65,26 +68,28 @@
     @pytest.mark.parametrize(
         ("message", "thread"),
         [
-            pytest.param(PROMPT, PROMPT, id="prompt"),
-            pytest.param(PROMPT, LATE, id="threads"),
-            pytest.param(LATE_ANSWERS, PROMPT, id="answers"),
-            pytest.param(LATE_ANSWERS, LATE, id="both"),
+            pytest.param(PROMPT_DELAYS, PROMPT_DELAYS, id="prompt"),
+            pytest.param(PROMPT_DELAYS, LATE_DELAYS, id="threads"),
+            pytest.param(SLOW_MESSAGES, PROMPT_DELAYS, id="answers"),
+            pytest.param(SLOW_MESSAGES, LATE_DELAYS, id="both"),
         ],
     )
-    def test_the_limit_is_kept_and_used(
+    def test_limit_is_respected_and_used_despite_delays(
         self, clock, message, thread, rate, targets, seed
     ):
-        world = LateWorld(clock, random.Random(seed), 6, targets, message, thread)
+        cluster = DelayedCluster(
+            clock, random.Random(seed), 6, targets, message, thread
+        )
         for target in targets:
-            world.nodes["n0"].limits.heard(target, rate, clock.elapsed())
-        world.play(DEMAND * rate * len(targets), seconds(3))
+            cluster.nodes["n0"].limits.heard(target, rate, clock.elapsed())
+        cluster.play(DEMAND * rate * len(targets), seconds(3))
         since = clock.elapsed()
         duration = seconds(max(24, 30 / rate))
 
-        world.play(DEMAND * rate * len(targets), duration)
+        cluster.play(DEMAND * rate * len(targets), duration)
 
-        for arrivals in world.sent.values():
+        for arrivals in cluster.sent.values():
             times = [at for at in arrivals if at >= since]
-            assert most_in_window(times) <= allowed(rate)
+            assert count_busiest_window(times) <= max_requests_in_window(rate)
             used = len(times) / (rate * duration.total_seconds())
-            assert used >= LEAST_USED, str(world.outcomes())
+            assert used >= MIN_USED_SHARE, str(cluster.outcomes())
--- a/packages/runhatch-server/tests/test_rate_limits.py
+++ b/packages/runhatch-server/tests/test_rate_limits.py
@@ -1,10 +1,10 @@
-"""Rate limits that targets name: what is known of them, and who may send a request."""
+"""Rate limits that targets declare, and the allocation of permits between nodes."""
 
 import random
 
 import pytest
 from gateway_cases import seconds
-from rate_limit_cases import World, allowed, most_in_window
+from rate_limit_cases import Cluster, count_busiest_window, max_requests_in_window
 
 from runhatch_coordination import Standing
 from runhatch_server.decisions import (
@@ -23,27 +23,30 @@
 
 URGENT, USUAL, LATE = 0, 1, 3
 TRIAL_RATE = 0.2
-"""Requests a second that a target gets that names a lower limit."""
+"""Requests per second that a target gets if it declares a lower limit."""
 SENT_LATE = seconds(0.4)
-"""How much later than it uses its permit a request may be sent on a busy machine."""
+"""Longest time from the use of a permit to sending the request on a busy machine."""
 
 
-def send(world, rng, demand, duration, choose=None, priority=1):
-    """Have requests come at random; return when some went to the target."""
-    clock, nodes = world.clock, list(world.nodes.values())
+def send(cluster, rng, demand, duration, choose=None, priority=1):
+    """Send requests at random times; return when requests got a grant.
+
+    ``demand`` is in requests per second; ``choose`` picks the node.
+    """
+    clock, nodes = cluster.clock, list(cluster.nodes.values())
     end = clock.elapsed() + duration
     sent = []
     while clock.elapsed() < end:
         clock.advance(seconds(rng.expovariate(demand)))
-        world.requests += 1
+        cluster.requests += 1
         node = (choose or rng.choice)(nodes)
         if isinstance(node.acquire(clock, priority), Grant):
             sent.append(clock.elapsed())
     return sent
 
 
-class TestNamed:
-    """Values of what a target names."""
+class TestLimitHeader:
+    """Values of the header that declares a limit."""
 
     @pytest.mark.parametrize(
         ("value", "named"),
@@ -64,12 +67,12 @@
             ("9" * 60, UnreadableLimit("9" * 40)),
         ],
     )
-    def test_value(self, value, named):
+    def test_header_value_is_parsed(self, value, named):
         assert limit_named(value) == named
 
 
-class TestOrder:
-    """Answers overtake each other."""
+class TestOutOfOrderAnswers:
+    """Answers with limits may arrive out of order."""
 
     @pytest.mark.parametrize(
         ("known", "seen", "newer"),
@@ -83,10 +86,10 @@
             (LimitSeen(2.0, seconds(5)), LimitSeen(3.0, seconds(4.9)), False),
         ],
     )
-    def test_supersedes(self, known, seen, newer):
+    def test_newer_limit_supersedes_older(self, known, seen, newer):
         assert seen.supersedes(known) is newer
 
-    def test_an_answer_sent_for_before_does_not_end_a_limit(self, clock):
+    def test_answer_to_earlier_request_does_not_lift_limit(self, clock):
         limits = RateLimits(clock, Metrics())
         sent_at = clock.elapsed()
         clock.advance(seconds(1))
@@ -99,7 +102,7 @@
         limits.heard("t1", None, sent_at)
         assert limits.known("t1").rate is None
 
-    def test_what_cannot_be_read_changes_nothing(self, clock):
+    def test_unreadable_limit_is_ignored(self, clock):
         limits = RateLimits(clock, Metrics())
         limits.heard("t1", 2.0, clock.elapsed())
         clock.advance(seconds(1))
@@ -107,31 +110,31 @@
         assert limits.known("t1").rate == 2.0
 
 
-class TestBucket:
+class TestPermitBucket:
     """Permits of one target."""
 
     @pytest.mark.parametrize("rate", [0.0, 0.05, 1.0, 10.0])
-    def test_a_burst_after_a_pause_is_small(self, rate):
+    def test_burst_after_pause_is_bounded(self, rate):
         bucket = PermitBucket(rate, seconds(0))
         taken = sum(
             bucket.ask(URGENT, rate, seconds(1000)) is None for _ in range(1000)
         )
         assert taken <= most_permits(rate) <= 5 + rate
 
-    def test_waits_lie_a_permit_apart(self):
+    def test_waits_increase_by_one_permit_interval(self):
         bucket = PermitBucket(2.0, seconds(0))
         waits = [bucket.ask(URGENT, 2.0, seconds(0)) for _ in range(3)]
         assert waits == [seconds(0.5), seconds(1), seconds(1.5)]
 
-    def test_urgent_requests_go_first(self):
+    def test_urgent_request_gets_first_permit(self):
         bucket = PermitBucket(1.0, seconds(0))
         at = seconds(1.2)
         assert bucket.ask(LATE, 1.0, at) is not None
         assert bucket.ask(USUAL, 1.0, at) is not None
         assert bucket.ask(URGENT, 1.0, at) is None
 
-    def test_two_allocators_for_a_second_stay_within_the_bound(self):
-        """Nodes that disagree on who is alive ask two of them."""
+    def test_two_allocators_for_one_second_stay_within_bound(self):
+        """Nodes that disagree on which nodes are alive request from two allocators."""
         rate, times = 10.0, []
         first, second = PermitBucket(rate, seconds(0)), PermitBucket(rate, seconds(4))
         for step in range(1000):
@@ -143,12 +146,12 @@
                 for allocator in allocators
                 if allocator.ask(URGENT, rate, now) is None
             ]
-        assert most_in_window(times) <= allowed(rate)
+        assert count_busiest_window(times) <= max_requests_in_window(rate)
 
     @pytest.mark.parametrize("rate", [0.0, 0.2, 0.5, 1.0, 1.5, 6.0, 10.0, 50.0])
-    def test_permits_used_as_late_as_may_be_stay_within_the_bound(self, rate):
-        """A burst is kept until it lapses and is sent late, and two allocators give
-        out permits for a second from then on."""
+    def test_permits_used_at_expiry_stay_within_bound(self, rate):
+        """Worst case: a held burst is used just before it expires and sent late, while
+        two allocators grant permits for one second."""
         held = LimitedTarget(LimitSeen(rate, seconds(0)))
         held.add(seconds(0))
         sent_at = held.permits[0] + SENT_LATE
@@ -161,107 +164,111 @@
             for allocator in (first, second) if twice else (first,):
                 while allocator.ask(URGENT, rate, now) is None:
                     times.append(max(now, sent_at))
-        assert most_in_window(times) <= allowed(rate)
+        assert count_busiest_window(times) <= max_requests_in_window(rate)
 
     @pytest.mark.parametrize(
         ("alive", "lost", "share"),
         [(9, 0, 1.0), (5, 4, 1.0), (4, 5, 4 / 9), (3, 3, 0.5), (1, 8, 1 / 9)],
     )
-    def test_share_of_a_parted_network(self, alive, lost, share):
+    def test_rate_is_shared_between_network_partitions(self, alive, lost, share):
         assert share_of_rate(alive, lost) == share
 
 
-class TestReplay:
-    """Many nodes before one target that callers want more of than it takes."""
+class TestOverload:
+    """Many nodes in front of one target whose callers exceed its limit."""
 
     @pytest.mark.parametrize("count", [9, 91, 195, 390])
     @pytest.mark.parametrize("rate", [0.5, 1.2, 10.0])
-    def test_the_limit_is_kept_and_used(self, clock, count, rate):
-        world = World(clock, count)
+    def test_limit_is_respected_and_used(self, clock, count, rate):
+        cluster = Cluster(clock, count)
         rng = random.Random(count)
-        next(iter(world.nodes.values())).limits.heard("t1", rate, clock.elapsed())
-        world.messages = 0
+        next(iter(cluster.nodes.values())).limits.heard("t1", rate, clock.elapsed())
+        cluster.messages = 0
         duration = seconds(max(20, 20 / rate))
 
-        sent = send(world, rng, 4 * rate, duration)
+        sent = send(cluster, rng, 4 * rate, duration)
 
-        assert most_in_window(sent) <= allowed(rate)
+        assert count_busiest_window(sent) <= max_requests_in_window(rate)
         assert len(sent) >= 0.8 * rate * duration.total_seconds()
-        assert world.messages <= 2 * world.requests
+        assert cluster.messages <= 2 * cluster.requests
 
-    def test_a_parted_network_stays_within_the_bound(self, clock):
-        world = World(clock, 9)
+    def test_partitioned_network_stays_within_bound(self, clock):
+        cluster = Cluster(clock, 9)
         rate = 4.0
-        nodes = list(world.nodes.values())
+        nodes = list(cluster.nodes.values())
         nodes[0].limits.heard("t1", rate, clock.elapsed())
         for side in (nodes[:3], nodes[3:]):
             others = [node.vm for node in nodes if node not in side]
             for node in side:
                 node.suspect(others)
 
-        sent = send(world, random.Random(1), 4 * rate, seconds(20))
+        sent = send(cluster, random.Random(1), 4 * rate, seconds(20))
 
-        assert most_in_window(sent) <= allowed(rate)
+        assert count_busiest_window(sent) <= max_requests_in_window(rate)
 
-    def test_urgent_requests_get_the_permits(self, clock):
-        world = World(clock, 9)
-        next(iter(world.nodes.values())).limits.heard("t1", 2.0, clock.elapsed())
+    def test_urgent_requests_get_most_permits(self, clock):
+        cluster = Cluster(clock, 9)
+        next(iter(cluster.nodes.values())).limits.heard("t1", 2.0, clock.elapsed())
         rng, sent = random.Random(1), {0: 0, 1: 0}
         for _ in range(400):
             priority = rng.choice([0, 1])
-            sent[priority] += len(send(world, rng, 8, seconds(0.01), None, priority))
+            sent[priority] += len(send(cluster, rng, 8, seconds(0.01), None, priority))
         assert sent[0] > 2 * sent[1]
 
 
-class TestExchange:
-    """Limits and permits between nodes."""
+class TestPermitExchange:
+    """Exchange of limits and permits between nodes."""
 
-    def test_all_know_at_once(self, clock):
-        world = World(clock, 9)
-        world.nodes["n0"].limits.heard("t1", 1.0, clock.elapsed())
-        assert {node.limits.known("t1").rate for node in world.nodes.values()} == {1.0}
+    def test_limit_is_published_to_all_nodes(self, clock):
+        cluster = Cluster(clock, 9)
+        cluster.nodes["n0"].limits.heard("t1", 1.0, clock.elapsed())
+        assert {node.limits.known("t1").rate for node in cluster.nodes.values()} == {
+            1.0
+        }
 
         clock.advance(seconds(1))
-        world.nodes["n5"].limits.heard("t1", None, clock.elapsed())
-        assert {node.limits.known("t1").rate for node in world.nodes.values()} == {None}
-
-    def test_a_node_that_starts_is_told(self, clock):
-        world = World(clock, 3)
-        world.nodes["n0"].limits.heard("t1", 1.0, clock.elapsed())
-        (told,) = world.nodes["n1"].exchange.state()
-        assert [(limit.target, limit.rate) for limit in told.limits] == [("t1", 1.0)]
-
-    def test_a_allocator_that_did_not_hear_of_the_limit_learns_it(self, clock):
-        world = World(clock, 3)
-        allocator = world.allocator()
+        cluster.nodes["n5"].limits.heard("t1", None, clock.elapsed())
+        assert {node.limits.known("t1").rate for node in cluster.nodes.values()} == {
+            None
+        }
+
+    def test_limits_are_part_of_state_for_new_node(self, clock):
+        cluster = Cluster(clock, 3)
+        cluster.nodes["n0"].limits.heard("t1", 1.0, clock.elapsed())
+        (fact,) = cluster.nodes["n1"].exchange.state()
+        assert [(limit.target, limit.rate) for limit in fact.limits] == [("t1", 1.0)]
+
+    def test_allocator_learns_limit_from_permit_request(self, clock):
+        cluster = Cluster(clock, 3)
+        allocator = cluster.allocator()
         allocator.silent = True
-        other = next(n for n in world.nodes.values() if n is not allocator)
+        other = next(n for n in cluster.nodes.values() if n is not allocator)
         other.limits.heard("t1", 1.0, clock.elapsed())
         allocator.silent = False
         other.exchange.ask("t1", URGENT)
         assert allocator.limits.known("t1").rate == 1.0
 
-    def test_a_node_that_takes_another_for_the_allocator_gives_none(self, clock):
-        world = World(clock, 3)
-        allocator = world.allocator()
-        other = next(n for n in world.nodes.values() if n is not allocator)
+    def test_node_that_is_not_allocator_grants_no_permit(self, clock):
+        cluster = Cluster(clock, 3)
+        allocator = cluster.allocator()
+        other = next(n for n in cluster.nodes.values() if n is not allocator)
         other.limits.heard("t1", 100.0, clock.elapsed())
         clock.advance(seconds(10))
-        told = []
-        other.exchange._send = lambda address, fact: told.append(fact)
+        sent_facts = []
+        other.exchange._send = lambda address, fact: sent_facts.append(fact)
 
         asked = PermitAsked(URGENT, LimitOfTarget("t1", 100.0, 0))
         other.exchange.take_in(asked, Member("x", "d", "x", 1, Standing.ALIVE))
 
-        assert told == [PermitAnswer("t1", URGENT, 200)]
+        assert sent_facts == [PermitAnswer("t1", URGENT, 200)]
 
-    def test_a_wait_below_a_millisecond_is_told_as_one(self, clock):
-        """Told as none it was over at once, and the question looked unanswered."""
-        world = World(clock, 3)
-        allocator = world.allocator()
+    def test_wait_below_one_millisecond_is_rounded_up(self, clock):
+        """A wait sent as 0 ms ends at once, and the permit request looks unanswered."""
+        cluster = Cluster(clock, 3)
+        allocator = cluster.allocator()
         allocator.limits.heard("t1", 100.0, clock.elapsed())
-        told = []
-        allocator.exchange._send = lambda address, fact: told.append(fact)
+        sent_facts = []
+        allocator.exchange._send = lambda address, fact: sent_facts.append(fact)
         sender = Member("x", "d", "x", 1, Standing.ALIVE)
         asked = PermitAsked(URGENT, LimitOfTarget("t1", 100.0, 0))
         allocator.exchange.take_in(asked, sender)
@@ -269,19 +276,19 @@
 
         allocator.exchange.take_in(asked, sender)
 
-        assert all(fact.wait_ms >= 1 for fact in told)
+        assert all(fact.wait_ms >= 1 for fact in sent_facts)
 
-    def test_without_permits_a_request_is_refused_at_once(self, clock):
-        world = World(clock, 9)
-        world.nodes["n0"].limits.heard("t1", 0.5, clock.elapsed())
+    def test_request_without_permit_is_refused_at_once(self, clock):
+        cluster = Cluster(clock, 9)
+        cluster.nodes["n0"].limits.heard("t1", 0.5, clock.elapsed())
 
-        refusal = world.nodes["n3"].acquire(clock)
+        refusal = cluster.nodes["n3"].acquire(clock)
 
         assert refusal.reason is Reason.TARGETS_LIMITED
         assert seconds(2) <= refusal.retry_after <= seconds(4)
         assert refusal.target == "t1"
 
-    def test_a_request_that_was_not_sent_gives_its_permit_back(self, clock):
+    def test_permit_of_unsent_request_is_returned(self, clock):
         limits = RateLimits(clock, Metrics())
         limits.heard("t1", 1.0, clock.elapsed())
         limits.granted("t1")
@@ -290,7 +297,7 @@
         limits.give_back("t1")
         assert limits.take("t1", asked=False)
 
-    def test_the_limit_of_a_target_that_is_not_listed_yet_is_kept(self, clock):
+    def test_limit_of_unlisted_target_is_kept_for_a_while(self, clock):
         limits = RateLimits(clock, Metrics())
         limits.told("t1", LimitSeen(1.0, clock.elapsed()))
         limits.forget(lambda target: False)
@@ -303,7 +310,7 @@
     @pytest.mark.parametrize(
         ("rate", "valid"), [(0.0, 5.25), (0.5, 2.25), (1.0, 1.25), (10.0, 0.35)]
     )
-    def test_a_permit_lapses(self, clock, rate, valid):
+    def test_permit_expires(self, clock, rate, valid):
         limits = RateLimits(clock, Metrics())
         limits.heard("t1", rate, clock.elapsed())
         limits.granted("t1")
