--- a/packages/runhatch-server/tests/test_gateway_peers.py
+++ b/packages/runhatch-server/tests/test_gateway_peers.py
@@ -1,4 +1,4 @@
-"""What a gateway tells its peers, and whom it takes for the orderer."""
+"""Messages of a gateway to its peers, and its knowledge of the orderer."""
 
 import threading
 
@@ -37,20 +37,20 @@
 PEER = Member("b", "d1", "10.0.0.2:1", 7, Standing.ALIVE)
 
 
-class RecordedLinks:
-    """Keeps what is told, and to whom."""
+class RecordingLinks:
+    """Records sent facts with the address or ``all``."""
 
     def __init__(self):
-        self.told = []
+        self.sent = []
 
     def keep(self, addresses):
         pass
 
     def tell_all(self, fact):
-        self.told.append(("all", fact))
+        self.sent.append(("all", fact))
 
     def tell(self, address, facts):
-        self.told += [(address, fact) for fact in facts]
+        self.sent += [(address, fact) for fact in facts]
 
     def hold(self, address):
         self.held = address
@@ -59,7 +59,7 @@
 def make_peers(clock, *targets, on_orderer=ignore):
     directory = make_directory(clock, *targets)
     balancer = make_balancer(directory, clock)
-    links = RecordedLinks()
+    links = RecordingLinks()
     membership = Membership(OWN, clock)
     tables = GatewayTables(
         membership,
@@ -95,23 +95,23 @@
 
 
 class TestOrderer:
-    """Demand reaches the node that orders the targets."""
+    """Demand is sent to the orderer."""
 
-    def test_demand_is_kept_until_it_is_known(self, clock):
+    def test_demand_is_kept_until_orderer_is_known(self, clock):
         peers, links = make_peers(clock)
         demand = make_demand(clock)
 
         peers.tell_demand(demand)
-        assert links.told == []
+        assert links.sent == []
 
         peers.learn_orderer(LeaseRecord("b", 3, 0, PEER.address))
         peers.tell_demand(demand)
-        (told,) = links.told
-        assert told[0] == PEER.address
-        assert isinstance(told[1], ModelDemand)
-        assert [each.missed for each in told[1].demand] == [1]
+        (message,) = links.sent
+        assert message[0] == PEER.address
+        assert isinstance(message[1], ModelDemand)
+        assert [each.missed for each in message[1].demand] == [1]
 
-    def test_demand_is_not_kept_for_long(self, clock):
+    def test_demand_without_orderer_expires(self, clock):
         peers, links = make_peers(clock)
         demand = make_demand(clock)
         clock.advance(DEMAND_KEPT)
@@ -120,10 +120,10 @@
         peers.learn_orderer(LeaseRecord("b", 3, 0, PEER.address))
         peers.tell_demand(demand)
 
-        assert links.told == []
+        assert links.sent == []
 
-    def test_a_new_one_is_told_what_was_asked_for_lately(self, clock):
-        """Else it would take models that are asked for all the time for idle ones."""
+    def test_new_orderer_gets_recent_demand(self, clock):
+        """Without it, a new orderer takes models in constant use for idle ones."""
         peers, links = make_peers(clock)
         peers.learn_orderer(LeaseRecord("c", 2, 0, "10.0.0.9:1"))
         demand = DemandCounter()
@@ -131,13 +131,13 @@
             demand.note(make_request(clock), 20.0)
             peers.tell_demand(demand)
             clock.advance(seconds(1))
-        links.told.clear()
+        links.sent.clear()
 
         peers.learn_orderer(LeaseRecord("b", 3, 0, PEER.address))
         peers.tell_demand(demand)
         peers.tell_demand(demand)
 
-        ((address, fact),) = links.told
+        ((address, fact),) = links.sent
         assert address == PEER.address
         assert [(each.requests, each.work_ms) for each in fact.demand] == [(3, 60)]
         assert fact.age_ms == 3_000
@@ -146,23 +146,21 @@
         ("model", "missed_for"),
         [pytest.param("m5", [10_000], id="missed"), pytest.param("m0", [], id="held")],
     )
-    def test_a_new_one_is_told_for_how_long_models_are_missed(
-        self, clock, model, missed_for
-    ):
-        """Else each change of hands puts a model off that waits for its turn."""
+    def test_new_orderer_gets_time_missed_of_models(self, clock, model, missed_for):
+        """Without it, each change of orderer delays the load of a missed model."""
         peers, links = make_peers(clock, make_target("t1", models=["m0"]))
         peers.learn_orderer(LeaseRecord("c", 2, 0, "10.0.0.9:1"))
         demand = DemandCounter()
         demand.miss(make_request(clock, model=model))
         peers.tell_demand(demand)
         clock.advance(seconds(10))
-        links.told.clear()
+        links.sent.clear()
 
         peers.learn_orderer(LeaseRecord("b", 3, 0, PEER.address))
         peers.tell_demand(demand)
 
-        told = [each for _, fact in links.told for each in fact.demand]
-        assert [each.missed_for_ms for each in told] == missed_for
+        sent = [each for _, fact in links.sent for each in fact.demand]
+        assert [each.missed_for_ms for each in sent] == missed_for
 
     @pytest.mark.parametrize(
         "record",
@@ -171,9 +169,9 @@
             LeaseRecord("", 4, 9, "10.0.0.9:1"),
             LeaseRecord("c", 2, 9, "10.0.0.9:1"),
         ],
-        ids=["no lease", "given up", "earlier epoch"],
+        ids=["no lease", "released", "earlier epoch"],
     )
-    def test_what_tells_of_no_newer_holder_is_passed_over(self, clock, record):
+    def test_lease_record_without_newer_holder_is_ignored(self, clock, record):
         peers, links = make_peers(clock)
         notice = OrdererNotice(3, 1)
         peers.receive(Envelope(VERSION, PEER, True, [notice]))
@@ -181,10 +179,10 @@
         peers.learn_orderer(record)
 
         peers.tell_demand(make_demand(clock))
-        assert [address for address, _ in links.told] == [PEER.address]
+        assert [address for address, _ in links.sent] == [PEER.address]
 
     @pytest.mark.parametrize(
-        "tell",
+        "report",
         [
             lambda peers, fact: peers.receive(Envelope(VERSION, PEER, True, [fact])),
             lambda peers, fact: peers.learn_orderer(
@@ -194,17 +192,19 @@
         ids=["peer", "store"],
     )
     @pytest.mark.parametrize("fact", [OrdererNotice(3, 1), TargetHoldings(3, [])])
-    def test_a_newer_epoch_reaches_the_own_lease(self, clock, tell, fact):
-        """Who holds it by an earlier one orders no longer."""
-        heard = []
-        peers, _ = make_peers(clock, on_orderer=lambda *told: heard.append(told))
+    def test_newer_epoch_is_reported_to_own_lease(self, clock, report, fact):
+        """The holder of an earlier epoch must stop sending orders."""
+        reports = []
+        peers, _ = make_peers(
+            clock, on_orderer=lambda *arguments: reports.append(arguments)
+        )
         peers.tell_renewal(2, 7)
 
-        tell(peers, fact)
+        report(peers, fact)
 
-        assert (3, NO_RENEWAL) in heard
+        assert (3, NO_RENEWAL) in reports
 
-    def test_the_resignation_of_an_earlier_one_does_not_silence_it(self, clock):
+    def test_resignation_of_earlier_orderer_is_ignored(self, clock):
         peers, _ = make_peers(clock)
         peers.receive(Envelope(VERSION, PEER, True, [OrdererNotice(3, 1)]))
 
@@ -213,68 +213,68 @@
         assert peers.orderer_is_heard()
 
 
-class TestMissers:
-    """Nodes that are not linked to the orderer, and miss what a target holds."""
+class TestHoldingsForUnlinkedNodes:
+    """The orderer sends holdings to unlinked nodes that missed a held model."""
 
-    def missed(self, peers, adapter="a1"):
+    def receive_miss(self, peers, adapter="a1"):
         goal_ms = 400
         each = DemandOfModel("engine", "m0", adapter, 0, goal_ms, 1, 1, 10)
         peers.receive(Envelope(VERSION, PEER, True, [ModelDemand([each])]))
 
-    def held(self, adapters=("a1",)):
+    def holding(self, adapters=("a1",)):
         return Holding("t1", HeldModels({"m0": frozenset(adapters)}), ())
 
-    def directly(self, links):
-        return [fact for address, fact in links.told if address == PEER.address]
+    def sent_directly(self, links):
+        return [fact for address, fact in links.sent if address == PEER.address]
 
-    def test_are_told_at_once_what_is_there(self, clock):
-        """An adapter loaded for others is not refused for want of a word."""
+    def test_node_is_sent_holders_at_once(self, clock):
+        """Otherwise the node would refuse requests for an adapter that is loaded."""
         peers, links = make_peers(clock, make_target("t1", adapters=["a1"]))
         peers.tell_renewal(3, 1)
-        self.missed(peers)
-        (told,) = self.directly(links)
-        assert told.epoch == 3
-        assert told.holdings[0].models == {"m0": ["a1"]}
+        self.receive_miss(peers)
+        (fact,) = self.sent_directly(links)
+        assert fact.epoch == 3
+        assert fact.holdings[0].models == {"m0": ["a1"]}
 
     @pytest.mark.parametrize(("later", "times"), [(0.1, 1), (2.5, 0)])
-    def test_are_told_for_a_while_what_changes(self, clock, later, times):
+    def test_node_is_sent_changes_for_a_while(self, clock, later, times):
         peers, links = make_peers(clock, make_target("t1"))
         peers.tell_renewal(3, 1)
-        self.missed(peers)
+        self.receive_miss(peers)
         clock.advance(seconds(later))
-        peers.tell_holdings(3, [self.held()])
-        assert len(self.directly(links)) == times
+        peers.tell_holdings(3, [self.holding()])
+        assert len(self.sent_directly(links)) == times
 
-    def test_are_left_to_the_orderer(self, clock):
-        """Another node's word would make it be taken for the orderer."""
+    def test_only_orderer_sends_holders(self, clock):
+        """Receivers would take another node that sends holdings for the orderer."""
         peers, links = make_peers(clock, make_target("t1", adapters=["a1"]))
-        self.missed(peers)
-        assert self.directly(links) == []
+        self.receive_miss(peers)
+        assert self.sent_directly(links) == []
 
-    def test_linked_ones_hear_it_with_all_others(self, clock):
+    def test_linked_node_is_not_sent_holders_separately(self, clock):
         peers, links = make_peers(clock, make_target("t1", adapters=["a1"]))
         peers.tell_renewal(3, 1)
         peers.receive(Envelope(VERSION, PEER, False, []))
         peers.keep_links()
-        self.missed(peers)
-        assert self.directly(links) == []
+        self.receive_miss(peers)
+        assert self.sent_directly(links) == []
 
 
-class TestRenewals:
-    """Peers hear of each renewal of the orders' lease once."""
+class TestLeaseRenewals:
+    """Each renewal of the orders' lease is published once."""
 
-    def test_each_is_told_once(self, clock):
+    def test_renewal_is_published_once(self, clock):
         peers, links = make_peers(clock)
 
         for renewal in (4, 4, 5):
             peers.tell_renewal(3, renewal)
 
-        assert links.told == [
+        assert links.sent == [
             ("all", OrdererNotice(3, 4, OWN.address)),
             ("all", OrdererNotice(3, 5, OWN.address)),
         ]
 
-    def test_a_holder_that_cannot_renew_is_not_heard(self, clock):
+    def test_repeated_notice_is_not_a_renewal(self, clock):
         peers, _ = make_peers(clock)
         peers.receive(Envelope(VERSION, PEER, True, [OrdererNotice(3, 1)]))
         assert peers.orderer_is_heard()
@@ -285,17 +285,17 @@
         assert not peers.orderer_is_heard()
 
 
-class TestMembers:
-    """Members that are new."""
+class TestNewMembers:
+    """Detection of new members."""
 
-    def test_a_member_heard_for_the_first_time_is_noticed(self, clock):
+    def test_first_message_of_member_sets_event(self, clock):
         peers, _ = make_peers(clock)
 
         peers.receive(Envelope(VERSION, PEER, False, []))
 
         assert peers.met_member.is_set()
 
-    def test_one_that_is_known_is_not(self, clock):
+    def test_message_of_known_member_does_not_set_event(self, clock):
         peers, _ = make_peers(clock)
         peers.receive(Envelope(VERSION, PEER, False, []))
         peers.met_member.clear()
@@ -305,15 +305,17 @@
         assert not peers.met_member.is_set()
 
 
-class TestLeavingTargets:
-    """What a node hears of targets that leave goes on while it is news."""
+class TestDrainingTargets:
+    """A notice of a draining target is forwarded only if it is new."""
 
-    def test_it_is_told_on_once(self, clock):
+    def test_notice_is_forwarded_once(self, clock):
         peers, links = make_peers(clock, make_target("t1"))
         fact = DrainingTargets(("t1",))
         for _ in range(2):
             peers.receive(Envelope(VERSION, PEER, True, [fact]))
 
-        told = [fact for _, fact in links.told if isinstance(fact, DrainingTargets)]
-        assert told == [DrainingTargets(("t1",))]
+        forwarded = [
+            fact for _, fact in links.sent if isinstance(fact, DrainingTargets)
+        ]
+        assert forwarded == [DrainingTargets(("t1",))]
         assert not peers._directory.ready("engine")
--- a/packages/runhatch-server/tests/test_gateway_run.py
+++ b/packages/runhatch-server/tests/test_gateway_run.py
@@ -1,4 +1,4 @@
-"""Attempts of one request: what is tried again, and what callers are promised."""
+"""Attempts of one request: which are retried, and what refusals promise callers."""
 
 from dataclasses import replace
 
@@ -35,15 +35,15 @@
 
 UNREACHED = NotSent(AttemptReason.CONNECT_FAILED)
 BUSY = RefusedUnrun(AttemptReason.TARGET_BUSY)
-RESTING = RefusedUnrun(AttemptReason.TARGET_BUSY, retry_after=seconds(3))
-LEAVING = RefusedUnrun(AttemptReason.TARGET_BUSY, leaving=True)
+BACKING_OFF = RefusedUnrun(AttemptReason.TARGET_BUSY, retry_after=seconds(3))
+DRAINING = RefusedUnrun(AttemptReason.TARGET_BUSY, leaving=True)
 BROKEN = UnknownResult(AttemptReason.BROKEN)
 TIMED_OUT = UnknownResult(AttemptReason.TIMED_OUT)
-GONE = UnknownResult(AttemptReason.CALLER_GONE)
+CALLER_GONE = UnknownResult(AttemptReason.CALLER_GONE)
 
 
-class Body:
-    """A connection whose answer is there."""
+class FakeConnection:
+    """Fake of a connection whose answer has arrived; it breaks if ``body`` is None."""
 
     def __init__(self, body):
         self._body = body
@@ -59,11 +59,11 @@
 
 def answer(status=200, body=b"ok"):
     head = AnswerHead(status, "", "id", True, False, False, None, seconds(1), ())
-    return OpenedAnswer(Body(body), head)
+    return OpenedAnswer(FakeConnection(body), head)
 
 
 class ScriptedForwarder:
-    """Gives each attempt the next result."""
+    """Returns the next of ``results`` for each attempt."""
 
     def __init__(self, results):
         self._results = list(results)
@@ -99,28 +99,28 @@
 
 
 IDEMPOTENT = RequestKind.IDEMPOTENT
-ONCE = RequestKind.NON_IDEMPOTENT
+NON_IDEMPOTENT = RequestKind.NON_IDEMPOTENT
 
 
 class TestAttempts:
-    """How often a request is sent, by its kind and what became of it."""
+    """Number of attempts of a request, by its kind and their results."""
 
     @pytest.mark.parametrize(
         ("kind", "results", "sent", "status"),
         [
             (IDEMPOTENT, [answer()], 1, 200),
-            (ONCE, [answer()], 1, 200),
-            (ONCE, [UNREACHED, UNREACHED, answer()], 3, 200),
-            (ONCE, [BUSY, answer()], 2, 200),
+            (NON_IDEMPOTENT, [answer()], 1, 200),
+            (NON_IDEMPOTENT, [UNREACHED, UNREACHED, answer()], 3, 200),
+            (NON_IDEMPOTENT, [BUSY, answer()], 2, 200),
             (IDEMPOTENT, [BROKEN, answer()], 2, 200),
             (IDEMPOTENT, [answer(500), answer()], 2, 200),
             (IDEMPOTENT, [answer(500), answer(500)], 2, 500),
             (IDEMPOTENT, [answer(body=None), answer()], 2, 200),
-            (ONCE, [answer(500)], 1, 500),
+            (NON_IDEMPOTENT, [answer(500)], 1, 500),
             (IDEMPOTENT, [answer(404)], 1, 404),
         ],
     )
-    def test_answered(self, clock, kind, results, sent, status):
+    def test_request_is_answered(self, clock, kind, results, sent, status):
         outcome, forwarder, _ = run(clock, kind, results)
 
         assert isinstance(outcome, WholeAnswer)
@@ -131,17 +131,17 @@
     @pytest.mark.parametrize(
         ("kind", "results", "sent", "status", "executed"),
         [
-            (ONCE, [BROKEN], 1, 502, Executed.UNKNOWN),
-            (ONCE, [answer(body=None)], 1, 502, Executed.UNKNOWN),
-            (ONCE, [BUSY, BROKEN], 2, 502, Executed.UNKNOWN),
+            (NON_IDEMPOTENT, [BROKEN], 1, 502, Executed.UNKNOWN),
+            (NON_IDEMPOTENT, [answer(body=None)], 1, 502, Executed.UNKNOWN),
+            (NON_IDEMPOTENT, [BUSY, BROKEN], 2, 502, Executed.UNKNOWN),
             (IDEMPOTENT, [BROKEN, BROKEN], 2, 502, Executed.UNKNOWN),
             (IDEMPOTENT, [BROKEN, BUSY, BUSY, BUSY], 4, 502, Executed.UNKNOWN),
-            (ONCE, [BUSY] * 3, 3, 503, Executed.NO),
-            (ONCE, [UNREACHED] * 5, 5, 503, Executed.NO),
-            (ONCE, [GONE], 1, 499, Executed.UNKNOWN),
+            (NON_IDEMPOTENT, [BUSY] * 3, 3, 503, Executed.NO),
+            (NON_IDEMPOTENT, [UNREACHED] * 5, 5, 503, Executed.NO),
+            (NON_IDEMPOTENT, [CALLER_GONE], 1, 499, Executed.UNKNOWN),
         ],
     )
-    def test_refused(self, clock, kind, results, sent, status, executed):
+    def test_request_is_refused(self, clock, kind, results, sent, status, executed):
         outcome, forwarder, _ = run(clock, kind, results)
 
         assert isinstance(outcome, Refusal)
@@ -149,59 +149,63 @@
         assert len(forwarder.targets) == sent
 
     @pytest.mark.parametrize("status", [408, 421, 429, 503])
-    def test_no_status_promises_that_nothing_ran_once_it_may_have(self, clock, status):
+    def test_status_does_not_promise_unrun_request_after_unknown_result(
+        self, clock, status
+    ):
         outcome, _, _ = run(clock, IDEMPOTENT, [BROKEN, BUSY, BUSY, BUSY])
 
         assert outcome.reason.status != status
 
-    def test_without_budget_nothing_is_sent_again(self, clock):
+    def test_request_is_not_retried_without_budget(self, clock):
         outcome, forwarder, _ = run(clock, IDEMPOTENT, [BROKEN], reserve=0)
 
         assert isinstance(outcome, Refusal)
         assert len(forwarder.targets) == 1
 
-    def test_places_are_given_back_whatever_happens(self, clock):
+    def test_grants_are_released_after_failures(self, clock):
         _, _, balancer = run(clock, IDEMPOTENT, [BROKEN, answer(500)])
 
         assert balancer.loads.own() == {}
 
-    def test_a_refusal_tells_when_to_come_back_if_nothing_ran(self, clock):
-        outcome, _, _ = run(clock, ONCE, [BUSY] * 3)
+    def test_refusal_of_unrun_request_has_retry_delay(self, clock):
+        outcome, _, _ = run(clock, NON_IDEMPOTENT, [BUSY] * 3)
 
         assert outcome.retry_after > seconds(0)
 
 
-class TestWishes:
-    """What targets ask for in their answers, and who is left to be asked."""
+class TestTargetRequests:
+    """Backoff and draining that targets request in their answers."""
 
     @pytest.mark.parametrize(
         ("result", "count", "sent", "reason"),
         [
             (BUSY, 1, 1, Reason.TARGETS_BUSY),
             (BUSY, 2, 2, Reason.TARGETS_BUSY),
-            (RESTING, 1, 1, Reason.TARGETS_REST),
-            (RESTING, 2, 2, Reason.TARGETS_REST),
-            (LEAVING, 1, 1, Reason.NO_TARGET),
+            (BACKING_OFF, 1, 1, Reason.TARGETS_REST),
+            (BACKING_OFF, 2, 2, Reason.TARGETS_REST),
+            (DRAINING, 1, 1, Reason.NO_TARGET),
         ],
     )
-    def test_one_that_turned_it_away_is_not_asked_again(
+    def test_target_that_refused_is_not_tried_again(
         self, clock, result, count, sent, reason
     ):
-        """The only holder of a model was sent a request three times within 3 ms."""
-        outcome, forwarder, _ = run(clock, ONCE, [result] * 5, count=count)
+        """The only holder of a model once got the same request three times in 3 ms."""
+        outcome, forwarder, _ = run(clock, NON_IDEMPOTENT, [result] * 5, count=count)
 
         assert len(forwarder.targets) == sent
         assert outcome.reason is reason
         assert outcome.executed is Executed.NO
 
-    def test_a_caller_is_told_how_long_the_rest_lasts(self, clock):
-        outcome, _, _ = run(clock, ONCE, [RESTING], count=1)
+    def test_retry_delay_covers_backoff_of_target(self, clock):
+        outcome, _, _ = run(clock, NON_IDEMPOTENT, [BACKING_OFF], count=1)
 
         assert seconds(3) <= outcome.retry_after <= seconds(3.75)
 
-    def test_what_an_answer_asks_counts_too(self, clock):
+    def test_backoff_and_draining_in_answer_are_applied(self, clock):
         head = replace(answer(503).head, rest=seconds(3), leaving=True)
-        _, _, balancer = run(clock, ONCE, [OpenedAnswer(Body(b""), head)], count=1)
+        _, _, balancer = run(
+            clock, NON_IDEMPOTENT, [OpenedAnswer(FakeConnection(b""), head)], count=1
+        )
         refusal = balancer.acquire(
             make_request(clock, service="plain", model=""), Tried(), never_gone
         )
--- a/packages/runhatch-server/tests/test_load_exchange.py
+++ b/packages/runhatch-server/tests/test_load_exchange.py
@@ -1,8 +1,8 @@
-"""What nodes have outstanding at targets, told by way of the readers of domains.
+"""Exchange of outstanding loads through the readers of failure domains.
 
-Of 63 nodes each heard the loads of six.  A day there had 1,229 of 5,561 answers of the
-most urgent route late, and targets turned 685 of 5,877 arrivals away, as prompts were
-sent to targets that the other nodes kept busy.
+Each of 63 nodes once received the loads of only six others, and sent prompts to targets
+that the remaining nodes kept busy: 1,229 of 5,561 answers of the most urgent route were
+late, and targets refused 685 of 5,877 requests.
 """
 
 import pytest
@@ -27,8 +27,8 @@
 from runhatch_server.peers import Member
 
 TICK = seconds(0.05)
-KNOWN_WITHIN = seconds(0.6)
-"""Until all know of a request: two readers and the pauses between their sums."""
+EXCHANGE_TIME = seconds(0.6)
+"""Time until all nodes know of a request: two readers and their send intervals."""
 
 
 def ignore(*arguments):
@@ -36,81 +36,85 @@
 
 
 class Tables:
-    """The part that a node takes in reading the store."""
+    """Fake of the tables: the reader role of a node, and its broadcasts."""
 
     broadcasts = True
 
-    def __init__(self, world, vm):
-        self._world = world
+    def __init__(self, cluster, vm):
+        self._cluster = cluster
         self._vm = vm
 
     @property
     def reads(self):
-        return role_of(self._vm, self._world.vms) is Role.READER
+        return role_of(self._vm, self._cluster.vms) is Role.READER
 
     @property
     def is_second(self):
-        readers = choose_readers(self._vm.failure_domain, self._world.vms)
+        readers = choose_readers(self._vm.failure_domain, self._cluster.vms)
         return readers[0].name != self._vm.name
 
     def broadcast(self, facts):
-        self._world.broadcasts += 1
-        for node in self._world.nodes.values():
+        self._cluster.broadcasts += 1
+        for node in self._cluster.nodes.values():
             if node.vm.failure_domain == self._vm.failure_domain:
-                self._world.deliver(self._vm, node.vm.address, facts)
+                self._cluster.deliver(self._vm, node.vm.address, facts)
 
 
 class Node:
-    """One node: its balancer, and what it tells of loads."""
+    """One node with its balancer and its exchange of loads."""
 
-    def __init__(self, world, vm):
-        self.world, self.vm = world, vm
+    def __init__(self, cluster, vm):
+        self.cluster, self.vm = cluster, vm
         self.frozen = False
-        directory = make_directory(world.clock, make_target("t0"))
+        directory = make_directory(cluster.clock, make_target("t0"))
         self.balancer = make_balancer(
-            directory, world.clock, vm.failure_domain, seed=None, has_connection=ignore
+            directory,
+            cluster.clock,
+            vm.failure_domain,
+            seed=None,
+            has_connection=ignore,
         )
         self.grants = []
-        self.told = 0
-        membership = Membership(vm, world.clock)
+        self.sent_count = 0
+        membership = Membership(vm, cluster.clock)
         self.loads = LoadExchange(
             membership,
-            world.clock,
+            cluster.clock,
             self.balancer.loads,
-            Tables(world, vm),
+            Tables(cluster, vm),
             self.tell,
             self.tell_all,
         )
 
     def tell(self, address, fact):
-        self.told += 1
-        self.world.deliver(self.vm, address, [fact])
+        self.sent_count += 1
+        self.cluster.deliver(self.vm, address, [fact])
 
     def tell_all(self, fact):
-        for node in self.world.nodes.values():
+        for node in self.cluster.nodes.values():
             if node is not self:
                 self.tell(node.vm.address, fact)
 
     def begin(self, number):
-        """Have ``number`` more streams running at the only target."""
+        """Start ``number`` streams at the only target."""
         for _ in range(number):
-            request = make_request(self.world.clock)
+            request = make_request(self.cluster.clock)
             grant = self.balancer.acquire(request, Tried(), never_gone)
             self.balancer.started(grant)
             self.grants.append(grant)
 
     def end(self):
-        """Have all of them end."""
+        """End all streams of this node."""
         while self.grants:
             self.balancer.released(self.grants.pop(), faulty=False)
 
     def running(self):
-        """Return how many streams it believes to run there, of all nodes."""
+        """Return the streams of all nodes at the target, as known to this node."""
         return self.balancer.loads.totals().get("t0", LoadShare()).running
 
 
-class World:
-    """Nodes of some failure domains, and everything that they tell each other."""
+class Cluster:
+    """Nodes of several failure domains, and their messages to each other."""
 
     def __init__(self, clock, number, domains=3):
         self.clock = clock
@@ -140,84 +144,84 @@
 
 
 @pytest.mark.parametrize("number", [6, 30, 90])
-def test_each_node_knows_what_all_have_together(clock, number):
-    world = World(clock, number)
-    nodes = list(world.nodes.values())
+def test_each_node_knows_total_load(clock, number):
+    cluster = Cluster(clock, number)
+    nodes = list(cluster.nodes.values())
     for node in nodes:
         node.begin(2)
 
-    world.advance(KNOWN_WITHIN)
+    cluster.advance(EXCHANGE_TIME)
 
     known = [node.running() for node in nodes]
     assert known == [2 * number] * number
 
 
-def test_what_has_ended_is_forgotten(clock):
-    world = World(clock, 30)
-    nodes = list(world.nodes.values())
+def test_ended_requests_are_removed(clock):
+    cluster = Cluster(clock, 30)
+    nodes = list(cluster.nodes.values())
     nodes[7].begin(5)
-    world.advance(seconds(2))
+    cluster.advance(seconds(2))
     nodes[7].end()
 
-    world.advance(KNOWN_WITHIN)
+    cluster.advance(EXCHANGE_TIME)
 
     assert {node.running() for node in nodes} == {0}
 
 
-def test_what_a_node_tells_does_not_grow_with_their_number(clock):
-    told = {}
+def test_traffic_of_node_is_independent_of_cluster_size(clock):
+    sent = {}
     for number in (30, 90):
-        world = World(clock, number)
+        cluster = Cluster(clock, number)
         follower = next(
-            n for n in world.nodes.values() if not Tables(world, n.vm).reads
+            n for n in cluster.nodes.values() if not Tables(cluster, n.vm).reads
         )
         for _ in range(20):
             follower.begin(1)
-            world.advance(TICK)
-        told[number] = follower.told
-    assert told[90] == told[30] <= 2 * 20
+            cluster.advance(TICK)
+        sent[number] = follower.sent_count
+    assert sent[90] == sent[30] <= 2 * 20
 
 
-def test_the_second_reader_tells_sums_while_the_first_is_silent(clock):
-    world = World(clock, 30)
-    nodes = list(world.nodes.values())
-    world.advance(seconds(2))
+def test_second_reader_sends_sums_while_first_is_silent(clock):
+    cluster = Cluster(clock, 30)
+    nodes = list(cluster.nodes.values())
+    cluster.advance(seconds(2))
     for domain in ("d0", "d1", "d2"):
-        first = choose_readers(domain, world.vms)[0]
-        world.nodes[first.address].frozen = True
-    up = [node for node in nodes if not node.frozen]
-    up[3].begin(4)
+        first = choose_readers(domain, cluster.vms)[0]
+        cluster.nodes[first.address].frozen = True
+    active = [node for node in nodes if not node.frozen]
+    active[3].begin(4)
 
-    world.advance(SUMS_SILENT + KNOWN_WITHIN)
+    cluster.advance(SUMS_SILENT + EXCHANGE_TIME)
 
-    assert {node.running() for node in up} == {4}
+    assert {node.running() for node in active} == {4}
 
 
-def test_only_one_reader_of_a_domain_tells_sums(clock):
-    world = World(clock, 30)
-    list(world.nodes.values())[4].begin(1)
-    world.advance(seconds(2))
-    before = world.broadcasts
+def test_only_one_reader_of_domain_sends_sums(clock):
+    cluster = Cluster(clock, 30)
+    list(cluster.nodes.values())[4].begin(1)
+    cluster.advance(seconds(2))
+    previous = cluster.broadcasts
 
-    world.advance(seconds(2))
+    cluster.advance(seconds(2))
 
-    assert world.broadcasts - before <= 3 * seconds(2) / SUM_EVERY
+    assert cluster.broadcasts - previous <= 3 * seconds(2) / SUM_EVERY
 
 
-def test_few_nodes_tell_each_other(clock):
-    world = World(clock, FULL_MESH)
-    list(world.nodes.values())[4].begin(1)
+def test_small_cluster_exchanges_loads_directly(clock):
+    cluster = Cluster(clock, FULL_MESH)
+    list(cluster.nodes.values())[4].begin(1)
 
-    world.advance(seconds(2))
+    cluster.advance(seconds(2))
 
-    assert world.broadcasts == 0
-    assert {node.running() for node in world.nodes.values()} == {1}
+    assert cluster.broadcasts == 0
+    assert {node.running() for node in cluster.nodes.values()} == {1}
 
 
-class TestNews:
-    """What is told of shares by target."""
+class TestLoadChanges:
+    """Selection of the changed shares to send."""
 
-    def test_changes_are_told_and_all_now_and_then(self):
+    def test_changes_are_sent_and_all_shares_periodically(self):
         news, one, two = LoadNews(), LoadShare(running=1), LoadShare(running=2)
         assert news.take({"t": one}, seconds(0)) == ({"t": one}, True)
         assert news.take({"t": one}, seconds(0.1)) is None
@@ -225,7 +229,7 @@
         assert news.take({"u": two}, seconds(0.3)) == ({"t": LoadShare()}, False)
         assert news.take({"u": two}, seconds(1.1)) == ({"u": two}, True)
 
-    def test_small_changes_are_told_once_they_add_up(self):
+    def test_small_changes_are_sent_once_they_add_up(self):
         news = LoadNews(lambda share: share.running // 2)
         news.take({"t": LoadShare(running=2)}, seconds(0))
 
@@ -234,7 +238,7 @@
         assert news.take({"t": four}, seconds(0.2)) == ({"t": four}, False)
 
 
-def test_requests_there_are_counted_together():
+def test_load_shares_are_added_and_subtracted():
     some = LoadShare((10.0, 0.0, 0.0, 5.0), 2, 3, 400, 7.0, 0.25)
     more = LoadShare((5.0, 0.0, 0.0, 1.0), 1, 1, 100, 2.0, 0.25)
 
