--- a/packages/runhatch-server/src/runhatch_server/gateway/_peers.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_peers.py
@@ -141,18 +141,18 @@
         if self._owes_recent_demand and self._orderer.address:
             self._owes_recent_demand = False
             recent = summed_demand(self._recent_demand) + self._missed.shares(now)
-            self._send_demand(recent, DEMAND_AGAIN)
+            self._send_shares(recent, DEMAND_AGAIN)
         shares = counter.take()
         self._recent_demand.append((now, shares))
         self._missed.note(shares, self._is_held, now)
-        self._send_demand(shares, timedelta())
+        self._send_shares(shares, timedelta())
 
     def _is_held(self, wanted: Wanted) -> bool:
         return bool(
             self._directory.holders(wanted.service, wanted.model, wanted.adapter)
         )
 
-    def _send_demand(self, shares: list[DemandShare], age: timedelta) -> None:
+    def _send_shares(self, shares: list[DemandShare], age: timedelta) -> None:
         if not shares:
             return
         own = self._membership.own
--- a/packages/runhatch-server/tests/late_world.py
+++ b/packages/runhatch-server/tests/late_world.py
@@ -90,13 +90,17 @@
 class DelayedCluster:
     """Nodes whose messages and threads are delayed.
 
-    ``message`` and ``thread`` are the ranges of the delays in seconds.
+    ``message_delays`` and ``thread_delays`` are ranges in seconds.
     """
 
-    def __init__(self, clock, rng, count, targets, message, thread):
+    def __init__(self, clock, rng, count, targets, message_delays, thread_delays):
         self.clock = clock
         self.sent = {target: [] for target in targets}
-        self._rng, self._message_delays, self._thread_delays = rng, message, thread
+        self._rng, self._message_delays, self._thread_delays = (
+            rng,
+            message_delays,
+            thread_delays,
+        )
         self._events = []
         self._numbers = itertools.count()
         self._running = None
