--- a/packages/runhatch-coordination/src/runhatch_coordination/_feed.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/_feed.py
@@ -1,8 +1,8 @@
-"""Tables watched for changes: a listing first, then each change in order.
+"""Watching a table of the store: a listing first, then each change in order.
 
-:class:`TableWatcher` keeps a listener up to date through outages: it lists the
-table anew when the store no longer has the history, and never goes back behind
-a version that it has passed on, unless the store itself came back from an older copy.
+:class:`TableWatcher` keeps a listener up to date through outages. It reads the whole
+table again when the store no longer has the history, and never delivers an older
+version after a newer one, unless the store was restored from an older copy.
 """
 
 import threading
@@ -20,24 +20,26 @@
 ValueT_contra = TypeVar("ValueT_contra", contravariant=True)
 
 LONGEST_WAIT = timedelta(seconds=8)
-"""How long the store is asked to keep a call waiting for a change.  Each end of a
-wait without one is a call paid for nothing; a wait whose answer was lost makes the
-reader so much later, if nothing tells it sooner."""
+"""How long the store may hold a call that waits for a change. A wait that ends without
+a change costs a call; one whose answer is lost delays the reader by this duration,
+unless a notice arrives earlier."""
 OVERDUE = timedelta(milliseconds=900)
-"""How long after hearing of a change elsewhere a reader waits for it itself, at least;
-one that reads changes together waits longer than that takes."""
+"""Minimum time that a reader waits for a change after a notice of it from another node.
+The timeout also exceeds the coalescing pause, so that the pause does not trigger it."""
 OVERDUE_SLACK = timedelta(milliseconds=200)
+"""Time added to the coalescing pause before a change counts as overdue."""
 COALESCE = timedelta(milliseconds=150)
-"""Pause between a change and the next call.  Changes come in bursts, and each
-call that brings one of them alone is paid; readers are this much later at most."""
+"""Pause between a change and the next call. Changes come in bursts and each call is
+paid for; readers receive a change at most this much later."""
 FIRST_RETRY = timedelta(milliseconds=200)
 LONGEST_RETRY = timedelta(seconds=1)
-"""Pauses between calls that fail: short enough to be back within the second."""
+"""Longest pause between failing calls, so that calls resume within a second after an
+outage."""
 
 
 @dataclass(frozen=True, slots=True)
 class Entry(Generic[ValueT_co]):
-    """One row of a watched table; ``value`` is ``None`` once it is removed."""
+    """One row of a watched table; ``value`` is ``None`` if the row was removed."""
 
     key: str
     value: ValueT_co | None
@@ -53,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Changes(Generic[ValueT_co]):
-    """What changed up to ``version``, oldest first; may be empty."""
+    """The rows changed up to ``version``, oldest change first; may be empty."""
 
     entries: tuple[Entry[ValueT_co], ...]
     version: StoreVersion
@@ -61,16 +63,16 @@
 
 @dataclass(frozen=True, slots=True)
 class HistoryLost:
-    """The store has dropped changes that were asked for."""
+    """The store no longer has the requested changes."""
 
 
 @dataclass(frozen=True, slots=True)
 class WaitEnded:
-    """The wait was ended on this side; it says nothing of the store."""
+    """The caller interrupted the wait; the store may be reachable or not."""
 
 
 class Feed(Protocol[ValueT_co]):
-    """One table of a store that tells its changes."""
+    """One table of a store whose changes can be read."""
 
     def read(self) -> Listing[ValueT_co] | Unavailable:
         """Return the whole table."""
@@ -78,39 +80,42 @@
     def changes(
         self, after: StoreVersion, wait: timedelta
     ) -> Changes[ValueT_co] | HistoryLost | WaitEnded | Unavailable:
-        """Return what changed after version ``after``, waiting for a first change."""
+        """Return the changes after version ``after``.
+
+        If there are none, wait up to ``wait`` for the first.
+        """
 
     def hurry(self) -> None:
-        """Have a call that waits for changes end at once; it will be made again.
+        """Interrupt a call that waits for changes; the caller repeats it.
 
-        One whose answer is arriving goes on.
+        A call whose answer is already arriving is not interrupted.
         """
 
 
 class FeedListener(Protocol[ValueT_contra]):
-    """Is told what a watched table holds; called by one thread, in order."""
+    """Receives the contents of a watched table, from one thread and in order."""
 
     def listed(self, entries: tuple[Entry[ValueT_contra], ...]) -> None:
-        """Replace all that was known."""
+        """Replace the contents of the table by ``entries``."""
 
     def changed(self, entries: tuple[Entry[ValueT_contra], ...]) -> None:
-        """Take in changes."""
+        """Apply the changed and removed rows in ``entries``."""
 
     def restored(self) -> None:
-        """The table came back from an older copy, and is listed next.
+        """Handle the restoration of the table from an older copy.
 
-        What was written since is gone until it is written again.
+        Rows written after that copy are lost. A call of :meth:`listed` follows.
         """
 
     def unreachable(self, reason: str) -> None:
-        """The table cannot be read since now; what is known may grow old."""
+        """Handle the loss of the table; its known contents may become stale."""
 
     def reachable(self) -> None:
-        """The table can be read again."""
+        """Handle that the table can be read again."""
 
 
 class TableWatcher(Generic[ValueT]):
-    """Keeps one listener up to date; :meth:`run` is one task's whole work.
+    """Keeps one listener up to date; :meth:`run` is the body of one task.
 
     .. versionadded:: 0.2
     """
@@ -124,27 +129,27 @@
         on_failure: Callable[[Exception], None],
         coalesce: timedelta = COALESCE,
     ) -> None:
-        self._coalesce = coalesce
-        self._overdue = max(OVERDUE, coalesce + OVERDUE_SLACK)
+        self._coalesce_pause = coalesce
+        self._overdue_after = max(OVERDUE, coalesce + OVERDUE_SLACK)
         self._feed = feed
         self._listener = listener
         self._clock = clock
         self._stopping = stopping
         self._on_failure = on_failure
         self._version: StoreVersion | None = None
-        self._passed = ORIGIN
-        self._failures = 0
-        self._noticed: tuple[StoreVersion, timedelta] | None = None
+        self._delivered_version = ORIGIN
+        self._consecutive_failures = 0
+        self._pending_notice: tuple[StoreVersion, timedelta] | None = None
 
     @property
     def version(self) -> StoreVersion:
-        """The newest version passed on."""
-        return self._passed
+        """The newest version delivered to the listener."""
+        return self._delivered_version
 
     @property
     def failing(self) -> bool:
         """Whether the last call failed."""
-        return self._failures > 0
+        return self._consecutive_failures > 0
 
     @property
     def lists_next(self) -> bool:
@@ -152,32 +157,35 @@
         return self._version is None
 
     def seek(self, version: StoreVersion) -> None:
-        """Go on after ``version``, which the listener was told by somebody else."""
-        if version > self._passed:
+        """Continue after ``version``, which another source has delivered."""
+        if version > self._delivered_version:
             self._version = version
-            self._passed = version
+            self._delivered_version = version
 
     def noticed(self, version: StoreVersion) -> None:
-        """Take in from elsewhere that the table has had ``version``."""
-        if version > self._passed and self._noticed is None:
-            self._noticed = (version, self._clock.elapsed())
+        """Record a notice from another node that the table has reached ``version``."""
+        if version > self._delivered_version and self._pending_notice is None:
+            self._pending_notice = (version, self._clock.elapsed())
 
     def check(self) -> bool:
-        """Hurry, and say so, if a change that was noticed elsewhere is overdue here."""
-        noticed = self._noticed
-        if noticed is None:
+        """Interrupt the wait if a change that another node announced is overdue.
+
+        Returns whether it was.
+        """
+        notice = self._pending_notice
+        if notice is None:
             return False
-        version, at = noticed
-        if version <= self._passed:
-            self._noticed = None
-        elif self._clock.elapsed() - at >= self._overdue:
-            self._noticed = None
+        version, noticed_at = notice
+        if version <= self._delivered_version:
+            self._pending_notice = None
+        elif self._clock.elapsed() - noticed_at >= self._overdue_after:
+            self._pending_notice = None
             self._feed.hurry()
             return True
         return False
 
     def run(self) -> None:
-        """Watch until told to stop, whatever a round raises."""
+        """Watch the table until stopped; exceptions go to ``on_failure``."""
         while not self._stopping.is_set():
             try:
                 pause = self.step()
@@ -187,53 +195,55 @@
             self._stopping.wait(pause.total_seconds())
 
     def step(self, wait: timedelta = LONGEST_WAIT) -> timedelta:
-        """Make one call; returns how long to pause before the next.
+        """Make one call to the store and return the pause before the next one.
 
-        The store is asked to keep it for ``wait`` if nothing has changed.
+        The store holds the call for up to ``wait`` if nothing has changed.
         """
         if self._version is None:
-            return self._list()
+            return self._read_whole_table()
         outcome = self._feed.changes(self._version, wait)
         if isinstance(outcome, WaitEnded):
             return timedelta()
         if isinstance(outcome, Unavailable):
-            return self._failed(outcome)
-        self._succeeded()
+            return self._record_failure(outcome)
+        self._record_success()
         if isinstance(outcome, HistoryLost):
             self._version = None
             return timedelta()
         if era_of(outcome.version) != era_of(self._version):
-            # Versions were given out again: what lies between is not known.
+            # The restored store reuses numbers, so changes in between are unknown.
             self._version = None
             return timedelta()
         self._version = max(self._version, outcome.version)
-        self._passed = self._version
+        self._delivered_version = self._version
         if not outcome.entries:
             return timedelta()
         self._listener.changed(outcome.entries)
-        return self._coalesce
+        return self._coalesce_pause
 
-    def _list(self) -> timedelta:
+    def _read_whole_table(self) -> timedelta:
         outcome = self._feed.read()
         if isinstance(outcome, Unavailable):
-            return self._failed(outcome)
-        self._succeeded()
-        if outcome.version < self._passed:
-            # An old answer; taking it would undo changes already passed on.
+            return self._record_failure(outcome)
+        self._record_success()
+        if outcome.version < self._delivered_version:
+            # A late answer: delivering it would undo changes already delivered.
             return FIRST_RETRY
         self._version = outcome.version
-        self._passed = outcome.version
+        self._delivered_version = outcome.version
         self._listener.listed(outcome.entries)
         return timedelta()
 
-    def _failed(self, outcome: Unavailable) -> timedelta:
-        if not self._failures:
+    def _record_failure(self, outcome: Unavailable) -> timedelta:
+        if not self._consecutive_failures:
             self._listener.unreachable(outcome.reason)
-        pause = min(LONGEST_RETRY, FIRST_RETRY * (1 << min(self._failures, 4)))
-        self._failures += 1
+        pause = min(
+            LONGEST_RETRY, FIRST_RETRY * (1 << min(self._consecutive_failures, 4))
+        )
+        self._consecutive_failures += 1
         return pause
 
-    def _succeeded(self) -> None:
-        if self._failures:
-            self._failures = 0
+    def _record_success(self) -> None:
+        if self._consecutive_failures:
+            self._consecutive_failures = 0
             self._listener.reachable()
--- a/packages/runhatch-coordination/src/runhatch_coordination/_history.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/_history.py
@@ -1,27 +1,27 @@
-"""Positions in the history of a store that may come back from an older copy.
+"""Versions of a store that may be restored from an older copy.
 
-Such a store loses what it has acknowledged since the copy, and counts its versions
-again from there: the same number stands for another change then.  Each time a new era
-begins, so that an era and a number together tell which of two changes is the later.
+A restored store has lost the writes acknowledged after the copy and reuses their
+version numbers for other changes. Each restoration begins a new era, so that an era
+and a number together order all changes.
 """
 
 from typing import NewType
 
 NUMBER_BITS = 44
-"""Bits of a version's number below its era; at 1,000 changes a second they last 500
-years."""
+"""Bits of a version's number, below the bits of its era; enough for 500 years at 1,000
+changes a second."""
 FENCE_BITS = 24
-"""Bits of an epoch's number below its era.  Fences travel as numbers, of which JSON
-keeps 53 bits."""
+"""Bits of an epoch, below the bits of its era. Fences are sent as JSON numbers, which
+are exact up to 53 bits."""
 
 StoreVersion = NewType("StoreVersion", int)
-"""A version of a store, in the order of its history, whatever eras they are of."""
+"""A version of a store; versions of all eras compare in the order of its history."""
 ORIGIN = StoreVersion(0)
-"""Before any change."""
+"""The version before any change."""
 
 
 def store_version(era: int, number: int) -> StoreVersion:
-    """Return the version that a store called ``number`` in ``era``.
+    """Return the version that the store numbered ``number`` in ``era``.
 
     >>> store_version(1, 90) > store_version(0, 100)
     True
@@ -39,7 +39,7 @@
 
 
 def number_of(version: StoreVersion) -> int:
-    """Return what the store called ``version``.
+    """Return the number that the store gave to ``version``.
 
     >>> number_of(store_version(2, 90))
     90
@@ -50,7 +50,7 @@
 def fence_of(era: int, epoch: int) -> int:
     """Return the fence of the ``epoch``-th holder of ``era``.
 
-    Epochs are counted in a row of the store, which goes back with it.
+    Epochs are counted in a row of the store, so a restoration resets them too.
 
     >>> fence_of(0, 7), fence_of(1, 3) > fence_of(0, 7)
     (7, True)
@@ -59,7 +59,7 @@
 
 
 def era_of_fence(fence: int) -> int:
-    """Return the era in which ``fence`` was counted.
+    """Return the era in which ``fence`` was issued.
 
     >>> era_of_fence(fence_of(2, 7))
     2
--- a/packages/runhatch-coordination/src/runhatch_coordination/_replica.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/_replica.py
@@ -1,8 +1,8 @@
-"""A copy of a watched table that is kept up to date from several sources.
+"""A local copy of a watched table, updated from several sources.
 
-Readers of the store and peers that tell what they have read offer changes in any
-order; the copy takes each once and never goes back.  It tells in turn what has
-changed since a version, as far back as it remembers what was removed.
+The reader of the store and peers offer changes in any order; the copy applies each
+once and never returns to an older version. It also computes the changes since a given
+version, as far back as it remembers removed rows.
 """
 
 import threading
@@ -13,18 +13,19 @@
 from runhatch_coordination._history import ORIGIN, StoreVersion, era_of
 
 MOST_REMOVED = 500
-"""Removed rows remembered for those who ask what has changed; older ones are told the
-whole table, which costs them some 400 bytes a row."""
+"""Removed rows that are remembered. A node whose version is older receives the whole
+table, some 400 bytes a row."""
 MOST_BLIND = 8
-"""Whole tables taken in after the first that are remembered; more come only when the
-store drops its history again and again.  Who knows less then asks for the whole."""
+"""Number of remembered replacements by a whole table. More of them occur only if the
+store repeatedly drops its history; nodes with older versions then receive the whole
+table."""
 
 Rows = tuple[Entry[bytes], ...]
 
 
 @dataclass(frozen=True, slots=True)
 class TableChanges:
-    """Rows changed after version ``after`` up to ``version``; all if ``whole``."""
+    """The rows changed after version ``after`` up to ``version``, all if ``whole``."""
 
     after: StoreVersion
     version: StoreVersion
@@ -33,26 +34,26 @@
 
 
 class Offer(Enum):
-    """What became of changes that were offered."""
+    """The outcome of offering changes to a copy."""
 
     TAKEN = "taken"
     KNOWN = "known"
     GAP = "gap"
-    """Something before them is missing here."""
+    """Earlier changes are missing in the copy, so these were not applied."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Row:
-    """A row's value, and the version by which it had changed to it."""
+    """The value of a row and the version up to which it changed to that value."""
 
     value: bytes
     changed: StoreVersion
 
 
 class TableReplica:
-    """One table's rows and the version they are of; safe for many threads.
+    """The rows of one table at one version; safe for use by several threads.
 
-    ``listener`` is told while the copy is locked, so in the order of versions.
+    ``listener`` is called while the copy is locked, and so in the order of versions.
 
     .. versionadded:: 0.2
     """
@@ -61,46 +62,50 @@
         self._listener = listener
         self._lock = threading.Lock()
         self._rows: dict[str, _Row] = {}
-        self._removed: dict[str, StoreVersion] = {}
-        self._oldest = ORIGIN
-        self._blind: list[tuple[StoreVersion, StoreVersion]] = []
-        """Between these versions a whole table was taken in: what came and went in
-        the meantime is not known, and whoever knows one between them may hold it."""
-        self._changed = ORIGIN
+        self._removed_rows: dict[str, StoreVersion] = {}
+        self._oldest_tracked_version = ORIGIN
+        self._untracked_spans: list[tuple[StoreVersion, StoreVersion]] = []
+        """Pairs of versions between which a whole table replaced the rows. Rows that
+        were added and removed in between are unknown here, but a node at a version in
+        between may store them."""
+        self._last_change_version = ORIGIN
         self._version: StoreVersion | None = None
 
     @property
     def version(self) -> StoreVersion | None:
-        """The version of the rows, ``None`` before there are any."""
+        """The version of the rows, ``None`` before the first whole table."""
         return self._version
 
     @property
     def unchanged(self) -> TableChanges | None:
-        """That nothing has changed since the last change, ``None`` if none is known."""
+        """Empty changes since the last change, ``None`` if no version is known."""
         with self._lock:
             if self._version is None:
                 return None
-            return TableChanges(self._changed, self._version, ())
+            return TableChanges(self._last_change_version, self._version, ())
 
     def offer(self, changes: TableChanges) -> Offer:
-        """Take in ``changes`` unless they are known or do not follow on what is."""
+        """Apply ``changes`` unless they are known or earlier ones are missing."""
         with self._lock:
             if self._version is not None and changes.version <= self._version:
                 return Offer.KNOWN
             if changes.whole:
-                self._replace(changes)
+                self._replace_rows(changes)
             elif self._version is None or changes.after > self._version:
                 return Offer.GAP
             else:
-                self._update(changes)
+                self._apply_changes(changes)
             return Offer.TAKEN
 
     def since(self, version: StoreVersion | None) -> TableChanges | None:
-        """Return what has changed since ``version``, ``None`` if nothing is known."""
+        """Return the changes since ``version``, ``None`` if no version is known.
+
+        These are the whole table if ``version`` is ``None`` or too old.
+        """
         with self._lock:
             if self._version is None:
                 return None
-            if version is None or not self._tracks(version):
+            if version is None or not self._tracks_changes_since(version):
                 rows = tuple(Entry(key, row.value) for key, row in self._rows.items())
                 return TableChanges(ORIGIN, self._version, rows, whole=True)
             changed: list[Entry[bytes]] = [
@@ -110,18 +115,20 @@
             ]
             changed += [
                 Entry(key, None)
-                for key, removed in self._removed.items()
+                for key, removed in self._removed_rows.items()
                 if removed > version
             ]
             return TableChanges(version, self._version, tuple(changed))
 
-    def _tracks(self, version: StoreVersion) -> bool:
-        """Tell whether all that has changed since ``version`` is known."""
-        blind = any(before < version < after for before, after in self._blind)
-        return version >= self._oldest and not blind
+    def _tracks_changes_since(self, version: StoreVersion) -> bool:
+        """Return whether all changes since ``version`` are known."""
+        is_in_gap = any(
+            before < version < after for before, after in self._untracked_spans
+        )
+        return version >= self._oldest_tracked_version and not is_in_gap
 
-    def _replace(self, changes: TableChanges) -> None:
-        """Take in a whole table, noting what differs from what was known."""
+    def _replace_rows(self, changes: TableChanges) -> None:
+        """Replace the rows by a whole table and record which of them differ."""
         restored = self._version is not None and (
             era_of(changes.version) > era_of(self._version)
         )
@@ -133,43 +140,46 @@
             if entry.value is not None
         }
         for key in set(self._rows) - set(listed):
-            self._drop(key, changes.version)
+            self._remove_row(key, changes.version)
         for key, value in listed.items():
             if key not in self._rows or self._rows[key].value != value:
-                self._keep(key, value, changes.version)
+                self._put_row(key, value, changes.version)
         if self._version is None:
-            self._oldest = changes.version
+            self._oldest_tracked_version = changes.version
         elif restored:
-            # Others may hold rows of the earlier era that were never known here.
-            self._oldest = changes.version
-            self._blind.clear()
+            # Other nodes may store rows of the previous era that are unknown here.
+            self._oldest_tracked_version = changes.version
+            self._untracked_spans.clear()
         else:
-            self._blind.append((self._version, changes.version))
-        if len(self._blind) > MOST_BLIND:
-            _, self._oldest = self._blind.pop(0)
-        self._version = self._changed = changes.version
+            self._untracked_spans.append((self._version, changes.version))
+        if len(self._untracked_spans) > MOST_BLIND:
+            _, self._oldest_tracked_version = self._untracked_spans.pop(0)
+        self._version = self._last_change_version = changes.version
         self._listener.listed(changes.entries)
 
-    def _update(self, changes: TableChanges) -> None:
+    def _apply_changes(self, changes: TableChanges) -> None:
         for entry in changes.entries:
             if entry.value is None:
-                self._drop(entry.key, changes.version)
+                self._remove_row(entry.key, changes.version)
             else:
-                self._keep(entry.key, entry.value, changes.version)
+                self._put_row(entry.key, entry.value, changes.version)
         self._version = changes.version
         if changes.entries:
-            self._changed = changes.version
+            self._last_change_version = changes.version
             self._listener.changed(changes.entries)
 
-    def _keep(self, key: str, value: bytes, version: StoreVersion) -> None:
-        self._removed.pop(key, None)
+    def _put_row(self, key: str, value: bytes, version: StoreVersion) -> None:
+        self._removed_rows.pop(key, None)
         self._rows[key] = _Row(value, version)
 
-    def _drop(self, key: str, version: StoreVersion) -> None:
-        # Also of a row that was never here: who asks may have it from between.
+    def _remove_row(self, key: str, version: StoreVersion) -> None:
+        # A row unknown here is recorded too: a node at a version in between may
+        # store it.
         self._rows.pop(key, None)
-        self._removed.pop(key, None)
-        self._removed[key] = version
-        if len(self._removed) > MOST_REMOVED:
-            oldest = next(iter(self._removed))
-            self._oldest = max(self._oldest, self._removed.pop(oldest))
+        self._removed_rows.pop(key, None)
+        self._removed_rows[key] = version
+        if len(self._removed_rows) > MOST_REMOVED:
+            oldest = next(iter(self._removed_rows))
+            self._oldest_tracked_version = max(
+                self._oldest_tracked_version, self._removed_rows.pop(oldest)
+            )
--- a/packages/runhatch-coordination/src/runhatch_coordination/_revisions.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/_revisions.py
@@ -1,7 +1,8 @@
-"""Numbered revisions of a document: one head, moved by conditional writes.
+"""Numbered revisions of a document, whose head is advanced by conditional writes.
 
-The head row's entry bears the revision number.  A history row written in the same
-transaction names who made the change, and settles a lost answer.
+The entry in the head row contains the number of the newest revision. A history row
+written in the same transaction records the author, and shows after a lost answer
+whether the transaction was committed.
 """
 
 import hashlib
@@ -34,18 +35,18 @@
 
 
 class ObjectStore(Protocol):
-    """Immutable blobs by name; calls return ``None`` or ``False`` on failure."""
+    """A store of immutable objects; calls return ``None`` or ``False`` on failure."""
 
     def put(self, name: str, body: bytes) -> bool:
-        """Store ``body``; true only if it is certainly stored."""
+        """Store ``body``; return true only if it is certainly stored."""
 
     def get(self, name: str) -> bytes | None:
-        """Return the body, or ``None`` if it is missing or the store is down."""
+        """Return the body, ``None`` if it is missing or the store is unavailable."""
 
 
 @dataclass(frozen=True, slots=True)
 class RevisionEntry:
-    """What the history keeps of one revision, published in ``era`` of the table."""
+    """The history entry of one revision, published in ``era`` of the table."""
 
     number: int
     operation: str
@@ -58,13 +59,13 @@
 
     @property
     def position(self) -> StoreVersion:
-        """Where it stands among all, those included that an older copy lacks."""
+        """The position among the revisions of all eras, including lost ones."""
         return store_version(self.era, self.number)
 
 
 @dataclass(frozen=True, slots=True)
 class Revision:
-    """One revision with its body."""
+    """A revision with its body."""
 
     entry: RevisionEntry
     body: bytes
@@ -72,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Overtaken:
-    """Another change came first; ``head`` is the number now in force."""
+    """Another revision was published first; ``head`` is the newest number."""
 
     head: int
 
@@ -81,7 +82,7 @@
 
 
 class RevisionLog:
-    """Reads and writes the revisions kept under ``name``.
+    """Reads and publishes the revisions of the document ``name``.
 
     .. versionadded:: 0.1
     """
@@ -90,49 +91,53 @@
         self._table = table
         self._objects = objects
         self._name = name
-        self._head = Key(name, HEAD_SORT)
+        self._head_key = Key(name, HEAD_SORT)
 
     def head(self) -> int | Unavailable:
-        """Return the newest revision's number, 0 if there is none."""
+        """Return the number of the newest revision, 0 if there is none."""
         found = self.newest()
         if isinstance(found, Missing):
             return ABSENT
         return found if isinstance(found, Unavailable) else found.number
 
     def newest(self) -> RevisionEntry | Missing | Unavailable:
-        """Return the newest revision's entry; one read."""
-        return self._entry_at(self._head)
+        """Return the entry of the newest revision, with one read of the table."""
+        return self._read_entry(self._head_key)
 
     def publish(
         self, base: int, body: bytes, author: str, at: str, note: str
     ) -> PublishOutcome:
-        """Make ``body`` revision ``base + 1``, if ``base`` is still the head.
+        """Publish ``body`` as revision ``base + 1`` if ``base`` is still the head.
 
-        The body is stored before the head moves, under a name of its own, so a
-        reader who sees the head always finds the body.
+        The body is stored under a unique name before the head advances, so a reader
+        of the head always finds the body.
         """
-        head = self._table.get(self._head)
+        head = self._table.get(self._head_key)
         if isinstance(head, Unavailable):
             return head
         era = self._table.era
         if era is None:
             return Unavailable("the table's era is not known yet")
-        present = ABSENT if isinstance(head, Missing) else _entry_of(head).number
-        if present != base:
-            return Overtaken(present)
+        head_number = (
+            ABSENT if isinstance(head, Missing) else _decode_entry(head).number
+        )
+        if head_number != base:
+            return Overtaken(head_number)
         version = ABSENT if isinstance(head, Missing) else head.version
         operation = uuid.uuid4().hex
         number = base + 1
         body_name = f"{self._name}/{number:08d}-{operation}"
         if not self._objects.put(body_name, body):
-            return Unavailable("the object store did not take the body")
+            return Unavailable(
+                "the object store did not store the body of the revision"
+            )
         entry = RevisionEntry(
             number, operation, author, at, note, body_name, digest_of(body), era
         )
         encoded = msgspec.json.encode(entry)
         writes = [
             Put(self._history_key(number), encoded, ABSENT),
-            Put(self._head, encoded, version),
+            Put(self._head_key, encoded, version),
         ]
         outcome = commit(self._table, writes)
         if isinstance(outcome, Committed):
@@ -144,7 +149,7 @@
 
     def entry(self, number: int) -> RevisionEntry | Missing | Unavailable:
         """Return the history entry of ``number``."""
-        return self._entry_at(self._history_key(number))
+        return self._read_entry(self._history_key(number))
 
     def read(self, number: int) -> Revision | Missing | Unavailable:
         """Return revision ``number`` with its body."""
@@ -157,8 +162,13 @@
         """Return the revision of ``entry`` with its body."""
         body = self._objects.get(entry.body_name)
         if body is None:
-            return Unavailable("the object store did not return the body")
-        require(digest_of(body) == entry.digest, "a revision's body never changes")
+            return Unavailable(
+                "the object store did not return the body of the revision"
+            )
+        require(
+            digest_of(body) == entry.digest,
+            "the body of a revision must match the digest of its entry",
+        )
         return Revision(entry, body)
 
     def history(self) -> tuple[RevisionEntry, ...] | Unavailable:
@@ -166,24 +176,24 @@
         rows = self._table.query(self._name + HISTORY_SUFFIX)
         if isinstance(rows, Unavailable):
             return rows
-        return tuple(_entry_of(row) for row in rows)
+        return tuple(_decode_entry(row) for row in rows)
 
-    def _entry_at(self, key: Key) -> RevisionEntry | Missing | Unavailable:
+    def _read_entry(self, key: Key) -> RevisionEntry | Missing | Unavailable:
         found = self._table.get(key)
         if isinstance(found, Row):
-            return _entry_of(found)
+            return _decode_entry(found)
         return found
 
     def _history_key(self, number: int) -> Key:
         return Key(self._name + HISTORY_SUFFIX, f"{number:08d}")
 
 
-def _entry_of(row: Row) -> RevisionEntry:
+def _decode_entry(row: Row) -> RevisionEntry:
     return msgspec.json.decode(row.body, type=RevisionEntry)
 
 
 class RevisionFeed:
-    """The revision in force on one node; its position only ever rises.
+    """The current revision on one node; its position only increases.
 
     .. versionadded:: 0.1
     """
@@ -195,33 +205,38 @@
 
     @property
     def current(self) -> Revision | None:
-        """The revision in force, if any is known yet."""
+        """The current revision, ``None`` before the first."""
         return self._current
 
     @property
     def number(self) -> int:
-        """The number of the revision in force, 0 before the first."""
+        """The number of the current revision, 0 before the first."""
         return 0 if self._current is None else self._current.entry.number
 
     @property
     def position(self) -> StoreVersion:
-        """The position of the revision in force, ``ORIGIN`` before the first."""
+        """The position of the current revision, ``ORIGIN`` before the first."""
         return ORIGIN if self._current is None else self._current.entry.position
 
     def offer(self, revision: Revision) -> bool:
-        """Put ``revision`` in force if it is newer; returns whether it was.
+        """Make ``revision`` current if it is newer; return whether it was.
+
+        A revision whose body does not match its digest is ignored.
 
-        Raises :class:`InvariantError` if two bodies claim the same position.
+        Raises :class:`InvariantError` if two revisions have the same position.
         """
         if digest_of(revision.body) != revision.entry.digest:
             return False
         with self._lock:
             if revision.entry.position <= self.position:
-                same = self._current
-                if same is not None and same.entry.position == revision.entry.position:
+                known = self._current
+                if (
+                    known is not None
+                    and known.entry.position == revision.entry.position
+                ):
                     require(
-                        same.entry.operation == revision.entry.operation,
-                        "one revision number names one body",
+                        known.entry.operation == revision.entry.operation,
+                        "a revision number must belong to only one operation",
                     )
                 return False
             self._on_change(revision)
@@ -230,5 +245,5 @@
 
 
 def digest_of(body: bytes) -> str:
-    """Return the digest that guards a body, in hex."""
+    """Return the hexadecimal digest that a body is verified with."""
     return hashlib.blake2b(body, digest_size=16).hexdigest()
--- a/packages/runhatch-coordination/src/runhatch_coordination/_sources.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/_sources.py
@@ -1,4 +1,4 @@
-"""Where a node gets a watched table from."""
+"""The sources from which a node receives a watched table."""
 
 from enum import Enum
 
@@ -6,7 +6,7 @@
 
 
 class Source(Enum):
-    """Where a node gets a table from, and why."""
+    """Where a node receives a table from, and why."""
 
     TOLD = "told"
     READER = "reads as reader"
@@ -18,6 +18,6 @@
 
 
 READING = {Role.READER: Source.READER, Role.WITNESS: Source.WITNESS}
-"""What nodes do that read for as long as they have their role."""
+"""Sources of the roles that read the store continuously."""
 READ_ONCE = (Source.GAP, Source.OVERDUE)
-"""What nodes that are told do when they miss something."""
+"""Sources of a node that makes a single read to obtain a change it missed."""
--- a/packages/runhatch-coordination/src/runhatch_coordination/_table.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/_table.py
@@ -1,12 +1,12 @@
-"""The transactional table as the library sees it: rows, writes, outcomes.
+"""The interface of the transactional table: rows, writes and outcomes.
 
-A row's version starts at 1 and grows by one with each write; 0 means that the
-row does not exist.  All writes of a transaction are conditional on versions.
+The version of a row starts at 1 and grows by one with each write; 0 means that the
+row does not exist. All writes of a transaction are conditional on versions.
 
-A version that was read bears the era of the table (:func:`store_version`), so that a
-condition of before a step back does not hold on a row that was written since, and
-versions read later are higher.  Who counts on from the version that it created a row
-at has a plain count, in whatever era.
+A version read from the table includes the era of the table (:func:`store_version`).
+So a condition formed before a restoration from an older copy does not hold for a row
+written after it, and versions read later are higher. A caller that creates a row and
+counts its own writes from there uses plain numbers, whatever the era.
 """
 
 from collections.abc import Sequence
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Key:
-    """Where a row lives: all rows of one partition are read together."""
+    """The key of a row; all rows of one partition are read together."""
 
     partition: str
     sort: str
@@ -39,7 +39,7 @@
 class Put:
     """Write ``body`` if the row still has version ``expect``.
 
-    After ``expires`` the table may drop the row by itself, at leisure.
+    The table may delete the row at any time after ``expires``.
     """
 
     key: Key
@@ -74,14 +74,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """Nothing was written; ``failed`` are the positions whose condition failed."""
+    """Nothing was written; the conditions of the writes at ``failed`` did not hold."""
 
     failed: tuple[int, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Unavailable:
-    """The store did not act on the call; nothing was written."""
+    """The store did not execute the call; nothing was written."""
 
     reason: str
 
@@ -95,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Missing:
-    """The row that was asked for does not exist."""
+    """The requested row does not exist."""
 
 
 TransactOutcome = Committed | Conflict | Unavailable | Unknown
@@ -111,9 +111,9 @@
 
     @property
     def era(self) -> int | None:
-        """How many times it has come back from an older copy, ``None`` if not known.
+        """Number of restorations from an older copy, ``None`` if not known.
 
-        What was written after that copy, and acknowledged, is gone then.
+        Each of them loses the acknowledged writes made after the copy.
         """
 
     def transact(self, writes: Sequence[Write]) -> TransactOutcome:
--- a/packages/runhatch-coordination/src/runhatch_coordination/testing/__init__.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/testing/__init__.py
@@ -1,4 +1,4 @@
-"""Fakes for tests of code that embeds this library."""
+"""Fakes for tests of code that uses this library."""
 
 from runhatch_coordination.testing._clock import ManualClock
 from runhatch_coordination.testing._faults import FaultyTable, TableFault
--- a/packages/runhatch-coordination/src/runhatch_coordination/testing/_clock.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/testing/_clock.py
@@ -1,4 +1,4 @@
-"""A clock that moves only when told."""
+"""A clock that is advanced by the test."""
 
 import threading
 from datetime import UTC, datetime, timedelta
@@ -7,7 +7,7 @@
 
 
 class ManualClock:
-    """A :class:`~runhatch_coordination.Clock` under the test's control.
+    """A :class:`~runhatch_coordination.Clock` that the test controls.
 
     >>> clock = ManualClock()
     >>> clock.advance(timedelta(seconds=2))
@@ -17,27 +17,27 @@
 
     def __init__(self) -> None:
         self._elapsed = timedelta()
-        self._jumped = timedelta()
+        self._wall_offset = timedelta()
         self._lock = threading.Lock()
 
     def now(self) -> datetime:
-        """Return a fixed start plus what has elapsed and what was jumped."""
-        return START + self._elapsed + self._jumped
+        """Return the wall time: a fixed start plus all advances and jumps."""
+        return START + self._elapsed + self._wall_offset
 
     def elapsed(self) -> timedelta:
-        """Return how far the clock was advanced."""
+        """Return the sum of all advances."""
         return self._elapsed
 
     def sleep(self, duration: timedelta) -> None:
-        """Advance instead of blocking."""
+        """Advance the clock by ``duration`` instead of blocking."""
         self.advance(duration)
 
     def jump(self, duration: timedelta) -> None:
-        """Set the wall time on, or back; nothing has elapsed."""
+        """Change the wall time by ``duration``; the elapsed time stays."""
         with self._lock:
-            self._jumped += duration
+            self._wall_offset += duration
 
     def advance(self, duration: timedelta) -> None:
-        """Move the clock on."""
+        """Advance the elapsed time and the wall time by ``duration``."""
         with self._lock:
             self._elapsed += duration
--- a/packages/runhatch-coordination/src/runhatch_coordination/testing/_faults.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/testing/_faults.py
@@ -1,4 +1,4 @@
-"""Faults of the platform's table, injected between a user and a real one."""
+"""A wrapper of a table that injects faults."""
 
 from collections.abc import Sequence
 from enum import Enum
@@ -16,7 +16,7 @@
 
 
 class TableFault(Enum):
-    """What happens to calls while the fault is set."""
+    """The effect on calls while the fault is set."""
 
     NONE = "none"
     DOWN = "down"
@@ -26,23 +26,23 @@
 
 
 class FaultyTable:
-    """Passes calls on, but for the ``fault`` set for the next ``count`` writes.
+    """Forwards calls to a table and applies ``fault`` to the next ``count`` writes.
 
-    ``DOWN`` also fails reads; ``LOSE_ANSWER`` applies the write and hides that;
-    ``DELAY`` keeps it from the table until :meth:`deliver`.  As on a real way to a
-    table, its era is not known before an answer has told it.
+    ``DOWN`` also fails reads; ``LOSE_ANSWER`` applies the write but returns
+    ``Unknown``; ``DELAY`` holds it back until :meth:`deliver`. As with a remote table,
+    the era is unknown before the first answer.
     """
 
     def __init__(self, table: Table) -> None:
         self._table = table
         self._era: int | None = None
-        self._delayed: list[Sequence[Write]] = []
+        self._delayed_writes: list[Sequence[Write]] = []
         self.fault = TableFault.NONE
         self.count = 0
 
     @property
     def era(self) -> int | None:
-        """How many times the table has come back, by the answers so far."""
+        """Number of restorations by the answers so far, ``None`` before the first."""
         return self._era
 
     def inject(self, fault: TableFault, count: int = 10**9) -> None:
@@ -51,17 +51,17 @@
         self.count = count
 
     def learn_era(self) -> None:
-        """Learn the table's era, as from an answer to another user's call."""
+        """Update the known era, as an answer to another caller would."""
         self._era = self._table.era
 
     def deliver(self) -> None:
-        """Have the table get the writes that were delayed."""
-        delayed, self._delayed = self._delayed, []
+        """Apply the delayed writes to the table."""
+        delayed, self._delayed_writes = self._delayed_writes, []
         for writes in delayed:
             self._table.transact(writes)
 
     def transact(self, writes: Sequence[Write]) -> TransactOutcome:
-        """Apply, lose, delay or refuse ``writes``."""
+        """Apply, lose, delay or refuse ``writes``, by the current fault."""
         fault = self.fault if self.count > 0 else TableFault.NONE
         self.count -= 1
         if fault is TableFault.DOWN:
@@ -69,30 +69,30 @@
         if fault is TableFault.LOSE_REQUEST:
             return Unknown("injected loss of the request")
         if fault is TableFault.DELAY:
-            self._delayed.append(writes)
+            self._delayed_writes.append(writes)
             return Unknown("injected delay of the request")
-        before = self._era
+        previous_era = self._era
         outcome = self._table.transact(writes)
         if fault is TableFault.LOSE_ANSWER:
             return Unknown("injected loss of the answer")
         self.learn_era()
-        if before is not None and before != self._era:
-            return Unknown("the table came back from an older copy meanwhile")
+        if previous_era is not None and previous_era != self._era:
+            return Unknown("the table was restored from an older copy during the call")
         return outcome
 
     def get(self, key: Key) -> GetOutcome:
         """Read one row unless the table is down."""
-        if self._down():
+        if self._is_down():
             return Unavailable("injected outage")
         self.learn_era()
         return self._table.get(key)
 
     def query(self, partition: str) -> QueryOutcome:
         """Read a partition unless the table is down."""
-        if self._down():
+        if self._is_down():
             return Unavailable("injected outage")
         self.learn_era()
         return self._table.query(partition)
 
-    def _down(self) -> bool:
+    def _is_down(self) -> bool:
         return self.fault is TableFault.DOWN and self.count > 0
--- a/packages/runhatch-coordination/src/runhatch_coordination/testing/_objects.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/testing/_objects.py
@@ -2,19 +2,19 @@
 
 
 class MemoryObjects:
-    """Blobs by name; ``down`` makes every call fail."""
+    """An object store in memory; every call fails while ``down`` is true."""
 
     def __init__(self) -> None:
-        self._blobs: dict[str, bytes] = {}
+        self._bodies: dict[str, bytes] = {}
         self.down = False
 
     def put(self, name: str, body: bytes) -> bool:
-        """Store a blob unless down."""
+        """Store ``body`` under ``name``; return whether it was stored."""
         if self.down:
             return False
-        self._blobs[name] = body
+        self._bodies[name] = body
         return True
 
     def get(self, name: str) -> bytes | None:
-        """Return a blob, ``None`` if missing or down."""
-        return None if self.down else self._blobs.get(name)
+        """Return the body of ``name``, ``None`` if missing or down."""
+        return None if self.down else self._bodies.get(name)
--- a/packages/runhatch-coordination/src/runhatch_coordination/testing/_table.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/testing/_table.py
@@ -1,4 +1,4 @@
-"""A table in memory with the semantics the library relies on."""
+"""A table in memory with the semantics that the library requires."""
 
 import threading
 from collections.abc import Sequence
@@ -28,22 +28,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Stored:
-    """A row, and the eras in which it was written last and created."""
+class _StoredRow:
+    """A row, and the eras in which it was last written and created."""
 
-    count: int
+    number: int
     body: bytes
-    written: int
-    created: int
+    written_era: int
+    created_era: int
 
 
 class MemoryTable:
-    """Serialisable transactions over a dict.
+    """A table with serialisable transactions over a dict.
 
-    A condition holds if the row that it was formed on is still there, so not for
-    a row of the same count that was written after a step back.  It knows no users,
-    and so cannot tell who counts on from ``ABSENT``: a plain count holds for a row
-    that was created in the present era.
+    A condition holds only for the row that it was formed on, and not for a row with
+    the same number that was written after a restoration. The table does not know its
+    callers, and so cannot tell which of them counts its writes from ``ABSENT``: a plain
+    number holds for any row that was created in the current era.
 
     >>> table = MemoryTable()
     >>> table.transact([Put(Key("p", "s"), b"x", expect=0)])
@@ -53,32 +53,34 @@
     """
 
     def __init__(self) -> None:
-        self._rows: dict[Key, _Stored] = {}
+        self._rows: dict[Key, _StoredRow] = {}
         self._lock = threading.Lock()
         self.writes = 0
-        """Transactions received."""
+        """Number of transactions received."""
         self.reads = 0
-        """Reads received."""
+        """Number of reads received."""
         self.era: int | None = 0
-        self._copy: dict[Key, _Stored] = {}
+        self._saved_rows: dict[Key, _StoredRow] = {}
 
     def copy(self) -> None:
-        """Take a copy of all rows."""
+        """Save a copy of all rows for :meth:`restore`."""
         with self._lock:
-            self._copy = dict(self._rows)
+            self._saved_rows = dict(self._rows)
 
     def restore(self) -> None:
-        """Come back from the last copy."""
+        """Replace all rows by the last copy and begin a new era."""
         with self._lock:
-            self._rows = dict(self._copy)
-            self.era = self._present() + 1
+            self._rows = dict(self._saved_rows)
+            self.era = self._current_era() + 1
 
     def transact(self, writes: Sequence[Write]) -> TransactOutcome:
-        """Apply all writes or none."""
+        """Apply all ``writes`` or none."""
         with self._lock:
             self.writes += 1
             failed = tuple(
-                index for index, write in enumerate(writes) if not self._holds(write)
+                index
+                for index, write in enumerate(writes)
+                if not self._condition_holds(write)
             )
             if failed:
                 return Conflict(failed)
@@ -93,38 +95,38 @@
             return self._row(key) if key in self._rows else Missing()
 
     def query(self, partition: str) -> QueryOutcome:
-        """Read a partition, ordered."""
+        """Read all rows of ``partition``, ordered by sort key."""
         with self._lock:
             self.reads += 1
             keys = sorted(key for key in self._rows if key.partition == partition)
             return tuple(self._row(key) for key in keys)
 
-    def _present(self) -> int:
+    def _current_era(self) -> int:
         return 0 if self.era is None else self.era
 
     def _row(self, key: Key) -> Row:
         stored = self._rows[key]
-        return Row(key, store_version(self._present(), stored.count), stored.body)
+        return Row(key, store_version(self._current_era(), stored.number), stored.body)
 
-    def _holds(self, write: Write) -> bool:
+    def _condition_holds(self, write: Write) -> bool:
         stored = self._rows.get(write.key)
         if stored is None or write.expect == ABSENT:
             return stored is None and write.expect == ABSENT
         expected = StoreVersion(write.expect)
-        if number_of(expected) != stored.count:
+        if number_of(expected) != stored.number:
             return False
-        if stored.written <= era_of(expected):
+        if stored.written_era <= era_of(expected):
             return True
-        return era_of(expected) == 0 and stored.created == self._present()
+        return era_of(expected) == 0 and stored.created_era == self._current_era()
 
     def _apply(self, write: Write) -> None:
         match write:
             case Put(key, body, expect, _):
-                era = self._present()
-                before = self._rows.get(key)
-                created = era if before is None else before.created
-                count = number_of(StoreVersion(expect)) + 1
-                self._rows[key] = _Stored(count, body, era, created)
+                era = self._current_era()
+                previous = self._rows.get(key)
+                created_era = era if previous is None else previous.created_era
+                number = number_of(StoreVersion(expect)) + 1
+                self._rows[key] = _StoredRow(number, body, era, created_era)
             case Delete(key, _):
                 self._rows.pop(key, None)
             case Check():
