--- a/packages/runhatch-coordination/src/runhatch_coordination/_replica.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/_replica.py
@@ -47,7 +47,7 @@
     """The value of a row and the version up to which it changed to that value."""
 
     value: bytes
-    changed: StoreVersion
+    changed_version: StoreVersion
 
 
 class TableReplica:
@@ -111,7 +111,7 @@
             changed: list[Entry[bytes]] = [
                 Entry(key, row.value)
                 for key, row in self._rows.items()
-                if row.changed > version
+                if row.changed_version > version
             ]
             changed += [
                 Entry(key, None)
--- a/packages/runhatch-coordination/tests/slow_links.py
+++ b/packages/runhatch-coordination/tests/slow_links.py
@@ -28,11 +28,11 @@
 )
 from runhatch_coordination.testing import ManualClock
 
-MEGABIT = 125_000
-"""Bytes."""
-NODE_LINK = 5 * MEGABIT
-FAST_LINK = 100 * MEGABIT
-STORE_LINK = 2_000 * MEGABIT
+MEGABIT_BYTES = 125_000
+NODE_BYTES_PER_SECOND = 5 * MEGABIT_BYTES
+FAST_BYTES_PER_SECOND = 100 * MEGABIT_BYTES
+STORE_BYTES_PER_SECOND = 2_000 * MEGABIT_BYTES
+"""Bandwidths of the links, in bytes a second."""
 ANSWER_BYTES = 603_000
 """1,890 routes as the store sends them."""
 UPDATE_BYTES = 29_000
@@ -262,12 +262,12 @@
         self.simulation = Simulation()
         self.store = Store()
         self.store.write("config", b"2")
-        self.store_link = Link(self.simulation, STORE_LINK)
+        self.store_link = Link(self.simulation, STORE_BYTES_PER_SECOND)
         self.nodes = []
         for number in range(NODE_COUNT):
-            self.nodes.append(SlowNode(self, f"a{number}", "a", NODE_LINK))
+            self.nodes.append(SlowNode(self, f"a{number}", "a", NODE_BYTES_PER_SECOND))
         for number in range(2):
-            self.nodes.append(SlowNode(self, f"b{number}", "b", FAST_LINK))
+            self.nodes.append(SlowNode(self, f"b{number}", "b", FAST_BYTES_PER_SECOND))
         self.slow_nodes = self.nodes[:NODE_COUNT]
 
     def vms(self):
