--- a/packages/runhatch-server/src/runhatch_server/serving/__init__.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/__init__.py
@@ -1,4 +1,4 @@
-"""Serving callers: reading, routing, limits, retries, streams, at most once."""
+"""Serves callers' requests: parsing, routing, limits, retries, streams, claims."""
 
 from runhatch_server.serving._app import CallerApp
 from runhatch_server.serving._attempts import Attempter
--- a/packages/runhatch-server/src/runhatch_server/serving/_app.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_app.py
@@ -47,7 +47,7 @@
 
 
 class CallerApp:
-    """Takes callers' requests, counts them and hands them on."""
+    """Counts callers' requests and passes them to the serving service."""
 
     def __init__(
         self,
@@ -71,58 +71,58 @@
         self._has_configuration = has_configuration
         self._on_broken = on_broken
         self.draining = False
-        """Set on shutdown: connections are closed after their answers."""
+        """Whether connections are closed after their answers; set on shutdown."""
 
     def __call__(
         self, environ: Environ, start_response: StartResponse
     ) -> Iterable[bytes]:
-        """Serve one request."""
+        """Serve one WSGI request."""
         path = environ.get("PATH_INFO")
         if path in HEALTH_PATHS:
-            return self._send(self._health(str(path)), start_response)
+            return self._send(self._health_answer(str(path)), start_response)
         if path == MODELS_PATH:
-            return self._send(self._models(environ), start_response)
+            return self._send(self._models_answer(environ), start_response)
         self._progress.begin()
         self._metrics.in_progress.inc()
-        handed_on = False
+        stream_started = False
         try:
-            answer = self._answer(environ)
+            answer = self._build_answer(environ)
             if isinstance(answer, StreamedAnswer):
-                start_response(_status(answer), list(answer.headers))
-                handed_on = True
+                start_response(_status_line(answer), list(answer.headers))
+                stream_started = True
                 events = _GeneratedEvents(answer.events)
-                return CountedEvents(events, self._end)
+                return CountedEvents(events, self._end_request)
             return self._send(answer, start_response)
-        except InvariantError as broken:
-            self._on_broken(broken)
+        except InvariantError as error:
+            self._on_broken(error)
             raise
         finally:
-            if not handed_on:
-                self._end()
+            if not stream_started:
+                self._end_request()
 
-    def _answer(self, environ: Environ) -> CallerAnswer:
+    def _build_answer(self, environ: Environ) -> CallerAnswer:
         started = self._clock.elapsed()
         if not self._has_configuration():
-            return self._not_ready()
+            return self._refuse_not_ready()
         request = self._reader.read(environ)
         if isinstance(request, Refusal):
             self._metrics.refusals.labels(request.reason.code).inc()
             return refused(request, NO_REQUEST)
         answer = self._service.serve(request, caller_gone(environ))
-        took = self._clock.elapsed() - started
+        duration = self._clock.elapsed() - started
         kind = request.route.kind.value
-        self._metrics.first_byte.labels(kind).observe(took.total_seconds())
+        self._metrics.first_byte.labels(kind).observe(duration.total_seconds())
         return answer
 
-    def _not_ready(self) -> CallerAnswer:
-        """Refuse before judging paths and names that only a configuration tells."""
+    def _refuse_not_ready(self) -> CallerAnswer:
+        """Refuse a request because no configuration declares paths and names yet."""
         refusal = Refusal(
             Reason.NOT_READY, Executed.UNKNOWN, retry_after=NOT_READY_RETRY_AFTER
         )
         self._metrics.refusals.labels(refusal.reason.code).inc()
         return refused(refusal, NO_REQUEST)
 
-    def _end(self) -> None:
+    def _end_request(self) -> None:
         self._progress.end()
         self._metrics.in_progress.dec()
 
@@ -130,18 +130,22 @@
         self, answer: WholeAnswer, start_response: StartResponse
     ) -> Iterable[bytes]:
         return send_whole(
-            _status(answer), answer.headers, answer.body, start_response, self.draining
+            _status_line(answer),
+            answer.headers,
+            answer.body,
+            start_response,
+            self.draining,
         )
 
-    def _health(self, path: str) -> WholeAnswer:
-        sound = path == "/healthz" or self._is_ready()
-        body = b"ok\n" if sound else b"not ready\n"
-        return WholeAnswer(200 if sound else 503, (), body)
+    def _health_answer(self, path: str) -> WholeAnswer:
+        healthy = path == "/healthz" or self._is_ready()
+        body = b"ok\n" if healthy else b"not ready\n"
+        return WholeAnswer(200 if healthy else 503, (), body)
 
-    def _models(self, environ: Environ) -> WholeAnswer:
+    def _models_answer(self, environ: Environ) -> WholeAnswer:
         if environ.get("REQUEST_METHOD") != "GET":
-            wrong = Refusal(Reason.BAD_METHOD, Executed.NO, "allowed: GET")
-            return refused(wrong, NO_REQUEST)
+            bad_method = Refusal(Reason.BAD_METHOD, Executed.NO, "allowed: GET")
+            return refused(bad_method, NO_REQUEST)
         names = [
             route.name
             for route in self._picture.routes()
@@ -152,7 +156,7 @@
 
 
 class _GeneratedEvents:
-    """Events from a generator, whose clean-up runs even if it was never begun."""
+    """Iterates over a generator and runs its clean-up even if it never started."""
 
     def __init__(self, events: Iterator[bytes]) -> None:
         self._events = events
@@ -163,10 +167,10 @@
         return next(self._events)
 
     def close(self) -> None:
-        """End the generator."""
+        """Close the generator after starting it if necessary."""
         try:
             if not self._started:
-                # A generator that never ran would skip its own clean-up.
+                # Closing a generator that never started skips its finally blocks.
                 next(self._events, None)
             if isinstance(self._events, Generator):
                 self._events.close()
@@ -174,5 +178,5 @@
             pass
 
 
-def _status(answer: CallerAnswer) -> str:
+def _status_line(answer: CallerAnswer) -> str:
     return f"{answer.status} Status"
--- a/packages/runhatch-server/src/runhatch_server/serving/_caller_answers.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_caller_answers.py
@@ -1,4 +1,4 @@
-"""What a caller is answered: a whole answer, or a stream."""
+"""Answers to callers: whole answers, streams and refusals."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -15,7 +15,7 @@
 REQUEST_ID_HEADER = "X-Request-Id"
 EVENT_STREAM = "text/event-stream"
 PASSED_HEADERS = ("content-type", "location", "etag", "cache-control", "last-modified")
-"""Headers of a target that reach the caller; all others end at this node."""
+"""Headers of a target's answer that are forwarded to the caller."""
 
 Headers = tuple[tuple[str, str], ...]
 
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamedAnswer:
-    """An answer that arrives event by event."""
+    """An answer sent as a stream of events."""
 
     status: int
     headers: Headers
@@ -42,7 +42,7 @@
 
 
 def refused(refusal: Refusal, request_id: str) -> WholeAnswer:
-    """Return the answer that tells ``refusal``."""
+    """Return the problem document of ``refusal`` as an answer."""
     headers = (
         ("Content-Type", PROBLEM_TYPE),
         (REQUEST_ID_HEADER, request_id),
@@ -53,7 +53,7 @@
 
 
 def passed_headers(answer: Answer | OpenAnswer) -> Headers:
-    """Return those headers of a target's answer that reach the caller."""
+    """Return the headers of a target's answer that are forwarded to the caller."""
     return tuple(
         (name.title(), answer.headers[name])
         for name in PASSED_HEADERS
@@ -62,6 +62,6 @@
 
 
 def whole(answer: StoredAnswer, request_id: str) -> WholeAnswer:
-    """Return ``answer`` as it goes to the caller of ``request_id``."""
+    """Return ``answer`` as sent to the caller of ``request_id``."""
     headers = (*answer.headers, (REQUEST_ID_HEADER, request_id))
     return WholeAnswer(answer.status, headers, answer.body)
--- a/packages/runhatch-server/src/runhatch_server/serving/_caller_models.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_caller_models.py
@@ -1,4 +1,4 @@
-"""Models of what callers send to model routes, checked at the border."""
+"""Pydantic models that validate the bodies of requests to model routes."""
 
 from typing import Annotated, Literal
 
@@ -8,20 +8,20 @@
 
 
 class _OpenModel(BaseModel):
-    """Checks the fields runhatch acts on, and passes all others to the engine."""
+    """Validates the fields runhatch uses and keeps all others for the engine."""
 
     model_config = ConfigDict(extra="allow", frozen=True)
 
 
 class Message(_OpenModel):
-    """One message of a chat."""
+    """One message of a chat completion."""
 
     role: str = Field(min_length=1)
     content: str | list[dict[str, object]] | None = None
 
 
 class CompletionBody(_OpenModel):
-    """What both calls share."""
+    """Fields that chat and plain completions have in common."""
 
     model: str = Field(min_length=1, max_length=64)
     stream: bool = False
@@ -30,13 +30,13 @@
 
 
 class ChatBody(CompletionBody):
-    """``POST /v1/chat/completions``."""
+    """Body of ``POST /v1/chat/completions``."""
 
     messages: list[Message] = Field(min_length=1, max_length=MAX_MESSAGES)
 
 
 class PromptBody(CompletionBody):
-    """``POST /v1/completions``."""
+    """Body of ``POST /v1/completions``."""
 
     prompt: str | list[str]
 
--- a/packages/runhatch-server/src/runhatch_server/serving/_cancel.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_cancel.py
@@ -1,4 +1,4 @@
-"""Telling engines that nobody waits for an answer any more."""
+"""Cancels requests at engines when their answers are no longer needed."""
 
 from concurrent.futures import ThreadPoolExecutor
 
@@ -8,17 +8,17 @@
 
 
 class Canceller:
-    """Sends cancellations in the background, so that no request waits for one."""
+    """Sends cancellations from a thread pool, so that no request waits for one."""
 
     def __init__(self) -> None:
         self._pool = ThreadPoolExecutor(WORKERS, thread_name_prefix="cancel")
 
     def cancel(self, url: str, sent_id: str) -> None:
-        """Ask the engine at ``url`` to stop the request it knows as ``sent_id``."""
+        """Cancel the request with the id ``sent_id`` at the engine at ``url``."""
         self._pool.submit(_cancel, url, sent_id)
 
     def close(self) -> None:
-        """Send what is queued and stop."""
+        """Send the queued cancellations and stop."""
         self._pool.shutdown()
 
 
--- a/packages/runhatch-server/src/runhatch_server/serving/_demand.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_demand.py
@@ -1,4 +1,4 @@
-"""Counting what is asked for, towards the planners."""
+"""Counts requests by model for the planners."""
 
 import threading
 from collections import Counter
@@ -7,20 +7,20 @@
 
 
 class DemandCounter:
-    """Requests by model since the counts were last taken."""
+    """Counts requests by model since the last call of ``take``; thread-safe."""
 
     def __init__(self) -> None:
         self._counts: Counter[str] = Counter()
         self._lock = threading.Lock()
 
     def note(self, route: Route) -> None:
-        """Count one request."""
+        """Count one request if ``route`` is a model."""
         if route.kind is RouteKind.MODEL:
             with self._lock:
                 self._counts[route.name] += 1
 
     def take(self) -> dict[str, int]:
-        """Return the counts and start anew."""
+        """Return the counts and reset them."""
         with self._lock:
             counts = dict(self._counts)
             self._counts.clear()
