--- a/packages/runhatch-server/src/runhatch_server/serving/_attempts.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts at targets for one request: which outcomes are tried again, and where."""
+"""Sends a request to targets and decides which failures are retried, and where."""
 
 import random
 from collections.abc import Callable
@@ -31,12 +31,12 @@
 MAX_ATTEMPTS = 4
 FIRST_BACKOFF = timedelta(milliseconds=20)
 FREE_RETRIES = frozenset({AttemptReason.MODEL_NOT_THERE})
-"""Corrections of a stale picture; they cost the target nothing."""
+"""Failures caused by a stale picture; retrying them costs the targets nothing."""
 
 
 @dataclass(slots=True)
 class RequestContext:
-    """What goes along with one request: its trace, log and caller's connection."""
+    """State of one request across its attempts: trace, log, failures, connection."""
 
     request: CallerRequest
     fingerprint: str
@@ -50,12 +50,12 @@
     continuation: dict[str, object] | None = None
     last_url: str = ""
     life: str = ""
-    """The life of the target that the newest attempt went to."""
+    """Incarnation of the target of the latest attempt."""
 
 
 @dataclass(frozen=True, slots=True)
 class Opened:
-    """An answer that has begun, and the slot it occupies."""
+    """An answer whose headers have arrived, and the slot it occupies."""
 
     grant: Grant
     answer: OpenAnswer
@@ -63,7 +63,7 @@
 
 
 class Attempter:
-    """Makes the attempts of all requests of one node."""
+    """Sends the attempts of all requests of one node."""
 
     def __init__(
         self,
@@ -90,11 +90,13 @@
         self._random = random.Random(seed)
 
     def open(self, context: RequestContext) -> Opened | Refusal:
-        """Return an answer that has begun, or the refusal that is left."""
+        """Return an answer that has started, or a refusal once no retry is allowed."""
         while True:
-            held_back = self._crashes.judge(context.fingerprint)
-            if held_back is not None:
-                return held_back.as_unknown() if context.maybe_ran else held_back
+            crash_refusal = self._crashes.judge(context.fingerprint)
+            if crash_refusal is not None:
+                return (
+                    crash_refusal.as_unknown() if context.maybe_ran else crash_refusal
+                )
             grant = self._dispatcher.acquire(
                 context.request, context.failed_targets, context.failed_domains
             )
@@ -108,9 +110,9 @@
                 return refusal
 
     def completed(self, opened: Opened, context: RequestContext) -> None:
-        """Give the slot back after the whole answer arrived."""
+        """Return the slot after the whole answer has arrived."""
         self._budget.deposit()
-        self._note(context, opened.grant, "answered")
+        self._record_attempt(context, opened.grant, "answered")
         self._dispatcher.completed(opened.grant, opened.first_byte, opened.answer.load)
         self._crashes.answered(
             context.fingerprint, context.life, opened.grant.granted_at
@@ -123,16 +125,16 @@
         grant: Grant,
         outcome: NotSent | RefusedUnrun | UnknownResult,
     ) -> Refusal | None:
-        """Give the slot back; return a refusal unless another attempt is due."""
+        """Return the slot; return a refusal unless the request is to be retried."""
         self._dispatcher.failed(grant, outcome)
-        self._note(context, grant, outcome.reason.value)
+        self._record_attempt(context, grant, outcome.reason.value)
         if outcome.reason is AttemptReason.MODEL_NOT_THERE:
             self._picture.correct(grant.host.target, grant.host.unit)
         if outcome.reason is AttemptReason.TARGET_DRAINING:
             self._on_draining(grant.host.target)
         if isinstance(outcome, UnknownResult):
             context.maybe_ran = True
-            self._note_end(context, outcome.reason)
+            self._record_possible_crash(context, outcome.reason)
         context.failed_targets |= {grant.host.target}
         context.failed_domains |= {grant.host.failure_domain}
         return self._refuse_or_back_off(context, outcome)
@@ -140,11 +142,11 @@
     def abandoned(
         self, context: RequestContext, grant: Grant, outcome: UnknownResult
     ) -> None:
-        """Give the slot back without another attempt."""
+        """Return the slot without a retry."""
         context.maybe_ran = True
-        self._note_end(context, outcome.reason)
+        self._record_possible_crash(context, outcome.reason)
         self._dispatcher.failed(grant, outcome)
-        self._note(context, grant, outcome.reason.value)
+        self._record_attempt(context, grant, outcome.reason.value)
 
     def _attempt(
         self, context: RequestContext, grant: Grant
@@ -161,8 +163,10 @@
             return Opened(grant, outcome, first_byte)
         return outcome
 
-    def _note_end(self, context: RequestContext, reason: AttemptReason) -> None:
-        """Have it found out whether the target ended under the request."""
+    def _record_possible_crash(
+        self, context: RequestContext, reason: AttemptReason
+    ) -> None:
+        """Report a broken connection, which may mean that the target crashed."""
         if reason is AttemptReason.BROKEN:
             self._crashes.cut_off(context.fingerprint, context.life)
 
@@ -173,36 +177,40 @@
     ) -> Refusal | None:
         if outcome.reason is AttemptReason.CALLER_GONE:
             return Refusal(Reason.CALLER_GONE, Executed.UNKNOWN)
-        remaining = context.request.deadline - self._clock.elapsed()
-        backoff = self._backoff(context.attempts)
-        if remaining <= backoff:
-            return self._refusal(context, Reason.DEADLINE_PASSED)
+        remaining_time = context.request.deadline - self._clock.elapsed()
+        backoff = self._choose_backoff(context.attempts)
+        if remaining_time <= backoff:
+            return self._build_refusal(context, Reason.DEADLINE_PASSED)
         repeatable = not context.maybe_ran or context.request.idempotent
         if not repeatable or context.attempts >= MAX_ATTEMPTS:
-            return self._refusal(context, _final_reason(outcome))
+            return self._build_refusal(context, _final_reason(outcome))
         if outcome.reason not in FREE_RETRIES and not self._budget.withdraw():
-            return self._refusal(context, _final_reason(outcome))
+            return self._build_refusal(context, _final_reason(outcome))
         self._metrics.retries.labels(outcome.reason.value).inc()
         if outcome.reason not in FREE_RETRIES:
             self._clock.sleep(backoff)
         return None
 
-    def _backoff(self, attempts: int) -> timedelta:
-        longest = FIRST_BACKOFF * (1 << (attempts - 1))
-        return longest * self._random.uniform(0.5, 1)
+    def _choose_backoff(self, attempts: int) -> timedelta:
+        max_backoff = FIRST_BACKOFF * (1 << (attempts - 1))
+        return max_backoff * self._random.uniform(0.5, 1)
 
-    def _refusal(self, context: RequestContext, reason: Reason) -> Refusal:
+    def _build_refusal(self, context: RequestContext, reason: Reason) -> Refusal:
         executed = Executed.UNKNOWN if context.maybe_ran else Executed.NO
-        helps = executed is Executed.NO or context.request.idempotent
-        again = self._dispatcher.retry_after(context.request.route) if helps else None
-        return Refusal(reason, executed, retry_after=again)
+        retry_helps = executed is Executed.NO or context.request.idempotent
+        retry_delay = (
+            self._dispatcher.retry_after(context.request.route) if retry_helps else None
+        )
+        return Refusal(reason, executed, retry_after=retry_delay)
 
-    def _note(self, context: RequestContext, grant: Grant, outcome: str) -> None:
+    def _record_attempt(
+        self, context: RequestContext, grant: Grant, outcome: str
+    ) -> None:
         target = grant.host.target
         self._metrics.attempts.labels(outcome).inc()
         context.log.attempt(target, outcome)
-        why = grant.choice.explain()
-        context.trace.attempts.append(AttemptTrace(target, why, outcome))
+        explanation = grant.choice.explain()
+        context.trace.attempts.append(AttemptTrace(target, explanation, outcome))
 
 
 def _final_reason(outcome: NotSent | RefusedUnrun | UnknownResult) -> Reason:
--- a/packages/runhatch-server/src/runhatch_server/serving/_continuation.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_continuation.py
@@ -1,8 +1,8 @@
-"""Continuing a broken stream on another engine from the text so far.
+"""Continues a broken stream on another engine from the text received so far.
 
-Uses the engine parameters ``continue_final_message`` and
-``add_generation_prompt`` as published by vLLM for chat completions; plain
-completions continue by a longer prompt.
+Chat completions use the engine parameters ``continue_final_message`` and
+``add_generation_prompt`` as documented by vLLM; plain completions append the text
+to the prompt.
 """
 
 from collections.abc import Iterable, Mapping
@@ -33,38 +33,38 @@
 def continue_document(
     document: Mapping[str, object], events: Iterable[bytes]
 ) -> dict[str, object] | None:
-    """Return the request that asks for the rest, ``None`` if there is no way.
+    """Return the request for the remaining text, ``None`` if that is impossible.
 
-    There is none for several choices, tools, structured output, or when the
-    token limit is already used up.
+    Requests with several choices, tools or structured output cannot be continued,
+    nor can those whose token limit is used up.
     """
     if document.get("n", 1) != 1 or any(document.get(f) for f in UNCONTINUABLE_FIELDS):
         return None
-    pieces = _pieces(events)
+    pieces = _text_pieces(events)
     if pieces is None:
         return None
-    rest = dict(document)
-    limit = document.get("max_tokens")
-    if isinstance(limit, int):
-        if limit <= len(pieces):
+    continued = dict(document)
+    token_limit = document.get("max_tokens")
+    if isinstance(token_limit, int):
+        if token_limit <= len(pieces):
             return None
-        rest["max_tokens"] = limit - len(pieces)
+        continued["max_tokens"] = token_limit - len(pieces)
     text = "".join(pieces)
     if "messages" not in document:
-        rest["prompt"] = f"{document.get('prompt', '')}{text}"
-        return rest
+        continued["prompt"] = f"{document.get('prompt', '')}{text}"
+        return continued
     if not text:
-        return rest
+        return continued
     messages = document["messages"]
     if not isinstance(messages, list):
         return None
-    rest["messages"] = [*messages, {"role": "assistant", "content": text}]
-    rest["continue_final_message"] = True
-    rest["add_generation_prompt"] = False
-    return rest
+    continued["messages"] = [*messages, {"role": "assistant", "content": text}]
+    continued["continue_final_message"] = True
+    continued["add_generation_prompt"] = False
+    return continued
 
 
-def _pieces(events: Iterable[bytes]) -> list[str] | None:
+def _text_pieces(events: Iterable[bytes]) -> list[str] | None:
     pieces = []
     for event in events:
         data = event_data(event)
--- a/packages/runhatch-server/src/runhatch_server/serving/_relay.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_relay.py
@@ -1,4 +1,4 @@
-"""Relaying a stream: whole events only, resumed where it broke, never cut silently."""
+"""Relays streams in whole events, resumes broken ones and reports failed ones."""
 
 import http.client
 from collections.abc import Generator, Iterator
@@ -31,7 +31,7 @@
 
 
 class StreamEnd(Enum):
-    """How a stream ended; each has a counter."""
+    """How a stream ended; counted per value."""
 
     COMPLETE = "complete"
     FAILED = "failed"
@@ -39,10 +39,10 @@
 
 
 class StreamRelay:
-    """One stream from its first event to its terminal one.
+    """Relays one stream from its first event to its terminal one.
 
-    ``relay`` leaves the terminal event to its user, who may first have to record
-    the answer.
+    ``relay`` doesn't yield the terminal event, as its user may have to record the
+    answer first.
     """
 
     def __init__(
@@ -65,70 +65,70 @@
         self._clock = clock
         self._stall = stall
         self._splitter = EventSplitter()
-        self._ready: list[bytes] = []
+        self._ready_events: list[bytes] = []
         self._last_id: bytes | None = None
         self._resumes = 0
-        self._open = True
+        self._holds_slot = True
         self.complete = False
-        """Whether the terminal event arrived; it is then the last of ``events``."""
+        """Whether the terminal event has arrived as the last of ``events``."""
         self.events: list[bytes] = []
-        """Events relayed so far, for recording and continuing."""
+        """Events relayed so far, to record the answer or to continue the stream."""
 
     @property
     def answer(self) -> OpenAnswer:
-        """The answer being relayed, for its status and headers."""
+        """The answer being relayed, with its status and headers."""
         return self._opened.answer
 
     def start(self) -> Refusal | None:
-        """Wait for the first event, trying elsewhere while nothing was relayed."""
+        """Wait for the first event, retrying on other targets until it arrives."""
         while True:
-            failure = self._fill()
+            failure = self._read_events()
             if failure is None:
                 return None
-            refusal = self._elsewhere(failure)
+            refusal = self._retry_on_other_target(failure)
             if refusal is not None:
                 return refusal
 
     def relay(self) -> Generator[bytes, None, None]:
-        """Yield events up to, but not including, the terminal one.
+        """Yield the events before the terminal one.
 
         Raises :class:`AbortedStreamError` after an error event if the stream
-        cannot be completed.  Closing the iterator cancels the request.
+        cannot be completed.  Closing the iterator cancels an idempotent request.
         """
         try:
             while True:
-                for event in self._take_ready():
+                for event in self._pop_ready_events():
                     if is_terminal(event):
-                        self._finish()
+                        self._complete()
                         return
                     yield event
                 if self._context.caller_gone():
                     return
-                failure = self._fill()
+                failure = self._read_events()
                 if failure is not None and not self._recover(failure):
                     yield error_event(self._context.request.request_id)
                     raise AbortedStreamError(self._context.request.request_id)
         finally:
-            self._leave()
+            self._release_slot()
 
-    def _take_ready(self) -> Iterator[bytes]:
-        while self._ready:
-            event = self._ready.pop(0)
+    def _pop_ready_events(self) -> Iterator[bytes]:
+        while self._ready_events:
+            event = self._ready_events.pop(0)
             self._last_id = event_id(event) or self._last_id
             self.events.append(event)
             yield event
 
-    def _fill(self) -> AttemptReason | None:
-        """Read until at least one whole event is ready."""
-        while not self._ready:
-            left = self._context.request.deadline - self._clock.elapsed()
-            if left <= timedelta():
+    def _read_events(self) -> AttemptReason | None:
+        """Read until a whole event is available; return why that failed, if it did."""
+        while not self._ready_events:
+            remaining = self._context.request.deadline - self._clock.elapsed()
+            if remaining <= timedelta():
                 return AttemptReason.TIMED_OUT
-            wait = max(SHORTEST_TIMEOUT, min(left, self._stall))
+            wait = max(SHORTEST_TIMEOUT, min(remaining, self._stall))
             try:
                 self._opened.answer.set_timeout(wait.total_seconds())
                 chunk = self._opened.answer.read_some()
-                self._ready.extend(self._splitter.feed(chunk))
+                self._ready_events.extend(self._splitter.feed(chunk))
             except TimeoutError:
                 return AttemptReason.STALLED
             except (OSError, ValueError, http.client.HTTPException):
@@ -142,14 +142,16 @@
             return False
         if self._resume():
             return True
-        rest = continue_document(self._context.request.document, self.events)
-        if rest is None or not self._context.request.idempotent:
+        continuation_document = continue_document(
+            self._context.request.document, self.events
+        )
+        if continuation_document is None or not self._context.request.idempotent:
             return False
-        self._context.continuation = rest
-        return self._elsewhere(failure) is None
+        self._context.continuation = continuation_document
+        return self._retry_on_other_target(failure) is None
 
     def _resume(self) -> bool:
-        """Ask the same engine for the events after the last one relayed."""
+        """Request the events after the last relayed one from the same engine."""
         while self._resumes < RESUMES and self._last_id is not None:
             self._resumes += 1
             self._metrics.retries.labels("resumed").inc()
@@ -170,11 +172,11 @@
             self._clock.sleep(RESUME_PAUSE)
         return False
 
-    def _elsewhere(self, failure: AttemptReason) -> Refusal | None:
-        """Go on at another target; the slot held so far is given back."""
+    def _retry_on_other_target(self, failure: AttemptReason) -> Refusal | None:
+        """Return the slot and send the request to another target."""
         self._opened.answer.close()
-        self._cancel()
-        self._open = False
+        self._cancel_attempt()
+        self._holds_slot = False
         outcome = UnknownResult(failure)
         refusal = self._attempter.judge(self._context, self._opened.grant, outcome)
         if refusal is not None:
@@ -183,37 +185,37 @@
         if isinstance(opened, Refusal):
             return opened
         self._opened = opened
-        self._open = True
+        self._holds_slot = True
         self._splitter = EventSplitter()
         self._last_id = None
         self._resumes = 0
         return None
 
-    def _finish(self) -> None:
-        self._open = False
+    def _complete(self) -> None:
+        self._holds_slot = False
         self.complete = True
         self._attempter.completed(self._opened, self._context)
         self._metrics.streams.labels(StreamEnd.COMPLETE.value).inc()
 
-    def _leave(self) -> None:
-        """Give the slot back if the stream ended early."""
-        if not self._open:
+    def _release_slot(self) -> None:
+        """Return the slot if the stream ended before its terminal event."""
+        if not self._holds_slot:
             return
-        self._open = False
+        self._holds_slot = False
         self._opened.answer.close()
-        gone = self._context.caller_gone()
+        caller_left = self._context.caller_gone()
         if self._context.request.idempotent:
-            self._cancel()
-        end = StreamEnd.CALLER_GONE if gone else StreamEnd.FAILED
-        self._metrics.streams.labels(end.value).inc()
-        reason = AttemptReason.CALLER_GONE if gone else AttemptReason.BROKEN
+            self._cancel_attempt()
+        stream_end = StreamEnd.CALLER_GONE if caller_left else StreamEnd.FAILED
+        self._metrics.streams.labels(stream_end.value).inc()
+        reason = AttemptReason.CALLER_GONE if caller_left else AttemptReason.BROKEN
         self._attempter.abandoned(
             self._context, self._opened.grant, UnknownResult(reason)
         )
 
-    def _cancel(self) -> None:
-        sent = attempt_id(self._context.request, self._context.attempts)
-        self._canceller.cancel(self._opened.grant.host.url, sent)
+    def _cancel_attempt(self) -> None:
+        cancelled_id = attempt_id(self._context.request, self._context.attempts)
+        self._canceller.cancel(self._opened.grant.host.url, cancelled_id)
 
 
 class _StreamError(msgspec.Struct):
@@ -225,7 +227,7 @@
 
 
 def error_event(request_id: str) -> bytes:
-    """Return the event that tells a caller that the stream is not complete."""
+    """Return the event that reports to the caller that the stream is incomplete."""
     error = _StreamError(
         Reason.TARGETS_FAILED.title,
         "runhatch_stream_broken",
