--- a/packages/runhatch-server/src/runhatch_server/serving/_dispatch.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_dispatch.py
@@ -1,4 +1,4 @@
-"""Giving requests slots at targets: limits, the queue, admission by deadline."""
+"""Grants requests slots at targets: limits, the queue and admission by deadline."""
 
 import itertools
 import random
@@ -30,10 +30,10 @@
 LONGEST_RETRY_AFTER = timedelta(seconds=30)
 RETRY_AFTER_JITTER = 0.25
 NO_REPLICA_WAIT = timedelta(seconds=5)
-"""How long a request waits for a model of which no replica is known."""
+"""How long a request waits for a model without a known replica."""
 LOOK_AGAIN = timedelta(milliseconds=250)
-"""How often one that waits looks for a place by itself: a rest that ends gives back no
-place, which is what wakes it otherwise."""
+"""How often a waiting request tries to get a slot.  Returned slots wake it, but the
+end of a target's backoff returns none."""
 TARGET_FAULTS = frozenset(
     {
         AttemptReason.CONNECT_FAILED,
@@ -48,29 +48,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """One slot at one target; must be given back by ``completed`` or ``failed``."""
+    """One slot at one target; must be returned by ``completed`` or ``failed``."""
 
     choice: Choice
     route: Route
     granted_at: timedelta
     usual: timedelta
-    """How long requests of the route usually took by then; zero if not known."""
+    """Mean duration of the route's requests at that time, zero if unknown."""
     prefix: tuple[str, ...] = ()
 
     @property
     def host(self) -> Host:
-        """The target the slot is at."""
+        """The host that the slot belongs to."""
         return self.choice.host
 
 
 @dataclass(slots=True)
 class _RouteState:
-    drain: DrainRate = field(default_factory=DrainRate)
-    service: ServiceTime = field(default_factory=ServiceTime)
+    drain_rate: DrainRate = field(default_factory=DrainRate)
+    service_times: ServiceTime = field(default_factory=ServiceTime)
 
 
 class Dispatcher:
-    """All slots and waiting requests of one node; safe for many threads."""
+    """Manages the slots and waiting requests of one node; thread-safe."""
 
     def __init__(
         self,
@@ -98,14 +98,14 @@
 
     @property
     def queued(self) -> int:
-        """Requests waiting now."""
+        """Number of waiting requests."""
         return len(self._waiting)
 
     def drain(self, targets: frozenset[str]) -> None:
-        """Give no new work to ``targets`` from now on; replaces the earlier set."""
+        """Grant no slots at ``targets``, which replace the previously drained ones."""
         with self._lock:
             self._draining = targets
-            self._pump()
+            self._grant_to_waiters()
 
     def acquire(
         self,
@@ -113,21 +113,21 @@
         avoided_targets: frozenset[str] = frozenset(),
         avoided_domains: frozenset[str] = frozenset(),
     ) -> Grant | Refusal:
-        """Wait for a slot for ``request``; a refusal comes as soon as it is sure.
+        """Wait for a slot for ``request``; refuse once it cannot be served in time.
 
-        Refusals say ``executed: no``, which holds for this attempt only.
+        Refusals have ``Executed.NO``, which applies to this attempt only.
         """
-        entered = self.enter(request, avoided_targets, avoided_domains)
-        if not isinstance(entered, Waiter):
-            return entered
-        until = self._clock.elapsed() + entered.patience
-        while not entered.settled.is_set():
-            left = until - self._clock.elapsed()
-            if left <= timedelta():
+        admission = self.enter(request, avoided_targets, avoided_domains)
+        if not isinstance(admission, Waiter):
+            return admission
+        wait_until = self._clock.elapsed() + admission.patience
+        while not admission.settled.is_set():
+            remaining = wait_until - self._clock.elapsed()
+            if remaining <= timedelta():
                 break
-            if not entered.settled.wait(min(left, LOOK_AGAIN).total_seconds()):
+            if not admission.settled.wait(min(remaining, LOOK_AGAIN).total_seconds()):
                 self.picture_changed()
-        return self.leave(entered)
+        return self.leave(admission)
 
     def enter(
         self,
@@ -135,9 +135,9 @@
         avoided_targets: frozenset[str] = frozenset(),
         avoided_domains: frozenset[str] = frozenset(),
     ) -> Grant | Refusal | Waiter[Grant]:
-        """Return a slot, a refusal, or a place in the queue, without waiting.
+        """Return a slot, a refusal or a queued waiter without waiting.
 
-        A waiter must be left once it is settled or its patience is over.
+        Call ``leave`` once the waiter is settled or its patience has passed.
         """
         waiter: Waiter[Grant] = Waiter(
             request.route,
@@ -150,28 +150,28 @@
             avoided_domains,
         )
         with self._lock:
-            rest = self._rest_of_all(waiter)
-            if rest is not None:
-                return Refusal(Reason.TARGETS_REST, Executed.NO, retry_after=rest)
+            backoff = self._shortest_backoff(waiter)
+            if backoff is not None:
+                return Refusal(Reason.TARGETS_REST, Executed.NO, retry_after=backoff)
             if not self._waiting.ahead(waiter):
                 grant = self._try_grant(waiter)
                 if grant is not None:
                     return grant
-            refusal = self._admit(waiter)
+            refusal = self._check_admission(waiter)
             if refusal is not None:
                 return refusal
             self._waiting.add(waiter)
-            waiter.patience = self._patience(waiter)
+            waiter.patience = self._max_wait(waiter)
             return waiter
 
     def leave(self, waiter: Waiter[Grant]) -> Grant | Refusal:
-        """Return what came of waiting."""
+        """Return the waiter's grant, or remove it from the queue and refuse it."""
         with self._lock:
             if waiter.grant is not None:
                 return waiter.grant
             self._waiting.remove(waiter)
             retry_after = self._retry_after(waiter.route)
-            reason = self._why_not_served(waiter)
+            reason = self._refusal_reason(waiter)
             return Refusal(reason, Executed.NO, retry_after=retry_after)
 
     def completed(
@@ -180,46 +180,46 @@
         first_byte: timedelta,
         load: ReportedLoad | None,
     ) -> None:
-        """Give the slot back after a complete answer."""
+        """Return the slot after a complete answer and record its duration and load."""
         with self._lock:
             now = self._clock.elapsed()
-            state = self._state(grant.host)
-            took = now - grant.granted_at
+            state = self._state_of(grant.host)
+            duration = now - grant.granted_at
             state.limit.answered(first_byte, state.outstanding, now)
             state.reported(load, now)
             route = self._routes[grant.route]
-            state.succeeded(took, route.service.mean, now)
-            route.drain.note(now)
-            route.service.note(took)
+            state.succeeded(duration, route.service_times.mean, now)
+            route.drain_rate.note(now)
+            route.service_times.note(duration)
             self._prefixes.stored(grant.host.target, grant.prefix)
-            self._give_back(state, grant)
+            self._return_slot(state, grant)
 
     def failed(
         self, grant: Grant, outcome: NotSent | RefusedUnrun | UnknownResult
     ) -> None:
-        """Give the slot back after an attempt without a complete answer."""
+        """Return the slot after an attempt without a complete answer."""
         with self._lock:
             now = self._clock.elapsed()
-            state = self._state(grant.host)
+            state = self._state_of(grant.host)
             if outcome.reason is AttemptReason.TARGET_BUSY:
                 state.limit.refused(now)
             if outcome.reason in TARGET_FAULTS:
                 state.failed(now)
             if isinstance(outcome, RefusedUnrun) and outcome.retry_after is not None:
-                # It knows best when it can take work; others wait their turn.
-                asked = now + outcome.retry_after
-                state.rests_until = max(state.rests_until, asked)
-            self._give_back(state, grant)
+                # The target knows best when it can take work again.
+                resume_at = now + outcome.retry_after
+                state.rests_until = max(state.rests_until, resume_at)
+            self._return_slot(state, grant)
 
     def prefix_targets(self) -> list[str]:
-        """Return the targets that are believed to have prefixes cached."""
+        """Return the targets for which the index has cached prefixes."""
         with self._lock:
             return self._prefixes.targets()
 
     def cache_news(self, target: str, events: Iterable[CacheEvent]) -> None:
-        """Take in a target's cache events.
+        """Apply a target's cache events to the prefix index.
 
-        A block that another node's request stored is of use only if it is met here.
+        Blocks stored by other nodes' requests are added only if known here.
         """
         latest = {event.block: event.stored for event in events}
         with self._lock:
@@ -229,17 +229,17 @@
             self._prefixes.stored(target, stored)
 
     def cache_lost(self, target: str) -> None:
-        """Forget what a target had cached; it started anew."""
+        """Remove a restarted target from the prefix index."""
         with self._lock:
             self._prefixes.forget(target)
 
     def picture_changed(self) -> None:
-        """Give slots that a new picture opened to those who wait."""
+        """Grant waiting requests the slots that became available."""
         with self._lock:
-            self._pump()
+            self._grant_to_waiters()
 
     def loads(self) -> dict[str, tuple[int, int]]:
-        """Return outstanding requests and limit of each target in use."""
+        """Return the outstanding requests and the limit of each target in use."""
         with self._lock:
             return {
                 name: (state.outstanding, state.limit.value)
@@ -247,45 +247,45 @@
             }
 
     def retry_after(self, route: Route) -> timedelta:
-        """Return when coming back may help, from the observed drain rate."""
+        """Return the delay before a retry, from the observed drain rate."""
         with self._lock:
             return self._retry_after(route)
 
-    def _state(self, host: Host) -> TargetState:
+    def _state_of(self, host: Host) -> TargetState:
         state = self._states.get(host.target)
         if state is None:
             state = TargetState(host.concurrency, self._random)
             self._states[host.target] = state
         return state
 
-    def _working_hosts(self, route: Route) -> list[Host]:
-        """Return those that serve ``route`` and are not about to leave."""
+    def _undrained_hosts(self, route: Route) -> list[Host]:
+        """Return the hosts of ``route`` that are not draining."""
         hosts = self._picture.hosts(route)
         return [host for host in hosts if host.target not in self._draining]
 
-    def _hosts(self, waiter: Waiter[Grant]) -> Sequence[Host]:
+    def _available_hosts(self, waiter: Waiter[Grant]) -> Sequence[Host]:
         now = self._clock.elapsed()
         hosts = [
             host
-            for host in self._working_hosts(waiter.route)
-            if now >= self._state(host).rests_until
+            for host in self._undrained_hosts(waiter.route)
+            if now >= self._state_of(host).rests_until
         ]
-        fresh = [host for host in hosts if host.target not in waiter.avoided_targets]
-        return fresh or hosts
+        untried = [host for host in hosts if host.target not in waiter.avoided_targets]
+        return untried or hosts
 
-    def _rest_of_all(self, waiter: Waiter[Grant]) -> timedelta | None:
-        """Return what is left of the shortest rest, if all who could serve rest."""
+    def _shortest_backoff(self, waiter: Waiter[Grant]) -> timedelta | None:
+        """Return the shortest remaining backoff if all hosts of the route back off."""
         now = self._clock.elapsed()
-        hosts = self._working_hosts(waiter.route)
-        rests = [self._state(host).rests_until - now for host in hosts]
-        if not rests or min(rests) <= timedelta():
+        hosts = self._undrained_hosts(waiter.route)
+        backoffs = [self._state_of(host).rests_until - now for host in hosts]
+        if not backoffs or min(backoffs) <= timedelta():
             return None
-        return min(rests) * self._random.uniform(1, 1 + RETRY_AFTER_JITTER)
+        return min(backoffs) * self._random.uniform(1, 1 + RETRY_AFTER_JITTER)
 
     def _try_grant(self, waiter: Waiter[Grant]) -> Grant | None:
         now = self._clock.elapsed()
         choice = self._router.choose(
-            self._hosts(waiter),
+            self._available_hosts(waiter),
             self._states,
             waiter.prefix,
             waiter.avoided_domains,
@@ -293,38 +293,38 @@
         )
         if choice is None:
             return None
-        usual = self._routes[waiter.route].service.mean or timedelta()
-        self._state(choice.host).granted(now, usual)
+        usual = self._routes[waiter.route].service_times.mean or timedelta()
+        self._state_of(choice.host).granted(now, usual)
         return Grant(choice, waiter.route, now, usual, waiter.prefix)
 
-    def _admit(self, waiter: Waiter[Grant]) -> Refusal | None:
-        late = self._predict_late(waiter)
-        reason = late or self._waiting.refuse(waiter)
+    def _check_admission(self, waiter: Waiter[Grant]) -> Refusal | None:
+        missed_deadline = self._predict_missed_deadline(waiter)
+        reason = missed_deadline or self._waiting.refuse(waiter)
         if reason is None:
             return None
         return Refusal(reason, Executed.NO, retry_after=self._retry_after(waiter.route))
 
-    def _predict_late(self, waiter: Waiter[Grant]) -> Reason | None:
+    def _predict_missed_deadline(self, waiter: Waiter[Grant]) -> Reason | None:
         now = self._clock.elapsed()
         route = self._routes[waiter.route]
-        rate = route.drain.per_second(now)
+        rate = route.drain_rate.per_second(now)
         if not rate:
             return None
         wait = timedelta(seconds=(self._waiting.ahead(waiter) + 1) / rate)
-        service = route.service.mean or timedelta()
+        service = route.service_times.mean or timedelta()
         if now + wait + service > waiter.deadline:
             return Reason.DEADLINE_UNMEETABLE
         return None
 
-    def _patience(self, waiter: Waiter[Grant]) -> timedelta:
-        """Return how long waiting can still lead to an answer in time."""
-        service = self._routes[waiter.route].service.mean or timedelta()
+    def _max_wait(self, waiter: Waiter[Grant]) -> timedelta:
+        """Return how long ``waiter`` can wait and still be answered in time."""
+        service = self._routes[waiter.route].service_times.mean or timedelta()
         patience = waiter.deadline - service - self._clock.elapsed()
         if not self._picture.hosts(waiter.route):
             return min(patience, NO_REPLICA_WAIT)
         return patience
 
-    def _why_not_served(self, waiter: Waiter[Grant]) -> Reason:
+    def _refusal_reason(self, waiter: Waiter[Grant]) -> Reason:
         if waiter.shed:
             return Reason.SHED
         if not self._picture.hosts(waiter.route):
@@ -332,18 +332,18 @@
         return Reason.DEADLINE_UNMEETABLE
 
     def _retry_after(self, route: Route) -> timedelta:
-        rate = self._routes[route].drain.per_second(self._clock.elapsed())
+        rate = self._routes[route].drain_rate.per_second(self._clock.elapsed())
         backlog = len(self._waiting.waiting(route)) + 1
         wait = timedelta(seconds=backlog / rate) if rate else SHORTEST_RETRY_AFTER
         wait = min(max(wait, SHORTEST_RETRY_AFTER), LONGEST_RETRY_AFTER)
         return wait * self._random.uniform(1, 1 + RETRY_AFTER_JITTER)
 
-    def _give_back(self, state: TargetState, grant: Grant) -> None:
+    def _return_slot(self, state: TargetState, grant: Grant) -> None:
         state.returned(grant.granted_at, grant.usual)
-        self._pump()
+        self._grant_to_waiters()
 
-    def _pump(self) -> None:
-        """Grant what can be granted, each route's first waiter first."""
+    def _grant_to_waiters(self) -> None:
+        """Grant free slots to waiters, in the order of each route's queue."""
         for route in self._waiting.routes():
             for waiter in self._waiting.waiting(route):
                 grant = self._try_grant(waiter)
--- a/packages/runhatch-server/src/runhatch_server/serving/_rates.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_rates.py
@@ -1,4 +1,4 @@
-"""Observed rates: how fast a route's queue drains, and how long a request takes."""
+"""Measures a route's completion rate and the mean duration of its requests."""
 
 from datetime import timedelta
 
@@ -7,45 +7,50 @@
 
 
 class DrainRate:
-    """Completions a second over a sliding pair of windows."""
+    """Measures completions per second over a sliding window.
+
+    The window is interpolated from the current and the previous fixed one.
+    """
 
     def __init__(self) -> None:
-        self._started: timedelta | None = None
+        self._window_start: timedelta | None = None
         self._count = 0
-        self._previous: float | None = None
+        self._previous_rate: float | None = None
 
     def note(self, now: timedelta) -> None:
         """Record one completion."""
-        self._turn(now)
+        self._rotate_window(now)
         self._count += 1
 
     def per_second(self, now: timedelta) -> float | None:
-        """Return the rate, ``None`` before anything was completed."""
-        self._turn(now)
-        if self._started is None:
+        """Return the rate, ``None`` before the first completion."""
+        self._rotate_window(now)
+        if self._window_start is None:
             return None
-        age = (now - self._started) / timedelta(seconds=1)
-        span = WINDOW.total_seconds()
-        if self._previous is None:
+        age = (now - self._window_start) / timedelta(seconds=1)
+        window_seconds = WINDOW.total_seconds()
+        if self._previous_rate is None:
             return self._count / max(age, 0.5)
-        fresh = min(1.0, age / span)
-        return (self._previous * (1 - fresh) * span + self._count) / span
+        elapsed_share = min(1.0, age / window_seconds)
+        return (
+            self._previous_rate * (1 - elapsed_share) * window_seconds + self._count
+        ) / window_seconds
 
-    def _turn(self, now: timedelta) -> None:
-        if self._started is None:
-            self._started = now
+    def _rotate_window(self, now: timedelta) -> None:
+        if self._window_start is None:
+            self._window_start = now
             return
-        age = now - self._started
+        age = now - self._window_start
         if age < WINDOW:
             return
-        quiet = age >= 2 * WINDOW
-        self._previous = 0.0 if quiet else self._count / WINDOW.total_seconds()
+        was_idle = age >= 2 * WINDOW
+        self._previous_rate = 0.0 if was_idle else self._count / WINDOW.total_seconds()
         self._count = 0
-        self._started = now
+        self._window_start = now
 
 
 class ServiceTime:
-    """A moving average of how long requests take."""
+    """Exponential moving average of request durations."""
 
     def __init__(self) -> None:
         self._mean: timedelta | None = None
@@ -56,7 +61,7 @@
         return self._mean
 
     def note(self, took: timedelta) -> None:
-        """Take in one request."""
+        """Record the duration of one request."""
         if self._mean is None:
             self._mean = took
         else:
--- a/packages/runhatch-server/src/runhatch_server/serving/_router.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_router.py
@@ -1,4 +1,4 @@
-"""Choosing a target: predicted wait, prefix affinity and failure domain."""
+"""Chooses targets by predicted wait, prefix affinity and failure domain."""
 
 import random
 from collections.abc import Mapping, Sequence
@@ -11,20 +11,20 @@
 from runhatch_server.serving._target_state import TargetState
 
 SAMPLE = 3
-"""Candidates compared when there are more; nodes seldom compare the same ones."""
+"""Number of randomly sampled candidates, so that nodes seldom compare the same."""
 PREFILL_PER_BLOCK = timedelta(milliseconds=20)
-"""Prefill time that one cached block saves."""
+"""Prefill time that a cached block saves."""
 DEFAULT_SERVICE = timedelta(seconds=1)
 REMOTE_COST = timedelta(milliseconds=2)
-"""What another failure domain costs: a round trip."""
+"""Score penalty of another failure domain: a network round trip."""
 LIGHT_LOAD_SHARE = 0.1
-"""Weight of load below saturation, where nothing waits but tokens slow down."""
+"""Weight of load below saturation, where no request waits but tokens slow down."""
 JITTER = 0.1
 
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """The chosen host, and the figures that spoke for it."""
+    """The chosen host, and the figures behind the choice."""
 
     host: Host
     predicted_wait: timedelta
@@ -32,7 +32,7 @@
     candidates: int
 
     def explain(self) -> str:
-        """Return one line for operators."""
+        """Return the reason for the choice as one line for operators."""
         wait = self.predicted_wait.total_seconds() * 1000
         return (
             f"best of {self.candidates}: predicted wait {wait:.0f} ms, "
@@ -63,22 +63,26 @@
         avoided_domains: frozenset[str],
         now: timedelta,
     ) -> Choice | None:
-        """Return the best of ``hosts`` that has room, ``None`` if none has.
+        """Return the best of ``hosts`` that has room, or ``None``.
 
-        Hosts in ``avoided_domains`` are taken only if no other has room.
+        Hosts in ``avoided_domains`` are chosen only if no other host has room.
         """
-        usable = _without_ejected(hosts, states, now)
-        open_hosts = [host for host in usable if states[host.target].has_room()]
-        elsewhere = [h for h in open_hosts if h.failure_domain not in avoided_domains]
-        candidates = elsewhere or open_hosts
+        not_ejected = _without_ejected(hosts, states, now)
+        hosts_with_room = [
+            host for host in not_ejected if states[host.target].has_room()
+        ]
+        in_other_domains = [
+            h for h in hosts_with_room if h.failure_domain not in avoided_domains
+        ]
+        candidates = in_other_domains or hosts_with_room
         if not candidates:
             return None
-        sampled = self._sample(candidates, prefix)
+        sampled = self._sample_hosts(candidates, prefix)
         scored = [self._score(host, states, prefix, now) for host in sampled]
         best = min(scored, key=lambda scored_host: scored_host.score)
         return Choice(best.host, best.wait, best.matched, len(sampled))
 
-    def _sample(self, hosts: list[Host], prefix: tuple[str, ...]) -> list[Host]:
+    def _sample_hosts(self, hosts: list[Host], prefix: tuple[str, ...]) -> list[Host]:
         if len(hosts) <= SAMPLE:
             return hosts
         sampled = self._random.sample(hosts, SAMPLE)
@@ -89,7 +93,7 @@
         return sampled
 
     def _affinity_rank(self, host: Host, prefix: tuple[str, ...]) -> tuple[int, int]:
-        # All nodes rank hosts alike for a prefix, without telling each other.
+        # All nodes rank hosts for a prefix equally without coordination.
         matched = self._prefixes.matched(host.target, prefix)
         return matched, weight(prefix[0], host.target)
 
@@ -103,7 +107,7 @@
         wait = _predicted_wait(host, states[host.target], now)
         matched = self._prefixes.matched(host.target, prefix) if self._affinity else 0
         score = wait * self._random.uniform(1 - JITTER, 1 + JITTER)
-        # Affinity is worth what it saves, so it never costs more wait than that.
+        # The bonus equals the prefill saved, so affinity never adds a longer wait.
         score -= PREFILL_PER_BLOCK * matched
         score += states[host.target].excess(now)
         if host.failure_domain != self._failure_domain:
@@ -122,14 +126,14 @@
 def _predicted_wait(host: Host, state: TargetState, now: timedelta) -> timedelta:
     service = state.service_time or DEFAULT_SERVICE
     load = state.load(now)
-    beyond = max(0.0, load + 1 - host.concurrency)
-    light = LIGHT_LOAD_SHARE * min(load, host.concurrency)
-    return service * ((beyond + light) / host.concurrency)
+    over_capacity = max(0.0, load + 1 - host.concurrency)
+    within_capacity = LIGHT_LOAD_SHARE * min(load, host.concurrency)
+    return service * ((over_capacity + within_capacity) / host.concurrency)
 
 
 def _without_ejected(
     hosts: Sequence[Host], states: Mapping[str, TargetState], now: timedelta
 ) -> Sequence[Host]:
-    """Leave out failing hosts, unless that would leave fewer than half."""
-    sound = [host for host in hosts if not states[host.target].is_ejected(now)]
-    return sound if 2 * len(sound) >= len(hosts) else hosts
+    """Return the hosts that are not ejected, or all if most are ejected."""
+    healthy = [host for host in hosts if not states[host.target].is_ejected(now)]
+    return healthy if 2 * len(healthy) >= len(hosts) else hosts
--- a/packages/runhatch-server/src/runhatch_server/serving/_target_state.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_target_state.py
@@ -1,4 +1,4 @@
-"""What this node has learnt of one target from its own requests."""
+"""Tracks the load, speed and failures of one target as seen by this node."""
 
 import math
 import random
@@ -14,14 +14,14 @@
 REPORT_HALF_LIFE = timedelta(seconds=1)
 SERVICE_GAIN = 0.1
 TOLERATED = 4.5
-"""Times the usual service time that nothing is made of; lengths of answers vary."""
+"""Multiple of the usual service time that is not excess; answer lengths vary."""
 EXCESS_GAIN = 0.3
 EXCESS_HALF_LIFE = timedelta(seconds=3)
-"""How soon a slow target is tried again."""
+"""Decides how soon a slow target is tried again."""
 
 
 class TargetState:
-    """Outstanding requests, limit, load and failures of one target.
+    """Tracks outstanding requests, limit, load and failures of one target.
 
     Guarded by the dispatcher's lock.
     """
@@ -33,85 +33,85 @@
         self._ejected_until = timedelta()
         self._reported: ReportedLoad | None = None
         self._reported_at = timedelta()
-        self._own_at_report = 0
-        self._granted_at = timedelta()
-        self._usual = timedelta()
-        """Usual times of what is outstanding, added up; so are ``_granted_at``."""
+        self._outstanding_at_report = 0
+        self._granted_at_sum = timedelta()
+        self._usual_sum = timedelta()
+        """Sum over the outstanding requests, like ``_granted_at_sum``."""
         self._excess = timedelta()
         self._excess_at = timedelta()
         self.rests_until = timedelta()
-        """Until when the target wants nothing from this node, by its own word."""
+        """End of the backoff that the target requested by Retry-After."""
         self.limit = AdaptiveLimit(ceiling)
         self.outstanding = 0
         self.service_time: timedelta | None = None
 
     def is_ejected(self, now: timedelta) -> bool:
-        """Tell whether the target is set aside for failures.
+        """Return whether the target is ejected because of failures.
 
-        Once the time is over one request is let through to try it.
+        After the ejection time a single request may probe it.
         """
         if self._ejections == 0 or self._failures < FAILURES_TO_EJECT:
             return False
         return now < self._ejected_until or self.outstanding > 0
 
     def has_room(self) -> bool:
-        """Tell whether the limit allows one more request."""
+        """Return whether the limit allows one more request."""
         return self.outstanding < self.limit.value
 
     def granted(self, now: timedelta, usual: timedelta) -> None:
-        """Count one more request there, which usually takes ``usual``."""
+        """Count a request granted at ``now``, whose usual duration is ``usual``."""
         self.outstanding += 1
-        self._granted_at += now
-        self._usual += usual
+        self._granted_at_sum += now
+        self._usual_sum += usual
 
     def returned(self, granted_at: timedelta, usual: timedelta) -> None:
-        """Count one less; both arguments are those it was granted with."""
+        """Count one request less; the arguments equal those of its ``granted`` call."""
         self.outstanding -= 1
-        self._granted_at -= granted_at
-        self._usual -= usual
+        self._granted_at_sum -= granted_at
+        self._usual_sum -= usual
 
     def excess(self, now: timedelta) -> timedelta:
-        """Return how much longer than usual a request takes here.
+        """Return how much longer than usual requests take at this target.
 
-        Learnt from answers, and before they come from the age of what is
-        outstanding.  Fades, so that the target is tried again.
+        Learnt from answers, and from the age of outstanding requests before those
+        are answered.  Decays, so that the target is tried again.
         """
         age = (now - self._excess_at) / EXCESS_HALF_LIFE
-        answered = self._excess * math.pow(0.5, age)
-        if not self.outstanding or not self._usual:
-            return answered
-        mean_age = now - self._granted_at / self.outstanding
-        mean_usual = self._usual / self.outstanding
-        return max(answered, mean_age - mean_usual * TOLERATED)
+        learnt_excess = self._excess * math.pow(0.5, age)
+        if not self.outstanding or not self._usual_sum:
+            return learnt_excess
+        mean_age = now - self._granted_at_sum / self.outstanding
+        mean_usual = self._usual_sum / self.outstanding
+        return max(learnt_excess, mean_age - mean_usual * TOLERATED)
 
     def load(self, now: timedelta) -> float:
-        """Return the requests there: own ones, and others' as last reported.
+        """Return the target's requests: this node's, and other nodes' as reported.
 
-        Others' fade with the report's age, so that nodes which read the same
-        old report do not keep avoiding the same target.
+        The reported ones decay with the age of the report, so that nodes with the
+        same old report do not keep avoiding the same target.
         """
         if self._reported is None:
             return float(self.outstanding)
         total = self._reported.running + self._reported.waiting
-        others = max(0, total - self._own_at_report)
+        others = max(0, total - self._outstanding_at_report)
         age = (now - self._reported_at) / REPORT_HALF_LIFE
         return self.outstanding + others * math.pow(0.5, age)
 
     def reported(self, load: ReportedLoad | None, now: timedelta) -> None:
-        """Take in a load report."""
+        """Record a load report, if there is one."""
         if load is not None:
             self._reported = load
             self._reported_at = now
-            self._own_at_report = self.outstanding
+            self._outstanding_at_report = self.outstanding
 
     def succeeded(
         self, took: timedelta, usual: timedelta | None, now: timedelta
     ) -> None:
-        """Take in a complete answer, how long it took and how long is usual."""
+        """Record a complete answer, its duration and the usual duration."""
         expected = took if usual is None else usual
-        beyond = max(timedelta(), took - expected * TOLERATED)
-        known = self.excess(now)
-        self._excess = known + (beyond - known) * EXCESS_GAIN
+        measured_excess = max(timedelta(), took - expected * TOLERATED)
+        previous = self.excess(now)
+        self._excess = previous + (measured_excess - previous) * EXCESS_GAIN
         self._excess_at = now
         self._failures = 0
         self._ejections = 0
@@ -121,11 +121,11 @@
             self.service_time += (took - self.service_time) * SERVICE_GAIN
 
     def failed(self, now: timedelta) -> bool:
-        """Take in a failure; returns whether the target is now set aside."""
+        """Record a failure; return whether the target is now ejected."""
         self._failures += 1
         if self._failures < FAILURES_TO_EJECT:
             return False
-        pause = min(LONGEST_EJECTION, FIRST_EJECTION * (1 << self._ejections))
+        ejection_time = min(LONGEST_EJECTION, FIRST_EJECTION * (1 << self._ejections))
         self._ejections = min(self._ejections + 1, MOST_DOUBLINGS)
-        self._ejected_until = now + pause * self._random.uniform(0.75, 1.25)
+        self._ejected_until = now + ejection_time * self._random.uniform(0.75, 1.25)
         return True
