--- a/packages/runhatch-server/src/runhatch_server/serving/_cache_intake.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_cache_intake.py
@@ -1,9 +1,9 @@
-"""Reading engines' cache events, a few engines a round, for prefix affinity.
+"""Reads engines' cache events, a few engines per round, for prefix affinity.
 
-What a node believes of caches comes from its own answers.  Events correct it: what
-an engine dropped is believed no longer, and what others' requests stored is, as far
-as this node has met it.  Missing events are counted and otherwise ignored: to doubt
-the oldest beliefs for them was measured to be worse (docs/design/serving.md).
+A node's prefix index is built from its own answers.  Events correct it: blocks that
+an engine dropped are removed, and blocks that other nodes' requests stored are added
+if this node knows them.  Missing events are only counted: discarding the oldest
+entries because of them gave worse routing (docs/design/serving.md).
 """
 
 from collections.abc import Callable
@@ -15,16 +15,16 @@
 from runhatch_server.targets import CacheEvents, EngineClient
 
 EVENTS_A_READ = 250
-"""Some 15 KB at the most."""
+"""Maximum number of events per read, about 15 KB."""
 FAR_BEHIND = 4 * EVENTS_A_READ
-"""Beyond this the oldest events are skipped, as if they had been lost."""
+"""Number of unread events above which the oldest are skipped, as if lost."""
 
 
 class CacheIntake:
-    """Reads the engines that this node sends prompts to, in turns.
+    """Reads cache events of the engines that this node sends prompts to.
 
-    Called by one task; ``targets_a_round`` bounds what a round costs, however many
-    engines there are.
+    Not thread-safe.  A round reads at most ``targets_a_round`` engines, in rotation,
+    so that its cost does not depend on the number of engines.
     """
 
     def __init__(
@@ -42,52 +42,52 @@
         self._engine = engine
         self._engines: dict[str, EngineClient] = {}
         self._cursors: dict[str, int] = {}
-        self._turn = ""
+        self._last_target = ""
 
     def read_round(self) -> None:
-        """Read the next few engines."""
+        """Read the events of the next engines in the rotation."""
         urls = self._picture.target_urls()
         names = [name for name in self._dispatcher.prefix_targets() if name in urls]
-        for name in self._next(names):
-            self._read(name, urls[name])
+        for name in self._next_targets(names):
+            self._read_engine(name, urls[name])
 
-    def _next(self, names: list[str]) -> list[str]:
-        """Return whose turn it is, after those of the last round."""
-        later = [name for name in names if name > self._turn]
-        earlier = [name for name in names if name <= self._turn]
-        chosen = (later + earlier)[: self._targets_a_round]
-        if chosen:
-            self._turn = chosen[-1]
-        return chosen
+    def _next_targets(self, names: list[str]) -> list[str]:
+        """Return the names that follow those of the previous round."""
+        later = [name for name in names if name > self._last_target]
+        earlier = [name for name in names if name <= self._last_target]
+        selected = (later + earlier)[: self._targets_a_round]
+        if selected:
+            self._last_target = selected[-1]
+        return selected
 
-    def _read(self, name: str, url: str) -> None:
+    def _read_engine(self, name: str, url: str) -> None:
         engine = self._engines.setdefault(url, self._engine(url))
         cursor = self._cursors.get(name)
         if cursor is None:
-            # What was before is in the answers that made the engine known.
-            found = engine.cache_events(after=-1, limit=0)
-            if isinstance(found, CacheEvents):
-                self._cursors[name] = found.last
+            # Earlier blocks are already in the index, from this node's answers.
+            response = engine.cache_events(after=-1, limit=0)
+            if isinstance(response, CacheEvents):
+                self._cursors[name] = response.last
             return
-        found = engine.cache_events(after=cursor, limit=EVENTS_A_READ)
-        if isinstance(found, Unavailable):
+        response = engine.cache_events(after=cursor, limit=EVENTS_A_READ)
+        if isinstance(response, Unavailable):
             self._metrics.cache_events.labels("unread").inc()
             return
-        if found.last < cursor:
-            self._cursors[name] = found.last
+        if response.last < cursor:
+            self._cursors[name] = response.last
             self._dispatcher.cache_lost(name)
             return
-        reached = _reached(found)
-        missing = reached - cursor - len(found.events)
-        self._cursors[name] = reached
-        self._dispatcher.cache_news(name, found.events)
-        self._metrics.cache_events.labels("taken").inc(len(found.events))
-        self._metrics.cache_events.labels("missing").inc(missing)
+        next_cursor = _next_cursor(response)
+        missing_count = next_cursor - cursor - len(response.events)
+        self._cursors[name] = next_cursor
+        self._dispatcher.cache_news(name, response.events)
+        self._metrics.cache_events.labels("taken").inc(len(response.events))
+        self._metrics.cache_events.labels("missing").inc(missing_count)
 
 
-def _reached(found: CacheEvents) -> int:
-    """Return the number up to which nothing more is to be asked for."""
-    full = len(found.events) == EVENTS_A_READ
-    reached = found.events[-1].sequence if full else found.last
-    behind = found.last - reached
-    return found.last - EVENTS_A_READ if behind > FAR_BEHIND else reached
+def _next_cursor(response: CacheEvents) -> int:
+    """Return the sequence number after which the next read starts."""
+    is_full = len(response.events) == EVENTS_A_READ
+    next_cursor = response.events[-1].sequence if is_full else response.last
+    lag = response.last - next_cursor
+    return response.last - EVENTS_A_READ if lag > FAR_BEHIND else next_cursor
--- a/packages/runhatch-server/src/runhatch_server/serving/_lives.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_lives.py
@@ -1,4 +1,4 @@
-"""Declared targets, as the watch over crashes asks for them."""
+"""Identifies incarnations of declared targets for the crash watch."""
 
 import threading
 from urllib.parse import urlsplit
@@ -8,48 +8,50 @@
 
 
 class TargetLives:
-    """A :class:`runhatch_server.crashes.Targets`; safe for many threads.
+    """Implements :class:`runhatch_server.crashes.Targets`; thread-safe.
 
-    A declared target starts again under its name and address, and nothing tells one
-    life of it from the next.  So this node counts the lives that it saw end, and names
-    them with its own name: another node may have seen the same one end.
+    A declared target restarts under the same name and address, so its incarnations
+    cannot be told apart from outside.  This node counts the ends that it observed and
+    puts its own name into the ids, as another node may have observed the same end.
     """
 
     def __init__(self, node: str) -> None:
         self._node = node
         self._lock = threading.Lock()
-        self._ended: dict[str, int] = {}
+        self._ended_counts: dict[str, int] = {}
         self._urls: dict[str, str] = {}
 
     def current(self, target: str, url: str) -> str:
-        """Return the name of the present life of ``target``."""
+        """Return the id of the current incarnation of ``target``."""
         with self._lock:
             self._urls[target] = url
-            return self._name(target)
+            return self._incarnation_id(target)
 
     def standing(self, target: str) -> Standing:
-        """Return what is known of a life: it works, until it is seen to end."""
+        """Return ``WORKS``: an incarnation works until it is observed to end."""
         return Standing.WORKS
 
     def refuses(self, target: str) -> bool:
-        """Tell whether nothing listens any more at the address of a life."""
+        """Return whether the address of an incarnation refuses connections."""
         with self._lock:
-            parts = urlsplit(self._urls.get(_declared(target), ""))
+            parts = urlsplit(self._urls.get(_target_of(target), ""))
         if not parts.hostname or not parts.port:
             return False
         return refuses_connections(parts.hostname, parts.port)
 
     def ended(self, target: str) -> None:
-        """Take in that a life has ended; the next one has another name."""
-        declared = _declared(target)
+        """Record the end of an incarnation; the next one gets another id."""
+        target_name = _target_of(target)
         with self._lock:
-            if target == self._name(declared):
-                self._ended[declared] = self._ended.get(declared, 0) + 1
+            if target == self._incarnation_id(target_name):
+                self._ended_counts[target_name] = (
+                    self._ended_counts.get(target_name, 0) + 1
+                )
 
-    def _name(self, target: str) -> str:
-        return f"{target}#{self._node}-{self._ended.get(target, 0)}"
+    def _incarnation_id(self, target: str) -> str:
+        return f"{target}#{self._node}-{self._ended_counts.get(target, 0)}"
 
 
-def _declared(life: str) -> str:
-    """Return the target of which ``life`` is one."""
+def _target_of(life: str) -> str:
+    """Return the name of the target whose incarnation is ``life``."""
     return life.rpartition("#")[0]
--- a/packages/runhatch-server/src/runhatch_server/serving/_picture.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_picture.py
@@ -1,4 +1,4 @@
-"""Which target serves what, as this node knows it: a hint, corrected when wrong."""
+"""Caches which targets serve which routes; answers of targets correct it."""
 
 import threading
 from collections import defaultdict
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Hosting:
-    """What one target serves, as of a version of its ledger row."""
+    """Units that a target serves, as of a version of its ledger row."""
 
     target: str
     version: int
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Host:
-    """A target that serves a route, under the name ``unit``."""
+    """A target that serves a route, and the unit name to use there."""
 
     target: str
     url: str
@@ -31,11 +31,11 @@
 
 
 class Picture:
-    """The placement as known here; readers take no lock.
+    """The placement as known to this node; readers take no lock.
 
-    Built from the configuration and the newest hosting known of each target.  A
-    new hosting costs as much as its target's units, however large the rest is:
-    each route's hosts are one tuple, replaced whole.
+    Built from the configuration and the newest known hosting of each target.  Each
+    route's hosts are one tuple that is replaced whole, so the cost of an update
+    depends only on the number of units of its target.
     """
 
     def __init__(self) -> None:
@@ -43,16 +43,16 @@
         self._deployment = Deployment()
         self._targets: dict[str, TargetSpec] = {}
         self._hostings: dict[str, Hosting] = {}
-        self._absent: set[tuple[str, str]] = set()
-        self._current: dict[Route, str] = {}
-        self._placed: defaultdict[str, dict[str, str]] = defaultdict(dict)
-        self._named: dict[str, set[str]] = {}
+        self._missing_units: set[tuple[str, str]] = set()
+        self._declared_units: dict[Route, str] = {}
+        self._units_by_name: defaultdict[str, dict[str, str]] = defaultdict(dict)
+        self._names_by_target: dict[str, set[str]] = {}
         self._digest = 0
         self._hosts: dict[Route, tuple[Host, ...]] = {}
 
     @property
     def digest(self) -> int:
-        """A number that two nodes share if they know the same hostings."""
+        """A digest of the hostings, equal on nodes that know the same ones."""
         return self._digest
 
     @property
@@ -61,7 +61,7 @@
         return self._deployment
 
     def configure(self, deployment: Deployment) -> None:
-        """Use another deployment from now on."""
+        """Replace the deployment and remove hostings of undeclared targets."""
         with self._lock:
             self._deployment = deployment
             self._targets = {
@@ -70,66 +70,70 @@
                 for target in pool.targets
             }
             for name in set(self._hostings) - set(self._targets):
-                self._digest ^= _weigh(self._hostings.pop(name))
-            self._rebuild()
+                self._digest ^= _hash_hosting(self._hostings.pop(name))
+            self._rebuild_index()
 
     def learn(self, hosting: Hosting) -> bool:
-        """Take in ``hosting`` if it is newer; returns whether it tells anything new.
+        """Apply ``hosting`` if it is newer; return whether it changed the picture.
 
-        Ledger rows change more often than what they say is served.
+        Ledger rows also change without a change of the served units.
         """
         with self._lock:
             known = self._hostings.get(hosting.target)
             if known is not None and known.version >= hosting.version:
                 return False
             self._hostings[hosting.target] = hosting
-            self._digest ^= _weigh(hosting) ^ (0 if known is None else _weigh(known))
-            before = set(known.units) if known is not None else set()
-            changed = before.symmetric_difference(hosting.units)
-            corrected = {pair for pair in self._absent if pair[0] == hosting.target}
-            self._absent -= corrected
-            changed |= {unit for _, unit in corrected}
+            self._digest ^= _hash_hosting(hosting) ^ (
+                0 if known is None else _hash_hosting(known)
+            )
+            old_units = set(known.units) if known is not None else set()
+            changed = old_units.symmetric_difference(hosting.units)
+            cleared = {
+                pair for pair in self._missing_units if pair[0] == hosting.target
+            }
+            self._missing_units -= cleared
+            changed |= {unit for _, unit in cleared}
             if known is not None and not changed:
                 return False
-            self._place(hosting)
-            self._update(_name(unit) for unit in changed)
+            self._index_hosting(hosting)
+            self._update_hosts(_unit_name(unit) for unit in changed)
             return True
 
     def correct(self, target: str, unit: str) -> None:
-        """Stop routing ``unit`` to ``target``, which said that it has it not.
+        """Stop routing ``unit`` to ``target``, which answered that it lacks the unit.
 
-        Holds until a newer hosting of that target is learnt.
+        Applies until a newer hosting of the target is learnt.
         """
         with self._lock:
-            self._absent.add((target, unit))
-            self._update([_name(unit)])
+            self._missing_units.add((target, unit))
+            self._update_hosts([_unit_name(unit)])
 
     def hostings(self) -> list[Hosting]:
-        """Return the newest hosting known of each target."""
+        """Return the newest known hosting of each target."""
         with self._lock:
             return list(self._hostings.values())
 
     def target_urls(self) -> dict[str, str]:
-        """Return the address of each target of the pools."""
+        """Return the URL of each target of the pools by name."""
         return {name: target.url for name, target in self._targets.items()}
 
     def hosts(self, route: Route) -> tuple[Host, ...]:
-        """Return the targets that serve ``route``, empty if none is known."""
+        """Return the hosts that serve ``route``, empty if none is known."""
         return self._hosts.get(route, ())
 
     def declares(self, route: Route) -> bool:
-        """Tell whether ``route`` is declared."""
-        return route in self._current
+        """Return whether ``route`` is declared."""
+        return route in self._declared_units
 
     def routes(self) -> list[Route]:
-        """Return all declared routes, in order."""
-        return sorted(self._current, key=str)
+        """Return all declared routes, sorted."""
+        return sorted(self._declared_units, key=str)
 
-    def _rebuild(self) -> None:
+    def _rebuild_index(self) -> None:
         deployment = self._deployment
         models = {model.name: model.unit for model in deployment.models}
         adapters = {adapter.name: adapter.unit for adapter in deployment.adapters}
-        current = {
+        declared_units = {
             Route(RouteKind.MODEL, name): unit
             for name, unit in {**models, **adapters}.items()
         }
@@ -140,55 +144,59 @@
             )
             for service in deployment.plain_services
         }
-        current |= {route: route.name for route in services}
-        self._current = current
-        self._placed.clear()
-        self._named.clear()
+        declared_units |= {route: route.name for route in services}
+        self._declared_units = declared_units
+        self._units_by_name.clear()
+        self._names_by_target.clear()
         for hosting in self._hostings.values():
-            self._place(hosting)
+            self._index_hosting(hosting)
         self._hosts = services
-        self._update({**models, **adapters})
+        self._update_hosts({**models, **adapters})
 
-    def _place(self, hosting: Hosting) -> None:
-        """Note the units of one target by the names that callers use."""
-        for name in self._named.pop(hosting.target, ()):
-            self._placed[name].pop(hosting.target, None)
+    def _index_hosting(self, hosting: Hosting) -> None:
+        """Index the units of one target by the names that callers use."""
+        for name in self._names_by_target.pop(hosting.target, ()):
+            self._units_by_name[name].pop(hosting.target, None)
         if hosting.target not in self._targets:
             return
         for unit in hosting.units:
-            name = _name(unit)
-            beside = self._placed[name].get(hosting.target)
-            # While a version is replaced on one target the declared one counts.
-            if beside is None or not self._is_current(name, beside):
-                self._placed[name][hosting.target] = unit
-        self._named[hosting.target] = {_name(unit) for unit in hosting.units}
-
-    def _is_current(self, name: str, unit: str) -> bool:
-        return self._current.get(Route(RouteKind.MODEL, name)) == unit
-
-    def _update(self, names: Iterable[str]) -> None:
-        """Replace the hosts of the routes called ``names``."""
+            name = _unit_name(unit)
+            other_unit = self._units_by_name[name].get(hosting.target)
+            # If a target has two versions of a unit, prefer the declared one.
+            if other_unit is None or not self._is_declared_unit(name, other_unit):
+                self._units_by_name[name][hosting.target] = unit
+        self._names_by_target[hosting.target] = {
+            _unit_name(unit) for unit in hosting.units
+        }
+
+    def _is_declared_unit(self, name: str, unit: str) -> bool:
+        return self._declared_units.get(Route(RouteKind.MODEL, name)) == unit
+
+    def _update_hosts(self, names: Iterable[str]) -> None:
+        """Recompute the hosts of the model routes called ``names``."""
         for name in names:
             route = Route(RouteKind.MODEL, name)
-            if route not in self._current:
+            if route not in self._declared_units:
                 continue
-            known = [
+            known_hosts = [
                 self._host(target, unit)
-                for target, unit in self._placed[name].items()
-                if (target, unit) not in self._absent
+                for target, unit in self._units_by_name[name].items()
+                if (target, unit) not in self._missing_units
+            ]
+            declared_hosts = [
+                host for host in known_hosts if self._is_declared_unit(name, host.unit)
             ]
-            current = [host for host in known if self._is_current(name, host.unit)]
-            # While a version is replaced the old one serves until the new one does.
-            self._hosts[route] = tuple(current or known)
+            # Until a target serves the declared version, use the previous one.
+            self._hosts[route] = tuple(declared_hosts or known_hosts)
 
     def _host(self, name: str, unit: str) -> Host:
         target = self._targets[name]
         return Host(name, target.url, target.failure_domain, target.concurrency, unit)
 
 
-def _weigh(hosting: Hosting) -> int:
+def _hash_hosting(hosting: Hosting) -> int:
     return weight(hosting.target, "\0".join(sorted(hosting.units)))
 
 
-def _name(unit: str) -> str:
+def _unit_name(unit: str) -> str:
     return unit.rpartition("@")[0]
