--- a/packages/runhatch-server/src/runhatch_server/serving/_once.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_once.py
@@ -1,7 +1,7 @@
-"""Requests that run at most once: claim before sending, keep the answer after.
+"""Runs keyed requests at most once: claims them before sending, then records answers.
 
-Nothing is refused as not run before the claim is held: until then another node
-may have run the same request.
+Until the claim is held, another node may have run the same request, so no refusal
+before that says that it did not run.
 """
 
 import hashlib
@@ -31,15 +31,15 @@
 RECORD_TRIES = 64
 FIRST_RECORD_PAUSE = timedelta(milliseconds=50)
 LONGEST_RECORD_PAUSE = timedelta(seconds=1)
-"""Between tries to record an answer that the store did not take, doubled each time
-from the first: a repeat that comes at once waits for it, by default a second or so."""
+"""Maximum pause between attempts to record an answer; pauses double up to it.  An
+immediate repeat waits for the record, by default about a second."""
 STORE_RETRY_AFTER = timedelta(seconds=2)
 OPEN_RETRY_AFTER = timedelta(seconds=2)
 ANSWER_PREFIX = "answers"
 
 
 class OnceGuard:
-    """Claims, recorded answers and repeats of one node."""
+    """Claims requests, records their answers and answers repeats on one node."""
 
     def __init__(
         self,
@@ -56,40 +56,42 @@
         self._metrics = metrics
         self._clock = clock
         self._wait = wait
-        self._pool = ThreadPoolExecutor(2, thread_name_prefix="record")
+        self._recorders = ThreadPoolExecutor(2, thread_name_prefix="record")
         self._closing = threading.Event()
-        self._sent: set[str] = set()
+        self._active_attempts: set[str] = set()
         self._lock = threading.Lock()
 
     def begin(self, request: CallerRequest) -> Taken | StoredAnswer | Refusal:
-        """Claim ``request``, or return the answer of its earlier run.
+        """Claim ``request``, or return the answer of its previous run or a refusal.
 
-        A repeat that meets an open run waits for its answer only while the node
-        that runs it is alive, and never longer than the set wait.
+        A repeat of an unfinished run waits for its answer while the node that runs
+        it is alive, at most for the configured wait.
         """
         key = claim_key(request)
         digest = request_digest(request)
         outcome = self._claims.take(key, digest)
-        give_up = self._clock.elapsed() + self._wait
-        while isinstance(outcome, Pending) and self._worth_waiting(
-            outcome.node, min(give_up, request.deadline)
+        wait_until = self._clock.elapsed() + self._wait
+        while isinstance(outcome, Pending) and self._should_wait(
+            outcome.node, min(wait_until, request.deadline)
         ):
             self._clock.sleep(LOOK_EVERY)
             outcome = self._claims.read(key, digest)
         self._metrics.claims.labels(type(outcome).__name__.lower()).inc()
         match outcome:
             case Taken():
-                self._assert_first(outcome)
+                self._require_first_use(outcome)
                 return outcome
             case Done(result):
-                return self._repeat(result)
+                return self._read_recorded(result)
             case Mismatch():
                 return Refusal(Reason.KEY_REUSED, Executed.NO)
             case Pending(node):
-                alive = self._is_alive(node)
-                again = OPEN_RETRY_AFTER if alive else None
-                detail = f"it runs on {node}" if alive else f"node {node} is gone"
-                return Refusal(Reason.FIRST_RUN_OPEN, Executed.UNKNOWN, detail, again)
+                is_running = self._is_alive(node)
+                retry_delay = OPEN_RETRY_AFTER if is_running else None
+                detail = f"it runs on {node}" if is_running else f"node {node} is gone"
+                return Refusal(
+                    Reason.FIRST_RUN_OPEN, Executed.UNKNOWN, detail, retry_delay
+                )
             case Unavailable(reason):
                 return Refusal(
                     Reason.STORE_UNAVAILABLE,
@@ -99,32 +101,32 @@
                 )
 
     def finish(self, taken: Taken, answer: StoredAnswer) -> None:
-        """Keep ``answer`` and close the claim, in the background if need be."""
+        """Record ``answer`` and finish the claim; retry failures in the background."""
         with self._lock:
-            self._sent.discard(taken.record.attempt)
-        if not self._record(taken, answer):
-            self._pool.submit(self._record_later, taken, answer)
+            self._active_attempts.discard(taken.record.attempt)
+        if not self._record_answer(taken, answer):
+            self._recorders.submit(self._retry_recording, taken, answer)
 
     def release(self, taken: Taken) -> None:
-        """Give up a claim whose request was certainly not run."""
+        """Release a claim whose request certainly did not run."""
         with self._lock:
-            self._sent.discard(taken.record.attempt)
+            self._active_attempts.discard(taken.record.attempt)
         self._claims.release(taken)
 
     def close(self) -> None:
-        """Finish recording and stop."""
+        """Record pending answers once more and stop."""
         self._closing.set()
-        self._pool.shutdown()
+        self._recorders.shutdown()
 
-    def _assert_first(self, taken: Taken) -> None:
+    def _require_first_use(self, taken: Taken) -> None:
         with self._lock:
             require(
-                taken.record.attempt not in self._sent,
+                taken.record.attempt not in self._active_attempts,
                 "a claim is acted on at most once",
             )
-            self._sent.add(taken.record.attempt)
+            self._active_attempts.add(taken.record.attempt)
 
-    def _repeat(self, result: str) -> StoredAnswer | Refusal:
+    def _read_recorded(self, result: str) -> StoredAnswer | Refusal:
         answer = self._answers.read(result)
         if answer is not None:
             return answer
@@ -135,26 +137,26 @@
             STORE_RETRY_AFTER,
         )
 
-    def _record(self, taken: Taken, answer: StoredAnswer) -> bool:
+    def _record_answer(self, taken: Taken, answer: StoredAnswer) -> bool:
         name = f"{ANSWER_PREFIX}/{taken.key}-{taken.record.attempt}"
-        kept = self._answers.keep(name, answer)
-        if kept is None:
+        claim_result = self._answers.keep(name, answer)
+        if claim_result is None:
             return False
-        return isinstance(self._claims.finish(taken, kept), Committed)
+        return isinstance(self._claims.finish(taken, claim_result), Committed)
 
-    def _record_later(self, taken: Taken, answer: StoredAnswer) -> None:
+    def _retry_recording(self, taken: Taken, answer: StoredAnswer) -> None:
         pause = FIRST_RECORD_PAUSE
         for _ in range(RECORD_TRIES):
             if self._closing.wait(pause.total_seconds()):
-                self._record(taken, answer)
+                self._record_answer(taken, answer)
                 return
-            if self._record(taken, answer):
+            if self._record_answer(taken, answer):
                 return
             pause = min(LONGEST_RECORD_PAUSE, pause * 2)
         log_change("answer_not_recorded", claim=taken.key)
 
-    def _worth_waiting(self, node: str, give_up: timedelta) -> bool:
-        return self._is_alive(node) and self._clock.elapsed() < give_up
+    def _should_wait(self, node: str, wait_until: timedelta) -> bool:
+        return self._is_alive(node) and self._clock.elapsed() < wait_until
 
     def _is_alive(self, node: str) -> bool:
         standing = self._membership.standing(node)
@@ -162,13 +164,13 @@
 
 
 def claim_key(request: CallerRequest) -> str:
-    """Return the claim's key: callers cannot meet each other's keys."""
+    """Return the key of the claim, which is unique to the caller."""
     text = f"{request.caller}\0{request.key}"
     return hashlib.blake2b(text.encode(), digest_size=16).hexdigest()
 
 
 def request_digest(request: CallerRequest) -> str:
-    """Return the digest by which a repeat with another request is told."""
+    """Return a digest of ``request`` that detects a key reused for another request."""
     digest = hashlib.blake2b(digest_size=16)
     for part in (str(request.route), request.method, request.path):
         digest.update(part.encode() + b"\0")
--- a/packages/runhatch-server/src/runhatch_server/serving/_stored.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_stored.py
@@ -1,7 +1,7 @@
-"""Answers as they are kept for repeats of a request that may run only once.
+"""Stores answers for repeats of requests that may run only once.
 
-A small answer is kept in its claim's own row, which saves a write to the store and
-the failures between two; a larger one is an object, and the row names it.
+A small answer is stored in the row of its claim, which saves a second write and
+failures between the two.  A larger one is stored as an object named in the row.
 """
 
 import base64
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredAnswer:
-    """A whole answer; ``body`` holds all events of a stream."""
+    """A whole answer; the ``body`` of a stream contains all its events."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -32,16 +32,16 @@
 
 
 class AnswerStore:
-    """Keeps answers up to ``inline_bytes`` in what it returns, others as objects."""
+    """Encodes answers up to ``inline_bytes`` for claims, stores others as objects."""
 
     def __init__(self, objects: ObjectStore, inline_bytes: int) -> None:
         self._objects = objects
         self._inline_bytes = inline_bytes
 
     def keep(self, name: str, answer: StoredAnswer) -> str | None:
-        """Return what to write into the claim, ``None`` if it is not certainly kept.
+        """Return the text for the claim, ``None`` if the answer may not be stored.
 
-        ``name`` is unique to the answer.
+        ``name`` must be unique to the answer.
         """
         body = base64.b64encode(answer.body).decode()
         document = msgspec.json.encode(
@@ -54,7 +54,7 @@
         return msgspec.json.encode(_Object(name)).decode()
 
     def read(self, kept: str) -> StoredAnswer | None:
-        """Return the answer of a claim, ``None`` if it cannot be had now."""
+        """Return the answer that a claim refers to, ``None`` if it is unavailable."""
         found = msgspec.json.decode(kept, type=_Document | _Object)
         if isinstance(found, _Object):
             body = self._objects.get(found.name)
