--- a/packages/runhatch-server/src/runhatch_server/serving/_headers.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_headers.py
@@ -1,4 +1,4 @@
-"""Headers of callers: who asks, how urgently, until when, how often."""
+"""Parses callers' headers: identity, priority, deadline and idempotency key."""
 
 import hashlib
 import re
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerHeaders:
-    """What the headers say, checked."""
+    """Validated values of a caller's headers."""
 
     caller: str
     priority: int | None
@@ -37,10 +37,12 @@
 def read_headers(
     environ: Mapping[str, object], max_deadline: timedelta
 ) -> CallerHeaders | Refusal:
-    """Return the checked headers of a WSGI environment, or the first fault."""
+    """Return the validated headers of ``environ``, or refuse the first bad one."""
     caller = _caller(environ)
     if len(caller) > MAX_CALLER:
-        return _bad(Reason.BAD_HEADER, "X-Caller-Id", caller, f"up to {MAX_CALLER}")
+        return _refuse_header(
+            Reason.BAD_HEADER, "X-Caller-Id", caller, f"up to {MAX_CALLER}"
+        )
     priority = _priority(str(environ.get(PRIORITY_VARIABLE, "")))
     if isinstance(priority, Refusal):
         return priority
@@ -64,24 +66,24 @@
 
 
 def _priority(value: str) -> int | Refusal | None:
-    """Read the urgency of RFC 9218; other members are ignored, as it says."""
+    """Return the urgency of RFC 9218; other members are ignored as it requires."""
     if not _ANY_URGENCY.search(value):
         return None
     found = _URGENCY.search(value)
     if found is None:
-        return _bad(Reason.BAD_HEADER, "Priority", value, "u=0 to u=7")
+        return _refuse_header(Reason.BAD_HEADER, "Priority", value, "u=0 to u=7")
     return int(found.group(1))
 
 
-def _deadline(value: object, longest: timedelta) -> timedelta | Refusal | None:
+def _deadline(value: object, max_value: timedelta) -> timedelta | Refusal | None:
     if value is None:
         return None
-    allowed = f"seconds above 0, up to {longest.total_seconds():g}"
+    allowed = f"seconds above 0, up to {max_value.total_seconds():g}"
     if not _SECONDS.fullmatch(str(value)):
-        return _bad(Reason.BAD_DEADLINE, "Request-Deadline", value, allowed)
+        return _refuse_header(Reason.BAD_DEADLINE, "Request-Deadline", value, allowed)
     deadline = timedelta(seconds=float(str(value)))
-    if not timedelta() < deadline <= longest:
-        return _bad(Reason.BAD_DEADLINE, "Request-Deadline", value, allowed)
+    if not timedelta() < deadline <= max_value:
+        return _refuse_header(Reason.BAD_DEADLINE, "Request-Deadline", value, allowed)
     return deadline
 
 
@@ -91,11 +93,11 @@
     found = _KEY.fullmatch(str(value))
     if found is None or len(str(value)) > MAX_KEY:
         allowed = f"1 to {MAX_KEY} printable ASCII characters"
-        return _bad(Reason.BAD_HEADER, "Idempotency-Key", value, allowed)
+        return _refuse_header(Reason.BAD_HEADER, "Idempotency-Key", value, allowed)
     return found.group(1)
 
 
-def _bad(reason: Reason, header: str, found: object, allowed: str) -> Refusal:
-    shown = str(found)[:40]
-    detail = f"{header}: found {shown!r}, allowed: {allowed}"
+def _refuse_header(reason: Reason, header: str, found: object, allowed: str) -> Refusal:
+    excerpt = str(found)[:40]
+    detail = f"{header}: found {excerpt!r}, allowed: {allowed}"
     return Refusal(reason, Executed.NO, detail)
--- a/packages/runhatch-server/src/runhatch_server/serving/_reading.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_reading.py
@@ -1,4 +1,4 @@
-"""From a WSGI environment to a checked request, or one clear refusal."""
+"""Parses and validates a WSGI environment as a caller's request."""
 
 import uuid
 from collections.abc import Mapping
@@ -38,7 +38,7 @@
 
 
 class RequestReader:
-    """Reads and checks callers' requests."""
+    """Parses and validates callers' requests."""
 
     def __init__(
         self, picture: Picture, settings: ServingSettings, clock: Clock
@@ -52,7 +52,7 @@
         )
 
     def read(self, environ: Environ) -> CallerRequest | Refusal:
-        """Return the request in ``environ``, or why it cannot be taken."""
+        """Return the request in ``environ``, or a refusal if it is invalid."""
         path = str(environ.get("PATH_INFO", ""))
         if path in BODY_MODELS:
             return self._read_model_request(environ, path)
@@ -78,7 +78,7 @@
         route = Route(RouteKind.MODEL, name)
         if not self._picture.declares(route):
             return Refusal(Reason.UNKNOWN_MODEL, Executed.NO, f"found {name!r}")
-        return self._request(
+        return self._build_request(
             environ,
             headers,
             route,
@@ -94,14 +94,14 @@
     def _read_service_request(
         self, environ: Environ, path: str
     ) -> CallerRequest | Refusal:
-        name, _, rest = path.removeprefix(SERVICES_PREFIX).partition("/")
-        service = self._service(name)
+        name, _, service_path = path.removeprefix(SERVICES_PREFIX).partition("/")
+        service = self._find_service(name)
         if service is None:
             return Refusal(
                 Reason.UNKNOWN_PATH, Executed.NO, f"no service {name[:64]!r}"
             )
         method = str(environ.get("REQUEST_METHOD"))
-        spec = _allowed(service, f"/{rest}", method)
+        spec = _find_path_spec(service, f"/{service_path}", method)
         if isinstance(spec, Refusal):
             return spec
         headers = read_headers(environ, self._limits.max_deadline)
@@ -114,18 +114,18 @@
         if isinstance(body, Refusal):
             return body
         query = str(environ.get("QUERY_STRING", ""))
-        return self._request(
+        return self._build_request(
             environ,
             headers,
             Route(RouteKind.SERVICE, name),
-            quote(f"/{rest}") + (f"?{query}" if query else ""),
+            quote(f"/{service_path}") + (f"?{query}" if query else ""),
             body,
             idempotent=spec.idempotent and headers.key is None,
             priority=DEFAULT_PRIORITY if headers.priority is None else headers.priority,
             unrun_statuses=frozenset(service.unrun_statuses),
         )
 
-    def _request(
+    def _build_request(
         self,
         environ: Environ,
         headers: CallerHeaders,
@@ -161,10 +161,10 @@
         )
 
     def _read_body(self, environ: Environ) -> bytes | Refusal:
-        longest = self._limits.max_body
+        max_bytes = self._limits.max_body
         length = str(environ.get("CONTENT_LENGTH") or "0")
-        if int(length) > longest:
-            detail = f"found {length} bytes, allowed: up to {longest}"
+        if int(length) > max_bytes:
+            detail = f"found {length} bytes, allowed: up to {max_bytes}"
             return Refusal(Reason.BODY_TOO_LARGE, Executed.NO, detail)
         stream = cast(BinaryIO, environ["wsgi.input"])
         return stream.read(int(length))
@@ -175,7 +175,7 @@
         declared = self._picture.deployment.priority_by_model
         return declared.get(name, DEFAULT_PRIORITY)
 
-    def _service(self, name: str) -> PlainServiceSpec | None:
+    def _find_service(self, name: str) -> PlainServiceSpec | None:
         services = self._picture.deployment.plain_services
         return next((s for s in services if s.name == name), None)
 
@@ -190,7 +190,9 @@
         return Refusal(Reason.BAD_JSON, Executed.NO, str(error))
 
 
-def _allowed(service: PlainServiceSpec, path: str, method: str) -> PathSpec | Refusal:
+def _find_path_spec(
+    service: PlainServiceSpec, path: str, method: str
+) -> PathSpec | Refusal:
     if any(part in (".", "..") for part in path.split("/")):
         return Refusal(Reason.UNKNOWN_PATH, Executed.NO, f"found {path[:80]!r}")
     matching = [spec for spec in service.paths if _matches(spec, path)]
--- a/packages/runhatch-server/src/runhatch_server/serving/_request.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_request.py
@@ -1,4 +1,4 @@
-"""A caller's request, checked, as the serving side passes it around."""
+"""Validated requests of callers, and their routes."""
 
 from dataclasses import dataclass, field
 from datetime import timedelta
@@ -10,7 +10,7 @@
 
 
 class RouteKind(Enum):
-    """Whether a model engine or a plain service answers."""
+    """Whether a route leads to a model engine or to a plain service."""
 
     MODEL = "model"
     SERVICE = "service"
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Route:
-    """What a request is for: a declared model, adapter or plain service."""
+    """The declared model, adapter or plain service that a request is for."""
 
     kind: RouteKind
     name: str
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerRequest:
-    """One request; ``deadline`` is on the clock's elapsed time.
+    """One validated request; times are elapsed times of the node's clock.
 
     ``key`` is set for requests that may run at most once.  ``document`` is the
     decoded body of a model request, ``body`` the bytes of a plain one.
@@ -54,11 +54,11 @@
 
     @property
     def fingerprint(self) -> str:
-        """The same for all repeats of it, see :func:`fingerprint_of`."""
-        asked = msgspec.json.encode(self.document) if self.is_model else self.body
-        return fingerprint_of(self.method, str(self.route), self.path, asked)
+        """Equal for all repeats of the request, see :func:`fingerprint_of`."""
+        content = msgspec.json.encode(self.document) if self.is_model else self.body
+        return fingerprint_of(self.method, str(self.route), self.path, content)
 
     @property
     def is_model(self) -> bool:
-        """Whether a model engine answers."""
+        """Whether the request goes to a model engine."""
         return self.route.kind is RouteKind.MODEL
--- a/packages/runhatch-server/src/runhatch_server/serving/_service.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_service.py
@@ -1,4 +1,4 @@
-"""Serving one request from its claim to its answer, written straight down."""
+"""Serves a caller's request from its claim to its answer."""
 
 import http.client
 from collections.abc import Callable, Generator, Iterator
@@ -38,7 +38,7 @@
 
 
 class ServingService:
-    """Serves requests of callers; safe for many threads."""
+    """Serves callers' requests; thread-safe."""
 
     def __init__(
         self,
@@ -63,51 +63,55 @@
         self._traces = traces
         self._clock = clock
         self._stall = stall
-        self._run_on = ThreadPoolExecutor(RUN_ON_WORKERS, thread_name_prefix="run-on")
+        self._detached_runs = ThreadPoolExecutor(
+            RUN_ON_WORKERS, thread_name_prefix="run-on"
+        )
 
     def serve(
         self, request: CallerRequest, caller_gone: Callable[[], bool]
     ) -> CallerAnswer:
-        """Return the answer to ``request``, which may still be arriving."""
+        """Return the answer to ``request``, which may be a stream still in progress."""
         self._metrics.requests.labels(request.route.kind.value).inc()
         self._demand.note(request.route)
-        context = self._context(request, caller_gone)
+        context = self._build_context(request, caller_gone)
         if request.key is None:
-            return self._run(context, None)
-        begun = self._once.begin(request)
-        if isinstance(begun, Refusal):
-            return self._refuse(context, begun)
-        if isinstance(begun, StoredAnswer):
-            self._close(context, "repeated", begun.status)
-            return whole(begun, request.request_id)
-        return self._run(context, begun)
+            return self._run_request(context, None)
+        claim = self._once.begin(request)
+        if isinstance(claim, Refusal):
+            return self._refuse(context, claim)
+        if isinstance(claim, StoredAnswer):
+            self._record_outcome(context, "repeated", claim.status)
+            return whole(claim, request.request_id)
+        return self._run_request(context, claim)
 
     def close(self) -> None:
-        """Wait for runs whose callers are gone, and for what they record."""
-        self._run_on.shutdown()
+        """Wait for runs without callers and for answers that are being recorded."""
+        self._detached_runs.shutdown()
         self._once.close()
         self._canceller.close()
 
-    def _run(self, context: RequestContext, taken: Taken | None) -> CallerAnswer:
+    def _run_request(
+        self, context: RequestContext, taken: Taken | None
+    ) -> CallerAnswer:
         while True:
             opened = self._attempter.open(context)
             if isinstance(opened, Refusal):
-                return self._give_up(context, taken, opened)
+                return self._refuse_run(context, taken, opened)
             if _is_stream(context.request, opened):
-                return self._stream(context, taken, opened)
+                return self._start_stream(context, taken, opened)
             answer = self._read_whole(context, opened)
             if isinstance(answer, Refusal):
-                return self._give_up(context, taken, answer)
+                return self._refuse_run(context, taken, answer)
             if answer is not None:
-                return self._answer(context, taken, opened, answer)
+                return self._finish_whole(context, taken, opened, answer)
 
     def _read_whole(
         self, context: RequestContext, opened: Opened
     ) -> StoredAnswer | Refusal | None:
-        """Return the whole answer, a refusal, or ``None`` to try again."""
-        left = context.request.deadline - self._clock.elapsed()
+        """Return the whole answer, a refusal, or ``None`` if the request is retried."""
+        remaining = context.request.deadline - self._clock.elapsed()
         try:
-            opened.answer.set_timeout(max(0.001, left.total_seconds()))
+            opened.answer.set_timeout(max(0.001, remaining.total_seconds()))
             answer = opened.answer.read_whole()
         except TimeoutError:
             failure = UnknownResult(AttemptReason.TIMED_OUT)
@@ -119,7 +123,7 @@
         opened.answer.close()
         return self._attempter.judge(context, opened.grant, failure)
 
-    def _answer(
+    def _finish_whole(
         self,
         context: RequestContext,
         taken: Taken | None,
@@ -129,10 +133,10 @@
         self._attempter.completed(opened, context)
         if taken is not None:
             self._once.finish(taken, answer)
-        self._answered(context, answer.status)
+        self._record_answered(context, answer.status)
         return whole(answer, context.request.request_id)
 
-    def _stream(
+    def _start_stream(
         self, context: RequestContext, taken: Taken | None, opened: Opened
     ) -> CallerAnswer:
         relay = StreamRelay(
@@ -147,14 +151,14 @@
         )
         refusal = relay.start()
         if refusal is not None:
-            return self._give_up(context, taken, refusal)
+            return self._refuse_run(context, taken, refusal)
         headers = (
             *passed_headers(relay.answer),
             (REQUEST_ID_HEADER, context.request.request_id),
         )
         events: Iterator[bytes] = self._relay_all(context, taken, relay)
         if taken is not None:
-            events = self._run_on_without_caller(events)
+            events = self._detach_if_closed(events)
         return StreamedAnswer(relay.answer.status, headers, events)
 
     def _relay_all(
@@ -169,10 +173,10 @@
                 outcome = "caller gone"
                 return
             if taken is not None:
-                kept = StoredAnswer(
+                recorded = StoredAnswer(
                     status, passed_headers(relay.answer), b"".join(relay.events)
                 )
-                self._once.finish(taken, kept)
+                self._once.finish(taken, recorded)
             outcome = "answered"
             yield relay.events[-1]
         except GeneratorExit:
@@ -181,55 +185,57 @@
         finally:
             stream.close()
             if relay.complete:
-                self._answered(context, status)
+                self._record_answered(context, status)
             else:
-                self._close(context, outcome, status)
+                self._record_outcome(context, outcome, status)
 
-    def _run_on_without_caller(self, events: Iterator[bytes]) -> Iterator[bytes]:
-        """Yield ``events``; if the caller goes, have the rest run and recorded."""
-        finished = False
+    def _detach_if_closed(self, events: Iterator[bytes]) -> Iterator[bytes]:
+        """Yield ``events``; if closed early, consume the rest in the background."""
+        ended = False
         try:
-            yield from _guard(events)
-            finished = True
+            yield from _iterate_without_closing(events)
+            ended = True
         except AbortedStreamError:
-            finished = True
+            ended = True
             raise
         finally:
-            if not finished:
-                self._run_on.submit(_exhaust, events)
+            if not ended:
+                self._detached_runs.submit(_consume, events)
 
-    def _give_up(
+    def _refuse_run(
         self, context: RequestContext, taken: Taken | None, refusal: Refusal
     ) -> CallerAnswer:
         if context.request.is_model and refusal.executed is Executed.UNKNOWN:
-            self._cancel(context)
+            self._cancel_last_attempt(context)
         if taken is not None and refusal.executed is Executed.NO:
             self._once.release(taken)
         return self._refuse(context, refusal)
 
-    def _cancel(self, context: RequestContext) -> None:
-        """Stop what may still run for an answer that nobody waits for."""
+    def _cancel_last_attempt(self, context: RequestContext) -> None:
+        """Cancel the last attempt of an idempotent request, which may still run."""
         if not context.request.idempotent or not context.trace.attempts:
             return
-        sent = attempt_id(context.request, context.attempts)
-        self._canceller.cancel(context.last_url, sent)
+        cancelled_id = attempt_id(context.request, context.attempts)
+        self._canceller.cancel(context.last_url, cancelled_id)
 
     def _refuse(self, context: RequestContext, refusal: Refusal) -> CallerAnswer:
         self._metrics.refusals.labels(refusal.reason.code).inc()
-        self._close(context, refusal.reason.code, refusal.reason.status)
+        self._record_outcome(context, refusal.reason.code, refusal.reason.status)
         return refused(refusal, context.request.request_id)
 
-    def _answered(self, context: RequestContext, status: int) -> None:
+    def _record_answered(self, context: RequestContext, status: int) -> None:
         self._metrics.answers.labels(context.request.route.kind.value).inc()
-        self._close(context, "answered", status)
+        self._record_outcome(context, "answered", status)
 
-    def _close(self, context: RequestContext, outcome: str, status: int) -> None:
+    def _record_outcome(
+        self, context: RequestContext, outcome: str, status: int
+    ) -> None:
         context.trace.outcome = outcome
         context.trace.status = status
         context.trace.took = self._clock.elapsed() - context.request.received
         context.log.finish(outcome, status)
 
-    def _context(
+    def _build_context(
         self, request: CallerRequest, caller_gone: Callable[[], bool]
     ) -> RequestContext:
         trace = RequestTrace(
@@ -243,28 +249,28 @@
         log = RequestLog(
             request.request_id, trace.route, request.caller, self._log_requests
         )
-        # What may run only once runs on and is recorded, whoever waits for it.
-        gone = caller_gone if request.idempotent else _never
-        return RequestContext(request, request.fingerprint, trace, log, gone)
+        # A run that can't be repeated is finished and recorded without its caller.
+        is_caller_gone = caller_gone if request.idempotent else _never_gone
+        return RequestContext(request, request.fingerprint, trace, log, is_caller_gone)
 
 
-def _never() -> bool:
+def _never_gone() -> bool:
     return False
 
 
 def _is_stream(request: CallerRequest, opened: Opened) -> bool:
-    kind = opened.answer.headers.get("content-type", "")
-    ok = opened.answer.status in SUCCESS
-    return request.stream and ok and kind.startswith(EVENT_STREAM)
+    content_type = opened.answer.headers.get("content-type", "")
+    succeeded = opened.answer.status in SUCCESS
+    return request.stream and succeeded and content_type.startswith(EVENT_STREAM)
 
 
-def _guard(events: Iterator[bytes]) -> Iterator[bytes]:
-    """Pass events on without closing their source when this is closed."""
+def _iterate_without_closing(events: Iterator[bytes]) -> Iterator[bytes]:
+    """Yield ``events`` without closing their source when this is closed."""
     for event in events:  # noqa: UP028 - "yield from" would close the source
         yield event
 
 
-def _exhaust(events: Iterator[bytes]) -> None:
+def _consume(events: Iterator[bytes]) -> None:
     try:
         for _ in events:
             pass
--- a/packages/runhatch-server/src/runhatch_server/serving/_target_requests.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_target_requests.py
@@ -1,4 +1,4 @@
-"""What is sent to a target for a caller's request."""
+"""Builds the requests that are sent to targets for callers' requests."""
 
 from collections.abc import Mapping
 
@@ -9,12 +9,12 @@
 from runhatch_server.targets import TargetRequest
 
 ENGINE_UNRUN = frozenset({404, 429, 503})
-"""Statuses by which an engine says that it did not run a request."""
+"""Statuses of engines that mean that the request was not run."""
 LOAD_FORMAT_HEADER = "endpoint-load-metrics-format"
 
 
 def attempt_id(request: CallerRequest, attempt: int) -> str:
-    """Return the id under which the target knows one attempt."""
+    """Return the id that is sent to the target for one attempt."""
     return f"{request.request_id}.{attempt}"
 
 
@@ -26,7 +26,7 @@
 ) -> TargetRequest:
     """Return the request for one attempt at ``host``.
 
-    ``continuation`` asks an engine for the rest of a stream that broke.
+    ``continuation`` replaces the document to request the rest of a broken stream.
     """
     if request.is_model:
         sent_id = attempt_id(request, attempt)
