--- a/packages/runhatch-server/src/runhatch_server/_caller_side.py
+++ b/packages/runhatch-server/src/runhatch_server/_caller_side.py
@@ -1,4 +1,4 @@
-"""A node's way from its callers' listener to the targets, put together."""
+"""Assembles the parts of a node that serve callers' requests."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -36,11 +36,11 @@
 
 
 class CallerSide:
-    """Takes requests, and knows when the last has ended.
+    """Serves callers' requests, and drains them on shutdown.
 
-    ``is_ready`` is what the balancer is told, ``has_configuration`` whether
-    requests can be judged at all; ``on_draining`` hears which target said that it
-    takes no new work, ``on_broken`` that a promise does not hold.
+    ``is_ready`` is the readiness reported to the load balancer, ``has_configuration``
+    whether requests can be validated at all.  ``on_draining`` is called with a target
+    that refuses new work while draining, ``on_broken`` with a violated invariant.
     """
 
     def __init__(
@@ -102,34 +102,34 @@
 
     @property
     def port(self) -> int:
-        """The port callers are served on."""
+        """The port of the listener for callers."""
         return self._server.port
 
     @property
     def in_progress(self) -> int:
-        """Requests under way."""
+        """Number of requests in progress."""
         return self._progress.count
 
     def start(self) -> None:
-        """Take requests from now on."""
+        """Start accepting requests."""
         self._server.start()
 
     def announce_drain(self) -> None:
-        """Have callers told, on every answer, not to use their connections again."""
+        """Close callers' connections after their next answers."""
         self._app.draining = True
 
     def drain(self) -> None:
-        """Stop listening, and return once all requests have ended and are kept."""
+        """Stop listening and wait until all requests are answered and recorded."""
         self._server.stop_listening()
-        self._finish_requests()
+        self._wait_for_requests()
         self._service.close()
         self._committer.close()
 
-    def _finish_requests(self) -> None:
-        """Wait until nothing is in progress, nor arrives on an open connection."""
-        begun = -1
-        while begun != self._progress.begun:
-            begun = self._progress.begun
+    def _wait_for_requests(self) -> None:
+        """Wait until no request is in progress or arrives on an open connection."""
+        count_before = -1
+        while count_before != self._progress.begun:
+            count_before = self._progress.begun
             while not self._progress.wait_idle(DRAIN_POLL):
                 pass
             self._clock.sleep(DRAIN_POLL)
@@ -153,7 +153,7 @@
             attempter,
             client,
             Canceller(),
-            self._build_once(),
+            self._build_once_guard(),
             self.demand,
             self._metrics,
             traces,
@@ -162,7 +162,7 @@
             self._settings.logs.level is LogLevel.REQUEST,
         )
 
-    def _build_once(self) -> OnceGuard:
+    def _build_once_guard(self) -> OnceGuard:
         serving = self._settings.serving
         claims = Claims(
             self._outside.table,
--- a/packages/runhatch-server/src/runhatch_server/refusals.py
+++ b/packages/runhatch-server/src/runhatch_server/refusals.py
@@ -1,4 +1,4 @@
-"""Refusals: a closed set of reasons, told as RFC 9457 problem documents."""
+"""Refusals with a closed set of reasons, sent as RFC 9457 problem documents."""
 
 import math
 from dataclasses import dataclass, replace
@@ -21,14 +21,14 @@
 
 
 class Executed(Enum):
-    """What is known of a refused request: ``NO`` only if it certainly did not run."""
+    """Whether a refused request may have run: ``NO`` if it certainly did not."""
 
     NO = "no"
     UNKNOWN = "unknown"
 
 
 class Reason(Enum):
-    """Why a request was refused: each has a counter, a status and a title."""
+    """Why a request was refused: metric label, HTTP status and title."""
 
     BAD_JSON = ("bad_json", 400, "The body is not the JSON document it should be")
     BAD_HEADER = ("bad_header", 400, "A header cannot be used")
@@ -72,11 +72,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Prediction:
-    """What was known of the best target when a request was judged.
+    """Prediction for the best target when a request was refused; only for logs.
 
     ``predicted_ms`` is the time to the first byte, ``busy`` the share of the
-    target's time that prompts sent of late take, ``pause_ms`` the longest pause that
-    its streams would have seen.  For logs, not for callers.
+    target's time that recently sent prompts take, ``pause_ms`` the longest pause
+    that the request would have caused in the target's streams.
     """
 
     target: str
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """One refusal; ``retry_after`` is set wherever coming back helps."""
+    """One refusal; ``retry_after`` is set if a retry may succeed."""
 
     reason: Reason
     executed: Executed
@@ -95,10 +95,10 @@
     retry_after: timedelta | None = None
     judged_by: Prediction | None = None
     target: str = ""
-    """The target whose word decided it, if one did; for logs."""
+    """The target whose answer caused the refusal, if any; for logs."""
 
     def as_unknown(self) -> "Refusal":
-        """Return the refusal for a request that may have run by now."""
+        """Return the refusal for a request that may have run already."""
         return replace(self, executed=Executed.UNKNOWN)
 
 
