--- a/packages/runhatch-server/tests/test_attempts.py
+++ b/packages/runhatch-server/tests/test_attempts.py
@@ -1,4 +1,4 @@
-"""Retries: which outcomes are tried again, how often, and where."""
+"""Tests of attempts: which outcomes are retried, how often and on which targets."""
 
 import socket
 
@@ -34,7 +34,7 @@
 
 
 class ScriptedClient:
-    """Returns set outcomes and notes which target was asked."""
+    """Returns scripted outcomes and records the URLs of the requests."""
 
     def __init__(self, outcomes):
         self._outcomes = outcomes
@@ -54,27 +54,27 @@
     return picture
 
 
-class Lives(TargetLives):
-    """Lives of targets; those named in ``dead`` have ended whenever looked at."""
+class FakeTargetLives(TargetLives):
+    """Reports the targets in ``ended_targets`` as refusing connections."""
 
-    def __init__(self, *dead):
+    def __init__(self, *ended_targets):
         super().__init__("n")
-        self._dead = dead
+        self._ended_targets = ended_targets
 
     def refuses(self, target):
-        return target.partition("#")[0] in self._dead
+        return target.partition("#")[0] in self._ended_targets
 
 
-def make_crashes(clock, lives):
+def make_crash_watch(clock, lives):
     return CrashWatch(clock, lives, Metrics(), lambda: None)
 
 
-def attempt(picture, outcomes, requests=1, idempotent=True, crashes=None):
-    """Run requests against scripted outcomes; refusals and the client."""
+def open_requests(picture, outcomes, requests=1, idempotent=True, crashes=None):
+    """Open requests against scripted outcomes; return the refusals and the client."""
     clock = SystemClock()
     dispatcher = Dispatcher(picture, clock, "d0", 8, 0.5, seed=1)
     client = ScriptedClient(outcomes)
-    crashes = crashes or make_crashes(clock, Lives())
+    crashes = crashes or make_crash_watch(clock, FakeTargetLives())
     attempter = Attempter(
         dispatcher,
         client,
@@ -100,7 +100,7 @@
 
 
 class TestAttempter:
-    """Outcomes and what is made of them."""
+    """Retries by outcome."""
 
     @pytest.mark.parametrize(
         ("outcome", "idempotent", "attempts", "executed"),
@@ -113,72 +113,74 @@
             (BROKEN, False, 1, Executed.UNKNOWN),
         ],
     )
-    def test_tries_again_only_what_may_be(
+    def test_retries_only_requests_that_may_be_repeated(
         self, picture, outcome, idempotent, attempts, executed
     ):
         """A request that may have run is repeated only if it is idempotent."""
-        refusals, client = attempt(picture, [outcome], idempotent=idempotent)
+        refusals, client = open_requests(picture, [outcome], idempotent=idempotent)
         assert isinstance(refusals[0], Refusal)
         assert len(client.urls) == attempts
         assert refusals[0].executed is executed
 
-    def test_unknown_stays_unknown(self, picture):
-        """A later refusal as not run does not make an earlier attempt unrun."""
-        refusals, _ = attempt(picture, [BROKEN, BUSY])
+    def test_possibly_run_request_stays_unknown_after_later_refusal(self, picture):
+        """A later refusal does not mean that an earlier attempt did not run."""
+        refusals, _ = open_requests(picture, [BROKEN, BUSY])
         assert refusals[0].executed is Executed.UNKNOWN
 
-    def test_goes_to_other_targets(self, picture):
-        """Each attempt goes to a target that has not failed yet."""
-        _, client = attempt(picture, [FAILED])
+    def test_each_attempt_uses_another_target(self, picture):
+        """The first three attempts go to three different targets."""
+        _, client = open_requests(picture, [FAILED])
         assert len(set(client.urls[:3])) == 3
 
     @pytest.mark.parametrize("outcome", [FAILED, BUSY, BROKEN])
-    def test_no_storm_when_everything_fails(self, picture, outcome):
-        """With every target failing attempts stay below 1.2 a request."""
-        _, client = attempt(picture, [outcome], requests=100)
+    def test_retry_budget_limits_attempts_when_all_targets_fail(self, picture, outcome):
+        """If all targets fail, there are fewer than 1.2 attempts per request."""
+        _, client = open_requests(picture, [outcome], requests=100)
         assert len(client.urls) < 120
 
 
-class TestCrashes:
-    """A request that ends engines, which start again under their names."""
+class TestCrashingRequest:
+    """Requests that crash engines, which restart under the same names."""
 
-    def test_it_is_sent_to_two_and_to_no_more(self, picture):
-        crashes = make_crashes(SystemClock(), Lives("w0", "w1", "w2"))
+    def test_request_is_sent_to_two_targets_at_most(self, picture):
+        crashes = make_crash_watch(SystemClock(), FakeTargetLives("w0", "w1", "w2"))
 
-        refusals, client = attempt(picture, [BROKEN], requests=6, crashes=crashes)
+        refusals, client = open_requests(picture, [BROKEN], requests=6, crashes=crashes)
 
         assert len(client.urls) == 2
         assert {refusal.reason for refusal in refusals} == {Reason.ENDS_TARGETS}
         assert refusals[0].executed is Executed.UNKNOWN
         assert refusals[-1].executed is Executed.NO
 
-    def test_two_lives_of_one_engine_are_two(self, picture):
+    def test_incarnations_of_one_target_count_separately(self, picture):
         picture.learn(Hosting("w1", 2, ()))
         picture.learn(Hosting("w2", 2, ()))
-        crashes = make_crashes(SystemClock(), Lives("w0"))
+        crashes = make_crash_watch(SystemClock(), FakeTargetLives("w0"))
 
-        _, client = attempt(
+        _, client = open_requests(
             picture, [BROKEN], requests=6, idempotent=False, crashes=crashes
         )
 
         assert len(client.urls) == 2
 
-    def test_another_node_that_hears_of_it_sends_it_nowhere(self, picture):
+    def test_node_informed_by_another_does_not_send_the_request(self, picture):
         clock = SystemClock()
-        first, second = (make_crashes(clock, Lives("w0", "w1", "w2")) for _ in "ab")
-        attempt(picture, [BROKEN], crashes=first)
+        first, second = (
+            make_crash_watch(clock, FakeTargetLives("w0", "w1", "w2")) for _ in "ab"
+        )
+        open_requests(picture, [BROKEN], crashes=first)
         ends, _ = first.take_news()
         second.told(ends)
 
-        _, client = attempt(picture, [BROKEN], crashes=second)
+        _, client = open_requests(picture, [BROKEN], crashes=second)
 
         assert client.urls == []
 
 
-class TestLives:
-    """One life of a declared target, as told from the next."""
+class TestTargetLives:
+    """Ids of the incarnations of a declared target."""
 
-    def test_each_end_begins_another(self):
+    def test_each_end_starts_a_new_incarnation(self):
         lives = TargetLives("n1")
         first = lives.current("w0", "http://127.0.0.1:1")
         lives.ended(first)
@@ -188,17 +190,17 @@
         assert first != second
         assert lives.current("w0", "http://127.0.0.1:1") == second
 
-    def test_nodes_name_them_apart(self):
-        names = {TargetLives(node).current("w0", "http://a:1") for node in ("n1", "n2")}
+    def test_ids_of_different_nodes_differ(self):
+        ids = {TargetLives(node).current("w0", "http://a:1") for node in ("n1", "n2")}
 
-        assert len(names) == 2
+        assert len(ids) == 2
 
-    def test_one_refuses_only_if_nothing_listens(self):
+    def test_refuses_only_if_no_process_listens(self):
         lives = TargetLives("n1")
         with socket.create_server(("127.0.0.1", 0)) as listener:
             url = f"http://127.0.0.1:{listener.getsockname()[1]}"
-            life = lives.current("w0", url)
-            assert not lives.refuses(life)
+            incarnation = lives.current("w0", url)
+            assert not lives.refuses(incarnation)
 
-        assert lives.refuses(life)
+        assert lives.refuses(incarnation)
         assert not lives.refuses("unknown#n1-0")
