--- a/packages/runhatch-server/tests/test_cache_intake.py
+++ b/packages/runhatch-server/tests/test_cache_intake.py
@@ -1,4 +1,4 @@
-"""Cache events: late, with gaps, from engines that restart or are silent."""
+"""Tests of reading cache events: gaps, delays, restarts and unavailable engines."""
 
 import pytest
 
@@ -11,13 +11,13 @@
 BLOCKS = tuple(f"b{i}" for i in range(4))
 
 
-class Engine:
-    """Publishes what the test says."""
+class FakeEngine:
+    """Publishes the events that a test passes to it."""
 
     def __init__(self):
         self.published = []
         self.last = -1
-        self.silent = False
+        self.is_unavailable = False
         self.reads = 0
 
     def publish(self, *events, lost=0):
@@ -28,7 +28,7 @@
 
     def cache_events(self, after, limit):
         self.reads += 1
-        if self.silent:
+        if self.is_unavailable:
             return Unavailable("silent")
         events = [e for e in self.published if e.sequence > after]
         return CacheEvents(tuple(events[:limit]), self.last)
@@ -36,7 +36,7 @@
 
 @pytest.fixture
 def engines():
-    return {f"http://127.0.0.1:{9000 + i}": Engine() for i in range(3)}
+    return {f"http://127.0.0.1:{9000 + i}": FakeEngine() for i in range(3)}
 
 
 @pytest.fixture
@@ -63,7 +63,7 @@
 
 
 class TestCacheIntake:
-    """What beliefs become of events."""
+    """Effect of cache events on the prefix index."""
 
     @pytest.mark.parametrize(
         ("events", "lost", "matched"),
@@ -76,22 +76,28 @@
             ([("b3", False)], 2, 3),
         ],
     )
-    def test_beliefs_follow(self, dispatcher, intake, engine, events, lost, matched):
-        """Drops are believed; what is missing changes nothing."""
+    def test_events_update_the_prefix_index(
+        self, dispatcher, intake, engine, events, lost, matched
+    ):
+        """Dropped blocks are removed; missing events change nothing."""
         engine.publish(*events, lost=lost)
         intake.read_round()
         assert dispatcher._prefixes.matched("w0", BLOCKS) == matched
 
-    def test_others_blocks_only_if_met(self, dispatcher, intake, engine):
-        """What others stored is learnt only where this node has met the block."""
+    def test_blocks_of_other_nodes_are_added_only_if_known(
+        self, dispatcher, intake, engine
+    ):
+        """A block stored by another node's request is added only if known here."""
         dispatcher._prefixes.stored("w1", ("shared",))
         engine.publish(("shared", True), ("never met", True))
         intake.read_round()
         assert dispatcher._prefixes.matched("w0", ("shared",)) == 1
         assert not dispatcher._prefixes.is_known("never met")
 
-    def test_restart_empties_the_cache(self, dispatcher, intake, engine):
-        """Numbers that begin anew mean that nothing is cached any more."""
+    def test_restart_removes_the_engine_from_the_index(
+        self, dispatcher, intake, engine
+    ):
+        """Sequence numbers that restart mean that the cache was lost."""
         engine.publish(*[("x", True)] * 10)
         intake.read_round()
         engine.published.clear()
@@ -99,20 +105,22 @@
         intake.read_round()
         assert dispatcher.prefix_targets() == []
 
-    def test_silence_changes_nothing(self, dispatcher, intake, engine):
-        """An engine that cannot be read is believed as before."""
-        engine.silent = True
+    def test_unreadable_engine_keeps_its_entries(self, dispatcher, intake, engine):
+        """The entries of an engine that cannot be read stay in the index."""
+        engine.is_unavailable = True
         intake.read_round()
         assert dispatcher._prefixes.matched("w0", BLOCKS) == 4
 
-    def test_far_behind_skips(self, dispatcher, intake, engine):
-        """A reader that cannot keep up goes on from the newest events."""
+    def test_reader_far_behind_skips_the_oldest_events(
+        self, dispatcher, intake, engine
+    ):
+        """A reader that cannot keep up continues with the newest events."""
         engine.publish(*[("x", True)] * 10 * EVENTS_A_READ)
         intake.read_round()
         assert intake._cursors["w0"] == engine.last - EVENTS_A_READ
 
-    def test_turns(self, dispatcher, intake, engines):
-        """However many engines there are, a round reads no more than its share."""
+    def test_round_reads_a_limited_number_of_engines(self, dispatcher, intake, engines):
+        """A round reads two of three engines, and the rounds rotate over all."""
         for name in ("w1", "w2"):
             dispatcher._prefixes.stored(name, BLOCKS)
         before = sum(engine.reads for engine in engines.values())
--- a/packages/runhatch-server/tests/test_picture.py
+++ b/packages/runhatch-server/tests/test_picture.py
@@ -1,4 +1,4 @@
-"""The picture of who serves what, and what counts as news."""
+"""Tests of the picture: which targets serve a route, and reported changes."""
 
 import json
 
@@ -18,15 +18,15 @@
     return picture
 
 
-def targets(picture, route=M0):
+def target_names(picture, route=M0):
     return [host.target for host in picture.hosts(route)]
 
 
 class TestPicture:
-    """Hostings in, routes out."""
+    """Hosts of routes by learnt hostings."""
 
     @pytest.mark.parametrize(
-        ("hostings", "news", "hosts"),
+        ("hostings", "changes", "hosts"),
         [
             ([("w0", 1, ["m0@1"])], [True], ["w0"]),
             ([("w0", 2, ["m0@1"]), ("w0", 1, [])], [True, False], ["w0"]),
@@ -35,14 +35,16 @@
             ([("w9", 1, ["m0@1"])], [True], []),
         ],
     )
-    def test_newer_wins_and_only_changes_are_news(self, picture, hostings, news, hosts):
-        """Older versions change nothing; a newer one that says the same is no news."""
-        told = [picture.learn(Hosting(t, v, tuple(u))) for t, v, u in hostings]
-        assert told == news
-        assert targets(picture) == hosts
+    def test_newer_hosting_applies_and_reports_changes(
+        self, picture, hostings, changes, hosts
+    ):
+        """An older version is ignored; a newer one with equal units is no change."""
+        results = [picture.learn(Hosting(t, v, tuple(u))) for t, v, u in hostings]
+        assert results == changes
+        assert target_names(picture) == hosts
 
-    def test_versions_without_news_keep_digests_equal(self, picture, deployment):
-        """A node that missed a version which changed nothing lacks nothing."""
+    def test_version_without_changes_keeps_the_digest(self, picture, deployment):
+        """Nodes have equal digests if one missed a version with equal units."""
         other = Picture()
         other.configure(deployment)
         picture.learn(Hosting("w0", 1, ("m0@1", "m1@1")))
@@ -52,30 +54,30 @@
         other.learn(Hosting("w1", 1, ("m2@1",)))
         assert picture.digest != other.digest
 
-    def test_correction_holds_until_the_next_version(self, picture):
-        """A target that has not the unit is left out until its row changes."""
+    def test_correction_applies_until_the_next_version(self, picture):
+        """A target that lacks the unit is skipped until its row has a newer version."""
         picture.learn(Hosting("w0", 1, ("m0@1",)))
         picture.correct("w0", "m0@1")
-        assert targets(picture) == []
+        assert target_names(picture) == []
         assert picture.learn(Hosting("w0", 2, ("m0@1",)))
-        assert targets(picture) == ["w0"]
+        assert target_names(picture) == ["w0"]
 
-    def test_old_version_serves_until_the_new_one_does(self, picture):
-        """While a version is replaced requests go to the old one."""
+    def test_previous_version_serves_until_the_new_one_does(self, picture):
+        """Requests go to the previous version until a target serves the new one."""
         document = deployment_document()
         document["models"][0]["version"] = "2"
         body = json.dumps(document).encode()
         picture.learn(Hosting("w0", 1, ("m0@1",)))
         picture.configure(parse_deployment(body))
-        assert targets(picture) == ["w0"]
+        assert target_names(picture) == ["w0"]
         picture.learn(Hosting("w1", 1, ("m0@2",)))
-        assert targets(picture) == ["w1"]
+        assert target_names(picture) == ["w1"]
 
-    def test_undeclared_targets_are_forgotten(self, picture):
-        """A target that is declared no more leaves the picture and the digest."""
+    def test_undeclared_targets_are_removed(self, picture):
+        """A target that is no longer declared has no part in hosts and digest."""
         picture.learn(Hosting("w2", 1, ("m0@1",)))
         document = deployment_document()
         del document["pools"][0]["targets"][2]
         picture.configure(Deployment.model_validate(document))
-        assert targets(picture) == []
+        assert target_names(picture) == []
         assert picture.digest == 0
--- a/packages/runhatch-server/tests/test_target_state.py
+++ b/packages/runhatch-server/tests/test_target_state.py
@@ -1,4 +1,4 @@
-"""What a node learns of one target's slowness."""
+"""Tests of how a node detects a slow target."""
 
 import random
 from datetime import timedelta
@@ -24,43 +24,43 @@
 
 
 class TestExcess:
-    """How much longer than usual requests take."""
+    """Excess of request durations over the usual ones."""
 
     @pytest.mark.parametrize(
         ("times", "slow"), [(1, False), (TOLERATED, False), (10, True)]
     )
-    def test_learnt_from_answers(self, state, times, slow):
-        """Answers far slower than usual count, the common spread does not."""
+    def test_slow_answers_add_excess(self, state, times, slow):
+        """Only answers slower than the tolerated multiple add excess."""
         state.succeeded(USUAL * times, USUAL, START)
         assert (state.excess(START) > timedelta()) is slow
 
     @pytest.mark.parametrize(("age", "slow"), [(1, False), (4, False), (6, True)])
-    def test_learnt_from_what_is_outstanding(self, state, age, slow):
-        """A request that should have been answered long ago counts by itself."""
+    def test_overdue_outstanding_request_adds_excess(self, state, age, slow):
+        """An outstanding request adds excess once it is older than tolerated."""
         state.granted(START, USUAL)
         later = START + USUAL * age
         assert (state.excess(later) > timedelta()) is slow
         state.returned(START, USUAL)
         assert state.excess(later) == timedelta()
 
-    def test_long_requests_are_not_slow(self, state):
-        """A request of a slow route is judged by its own route's usual time."""
+    def test_long_requests_are_compared_with_their_own_route(self, state):
+        """A request of a slow route is compared with the usual time of that route."""
         state.granted(START, USUAL * 60)
         state.succeeded(USUAL, USUAL, START)
         assert state.excess(START + USUAL * 50) == timedelta()
 
-    def test_fades(self, state):
-        """A slow target is not avoided for ever."""
+    def test_excess_decays(self, state):
+        """The excess decays, so that a slow target is tried again."""
         state.succeeded(USUAL * 10, USUAL, START)
-        soon = state.excess(START)
-        assert state.excess(START + timedelta(seconds=30)) < soon / 500
+        initial_excess = state.excess(START)
+        assert state.excess(START + timedelta(seconds=30)) < initial_excess / 500
 
 
-class TestAvoidance:
-    """What the dispatcher makes of it."""
+class TestSlowTarget:
+    """Choice of targets by the dispatcher when one is slow."""
 
-    def test_stuck_target_gets_no_more(self, deployment):
-        """A target that sits on its requests is passed over before it answers."""
+    def test_stuck_target_is_avoided(self, deployment):
+        """A target that does not answer is avoided before its requests end."""
         clock = ManualClock()
         picture = Picture()
         picture.configure(deployment)
@@ -76,11 +76,11 @@
 
         first = [grant() for _ in range(4)]
         clock.advance(USUAL)
-        for each in first:
-            dispatcher.completed(each, USUAL, None)
+        for granted_slot in first:
+            dispatcher.completed(granted_slot, USUAL, None)
         grant(avoided="w1")
         clock.advance(USUAL * 6)
-        # Two that have just begun are more load than the one that is stuck.
+        # By load alone, w0 with its one stuck request would be chosen.
         for _ in range(2):
             grant(avoided="w0")
         assert grant().host.target == "w1"
