--- a/packages/runhatch-server/tests/conftest.py
+++ b/packages/runhatch-server/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures that the tests share."""
+"""Fixtures shared by the tests."""
 
 import eliot
 import pytest
@@ -10,22 +10,22 @@
 
 @pytest.fixture
 def deployment():
-    """The small configuration."""
+    """Return the small valid deployment."""
     return Deployment.model_validate(deployment_document())
 
 
 @pytest.fixture
 def clock():
-    """A clock that stands still until told."""
+    """Return a clock that only a test advances."""
     return ManualClock()
 
 
 @pytest.fixture
 def lines():
-    """What is logged meanwhile."""
-    logged = []
-    eliot.add_destinations(logged.append)
-    # A first destination gets what was logged before.
-    logged.clear()
-    yield logged
-    eliot.remove_destination(logged.append)
+    """Return a list that collects the messages logged during the test."""
+    messages = []
+    eliot.add_destinations(messages.append)
+    # Eliot sends buffered earlier messages to the first destination.
+    messages.clear()
+    yield messages
+    eliot.remove_destination(messages.append)
--- a/packages/runhatch-server/tests/server_cases.py
+++ b/packages/runhatch-server/tests/server_cases.py
@@ -1,4 +1,4 @@
-"""Deployments and requests that the tests share."""
+"""Deployments and requests shared by the tests."""
 
 from datetime import timedelta
 
@@ -26,7 +26,7 @@
 
 
 def deployment_document(**changes):
-    """Return a small sound configuration, with sections replaced."""
+    """Return a small valid deployment, with the sections in ``changes`` replaced."""
     document = {
         "pools": [
             {
--- a/packages/runhatch-server/tests/test_once.py
+++ b/packages/runhatch-server/tests/test_once.py
@@ -1,4 +1,4 @@
-"""Requests that run at most once: answers that could not be recorded at once."""
+"""Tests of recording answers of keyed requests after failures of the store."""
 
 import dataclasses
 
@@ -29,7 +29,7 @@
 
 
 class Node:
-    """One node's guard, with a table that may fail."""
+    """The guard of one node, with a table that can fail."""
 
     def __init__(self, name, table):
         clock = SystemClock()
@@ -42,20 +42,20 @@
 
 @pytest.fixture
 def nodes():
-    """The node that runs a request, and one that its repeat comes to."""
+    """The node that runs a request, and the node that receives its repeat."""
     table = MemoryTable()
-    both = Node("n2", table), Node("n1", table)
-    yield both
-    for node in both:
+    node_pair = Node("n2", table), Node("n1", table)
+    yield node_pair
+    for node in node_pair:
         node.guard.close()
 
 
-def keyed(name="r"):
+def make_keyed_request(name="r"):
     return dataclasses.replace(make_request(name), key="k", idempotent=False)
 
 
 class TestRecording:
-    """The answer has gone to its caller; the store did not take it."""
+    """Answers that were sent to their callers before the store accepted them."""
 
     @pytest.mark.parametrize(
         ("fault", "writes"),
@@ -66,13 +66,13 @@
             (TableFault.LOSE_ANSWER, 3),
         ],
     )
-    def test_a_repeat_soon_after_gets_it(self, nodes, fault, writes):
-        """Tried again after a second only, its repeats were refused meanwhile."""
+    def test_immediate_repeat_gets_the_recorded_answer(self, nodes, fault, writes):
+        """With a pause of a second before the retry, repeats were refused meanwhile."""
         runner, other = nodes
-        taken = runner.guard.begin(keyed())
-        assert isinstance(taken, Taken)
+        claim = runner.guard.begin(make_keyed_request())
+        assert isinstance(claim, Taken)
 
         runner.table.inject(fault, writes)
-        runner.guard.finish(taken, ANSWER)
+        runner.guard.finish(claim, ANSWER)
 
-        assert other.guard.begin(keyed()) == ANSWER
+        assert other.guard.begin(make_keyed_request()) == ANSWER
--- a/packages/runhatch-server/tests/test_stored.py
+++ b/packages/runhatch-server/tests/test_stored.py
@@ -1,4 +1,4 @@
-"""Kept answers: in the claim's row or as an object."""
+"""Tests of storing answers in the claim's row or as objects."""
 
 import pytest
 
@@ -9,33 +9,33 @@
 LARGE = StoredAnswer(200, (), b"x" * 10_000)
 
 
-class Refusing(MemoryObjects):
-    """Takes nothing."""
+class FailingObjects(MemoryObjects):
+    """Fails every put."""
 
     def put(self, name, body):
         return False
 
 
 class TestAnswerStore:
-    """What is kept comes back whole."""
+    """Storing and reading answers."""
 
     @pytest.mark.parametrize(
         ("answer", "inline_bytes", "objects"),
         [(SMALL, 8_192, 0), (SMALL, 0, 1), (LARGE, 8_192, 1), (LARGE, 20_000, 0)],
     )
-    def test_comes_back(self, answer, inline_bytes, objects):
-        """Whichever way it is kept, the answer is read as it was."""
+    def test_reads_back_the_stored_answer(self, answer, inline_bytes, objects):
+        """An answer is read back unchanged, stored inline or as an object."""
         store = MemoryObjects()
         answers = AnswerStore(store, inline_bytes)
-        kept = answers.keep("k", answer)
-        assert answers.read(kept) == answer
+        stored = answers.keep("k", answer)
+        assert answers.read(stored) == answer
         assert (store.get("k") is not None) == bool(objects)
 
-    def test_not_certainly_kept(self):
-        """An object store that did not take it is no place for an answer."""
-        assert AnswerStore(Refusing(), 0).keep("k", SMALL) is None
+    def test_failed_put_returns_none(self):
+        """An answer whose object could not be written is not reported as stored."""
+        assert AnswerStore(FailingObjects(), 0).keep("k", SMALL) is None
 
-    def test_object_out_of_reach(self):
-        """An answer whose object cannot be read is not made up."""
-        kept = AnswerStore(MemoryObjects(), 0).keep("k", SMALL)
-        assert AnswerStore(MemoryObjects(), 0).read(kept) is None
+    def test_unavailable_object_returns_none(self):
+        """Reading an answer returns ``None`` if its object is missing."""
+        stored = AnswerStore(MemoryObjects(), 0).keep("k", SMALL)
+        assert AnswerStore(MemoryObjects(), 0).read(stored) is None
