--- a/packages/runhatch-server/src/runhatch_server/serving/_app.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_app.py
@@ -79,16 +79,16 @@
         """Serve one WSGI request."""
         path = environ.get("PATH_INFO")
         if path in HEALTH_PATHS:
-            return self._send(self._health_answer(str(path)), start_response)
+            return self._send(self._build_health_answer(str(path)), start_response)
         if path == MODELS_PATH:
-            return self._send(self._models_answer(environ), start_response)
+            return self._send(self._build_models_answer(environ), start_response)
         self._progress.begin()
         self._metrics.in_progress.inc()
         stream_started = False
         try:
             answer = self._build_answer(environ)
             if isinstance(answer, StreamedAnswer):
-                start_response(_status_line(answer), list(answer.headers))
+                start_response(_build_status_line(answer), list(answer.headers))
                 stream_started = True
                 events = _GeneratedEvents(answer.events)
                 return CountedEvents(events, self._end_request)
@@ -130,19 +130,19 @@
         self, answer: WholeAnswer, start_response: StartResponse
     ) -> Iterable[bytes]:
         return send_whole(
-            _status_line(answer),
+            _build_status_line(answer),
             answer.headers,
             answer.body,
             start_response,
             self.draining,
         )
 
-    def _health_answer(self, path: str) -> WholeAnswer:
+    def _build_health_answer(self, path: str) -> WholeAnswer:
         healthy = path == "/healthz" or self._is_ready()
         body = b"ok\n" if healthy else b"not ready\n"
         return WholeAnswer(200 if healthy else 503, (), body)
 
-    def _models_answer(self, environ: Environ) -> WholeAnswer:
+    def _build_models_answer(self, environ: Environ) -> WholeAnswer:
         if environ.get("REQUEST_METHOD") != "GET":
             bad_method = Refusal(Reason.BAD_METHOD, Executed.NO, "allowed: GET")
             return refused(bad_method, NO_REQUEST)
@@ -178,5 +178,5 @@
             pass
 
 
-def _status_line(answer: CallerAnswer) -> str:
+def _build_status_line(answer: CallerAnswer) -> str:
     return f"{answer.status} Status"
--- a/packages/runhatch-server/src/runhatch_server/serving/_attempts.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_attempts.py
@@ -183,9 +183,9 @@
             return self._build_refusal(context, Reason.DEADLINE_PASSED)
         repeatable = not context.maybe_ran or context.request.idempotent
         if not repeatable or context.attempts >= MAX_ATTEMPTS:
-            return self._build_refusal(context, _final_reason(outcome))
+            return self._build_refusal(context, _choose_final_reason(outcome))
         if outcome.reason not in FREE_RETRIES and not self._budget.withdraw():
-            return self._build_refusal(context, _final_reason(outcome))
+            return self._build_refusal(context, _choose_final_reason(outcome))
         self._metrics.retries.labels(outcome.reason.value).inc()
         if outcome.reason not in FREE_RETRIES:
             self._clock.sleep(backoff)
@@ -213,7 +213,7 @@
         context.trace.attempts.append(AttemptTrace(target, explanation, outcome))
 
 
-def _final_reason(outcome: NotSent | RefusedUnrun | UnknownResult) -> Reason:
+def _choose_final_reason(outcome: NotSent | RefusedUnrun | UnknownResult) -> Reason:
     if outcome.reason is AttemptReason.MODEL_NOT_THERE:
         return Reason.NO_REPLICA
     if isinstance(outcome, RefusedUnrun):
--- a/packages/runhatch-server/src/runhatch_server/serving/_continuation.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_continuation.py
@@ -40,7 +40,7 @@
     """
     if document.get("n", 1) != 1 or any(document.get(f) for f in UNCONTINUABLE_FIELDS):
         return None
-    pieces = _text_pieces(events)
+    pieces = _extract_text(events)
     if pieces is None:
         return None
     continued = dict(document)
@@ -64,7 +64,7 @@
     return continued
 
 
-def _text_pieces(events: Iterable[bytes]) -> list[str] | None:
+def _extract_text(events: Iterable[bytes]) -> list[str] | None:
     pieces = []
     for event in events:
         data = event_data(event)
--- a/packages/runhatch-server/src/runhatch_server/serving/_headers.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_headers.py
@@ -38,24 +38,24 @@
     environ: Mapping[str, object], max_deadline: timedelta
 ) -> CallerHeaders | Refusal:
     """Return the validated headers of ``environ``, or refuse the first bad one."""
-    caller = _caller(environ)
+    caller = _parse_caller(environ)
     if len(caller) > MAX_CALLER:
         return _refuse_header(
             Reason.BAD_HEADER, "X-Caller-Id", caller, f"up to {MAX_CALLER}"
         )
-    priority = _priority(str(environ.get(PRIORITY_VARIABLE, "")))
+    priority = _parse_priority(str(environ.get(PRIORITY_VARIABLE, "")))
     if isinstance(priority, Refusal):
         return priority
-    deadline = _deadline(environ.get(DEADLINE_VARIABLE), max_deadline)
+    deadline = _parse_deadline(environ.get(DEADLINE_VARIABLE), max_deadline)
     if isinstance(deadline, Refusal):
         return deadline
-    key = _key(environ.get(KEY_VARIABLE))
+    key = _parse_key(environ.get(KEY_VARIABLE))
     if isinstance(key, Refusal):
         return key
     return CallerHeaders(caller, priority, deadline, key)
 
 
-def _caller(environ: Mapping[str, object]) -> str:
+def _parse_caller(environ: Mapping[str, object]) -> str:
     named = environ.get(CALLER_VARIABLE)
     if named:
         return str(named)
@@ -65,7 +65,7 @@
     return DEFAULT_CALLER
 
 
-def _priority(value: str) -> int | Refusal | None:
+def _parse_priority(value: str) -> int | Refusal | None:
     """Return the urgency of RFC 9218; other members are ignored as it requires."""
     if not _ANY_URGENCY.search(value):
         return None
@@ -75,7 +75,7 @@
     return int(found.group(1))
 
 
-def _deadline(value: object, max_value: timedelta) -> timedelta | Refusal | None:
+def _parse_deadline(value: object, max_value: timedelta) -> timedelta | Refusal | None:
     if value is None:
         return None
     allowed = f"seconds above 0, up to {max_value.total_seconds():g}"
@@ -87,7 +87,7 @@
     return deadline
 
 
-def _key(value: object) -> str | Refusal | None:
+def _parse_key(value: object) -> str | Refusal | None:
     if value is None:
         return None
     found = _KEY.fullmatch(str(value))
--- a/packages/runhatch-server/src/runhatch_server/serving/_queue.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_queue.py
@@ -78,7 +78,7 @@
             return Reason.CALLER_SHARE
         if self._size < self._limit:
             return None
-        least_urgent = self._least_urgent()
+        least_urgent = self._find_least_urgent()
         if least_urgent is None or least_urgent.priority <= waiter.priority:
             return Reason.QUEUE_FULL
         least_urgent.shed = True
@@ -107,6 +107,6 @@
         self._size -= 1
         return True
 
-    def _least_urgent(self) -> Waiter[GrantT] | None:
+    def _find_least_urgent(self) -> Waiter[GrantT] | None:
         last_waiters = [queue[-1] for queue in self._queues.values() if queue]
         return max(last_waiters, key=lambda waiter: waiter.order, default=None)
--- a/packages/runhatch-server/src/runhatch_server/serving/_reading.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_reading.py
@@ -71,7 +71,7 @@
         body = self._read_body(environ)
         if isinstance(body, Refusal):
             return body
-        document = _decode(path, body)
+        document = _decode_body(path, body)
         if isinstance(document, Refusal):
             return document
         name = str(document["model"])
@@ -85,7 +85,7 @@
             path,
             body,
             idempotent=headers.key is None,
-            priority=self._priority(headers, name),
+            priority=self._choose_priority(headers, name),
             document=document,
             stream=bool(document.get("stream", False)),
             prefix=prefix_blocks(name, _prompt_text(document)),
@@ -169,7 +169,7 @@
         stream = cast(BinaryIO, environ["wsgi.input"])
         return stream.read(int(length))
 
-    def _priority(self, headers: CallerHeaders, name: str) -> int:
+    def _choose_priority(self, headers: CallerHeaders, name: str) -> int:
         if headers.priority is not None:
             return headers.priority
         declared = self._picture.deployment.priority_by_model
@@ -180,7 +180,7 @@
         return next((s for s in services if s.name == name), None)
 
 
-def _decode(path: str, body: bytes) -> dict[str, object] | Refusal:
+def _decode_body(path: str, body: bytes) -> dict[str, object] | Refusal:
     try:
         BODY_MODELS[path].validate_json(body)
         return msgspec.json.decode(body, type=dict[str, object])
@@ -195,7 +195,7 @@
 ) -> PathSpec | Refusal:
     if any(part in (".", "..") for part in path.split("/")):
         return Refusal(Reason.UNKNOWN_PATH, Executed.NO, f"found {path[:80]!r}")
-    matching = [spec for spec in service.paths if _matches(spec, path)]
+    matching = [spec for spec in service.paths if _path_matches(spec, path)]
     if not matching:
         return Refusal(Reason.UNKNOWN_PATH, Executed.NO, f"found {path[:80]!r}")
     for spec in matching:
@@ -205,7 +205,7 @@
     return Refusal(Reason.BAD_METHOD, Executed.NO, f"allowed: {', '.join(allowed)}")
 
 
-def _matches(spec: PathSpec, path: str) -> bool:
+def _path_matches(spec: PathSpec, path: str) -> bool:
     if spec.path.endswith("*"):
         return path.startswith(spec.path[:-1])
     return path == spec.path
--- a/packages/runhatch-server/src/runhatch_server/serving/_relay.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_relay.py
@@ -63,10 +63,10 @@
         self._canceller = canceller
         self._metrics = metrics
         self._clock = clock
-        self._stall = stall
+        self._stall_timeout = stall
         self._splitter = EventSplitter()
         self._ready_events: list[bytes] = []
-        self._last_id: bytes | None = None
+        self._last_event_id: bytes | None = None
         self._resumes = 0
         self._holds_slot = True
         self.complete = False
@@ -105,7 +105,7 @@
                 if self._context.caller_gone():
                     return
                 failure = self._read_events()
-                if failure is not None and not self._recover(failure):
+                if failure is not None and not self._recover_stream(failure):
                     yield error_event(self._context.request.request_id)
                     raise AbortedStreamError(self._context.request.request_id)
         finally:
@@ -114,7 +114,7 @@
     def _pop_ready_events(self) -> Iterator[bytes]:
         while self._ready_events:
             event = self._ready_events.pop(0)
-            self._last_id = event_id(event) or self._last_id
+            self._last_event_id = event_id(event) or self._last_event_id
             self.events.append(event)
             yield event
 
@@ -124,7 +124,7 @@
             remaining = self._context.request.deadline - self._clock.elapsed()
             if remaining <= timedelta():
                 return AttemptReason.TIMED_OUT
-            wait = max(SHORTEST_TIMEOUT, min(remaining, self._stall))
+            wait = max(SHORTEST_TIMEOUT, min(remaining, self._stall_timeout))
             try:
                 self._opened.answer.set_timeout(wait.total_seconds())
                 chunk = self._opened.answer.read_some()
@@ -137,10 +137,10 @@
                 return AttemptReason.BROKEN
         return None
 
-    def _recover(self, failure: AttemptReason) -> bool:
+    def _recover_stream(self, failure: AttemptReason) -> bool:
         if failure is AttemptReason.TIMED_OUT:
             return False
-        if self._resume():
+        if self._resume_stream():
             return True
         continuation_document = continue_document(
             self._context.request.document, self.events
@@ -150,16 +150,16 @@
         self._context.continuation = continuation_document
         return self._retry_on_other_target(failure) is None
 
-    def _resume(self) -> bool:
+    def _resume_stream(self) -> bool:
         """Request the events after the last relayed one from the same engine."""
-        while self._resumes < RESUMES and self._last_id is not None:
+        while self._resumes < RESUMES and self._last_event_id is not None:
             self._resumes += 1
             self._metrics.retries.labels("resumed").inc()
             request = resume_request(
                 self._context.request,
                 self._opened.grant.host,
                 attempt_id(self._context.request, self._context.attempts),
-                self._last_id,
+                self._last_event_id,
             )
             outcome = self._client.send(request, self._context.caller_gone)
             if isinstance(outcome, OpenAnswer):
@@ -187,7 +187,7 @@
         self._opened = opened
         self._holds_slot = True
         self._splitter = EventSplitter()
-        self._last_id = None
+        self._last_event_id = None
         self._resumes = 0
         return None
 
--- a/packages/runhatch-server/src/runhatch_server/serving/_router.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_router.py
@@ -67,7 +67,7 @@
 
         Hosts in ``avoided_domains`` are chosen only if no other host has room.
         """
-        not_ejected = _without_ejected(hosts, states, now)
+        not_ejected = _drop_ejected(hosts, states, now)
         hosts_with_room = [
             host for host in not_ejected if states[host.target].has_room()
         ]
@@ -104,7 +104,7 @@
         prefix: tuple[str, ...],
         now: timedelta,
     ) -> "_Scored":
-        wait = _predicted_wait(host, states[host.target], now)
+        wait = _predict_wait(host, states[host.target], now)
         matched = self._prefixes.matched(host.target, prefix) if self._affinity else 0
         score = wait * self._random.uniform(1 - JITTER, 1 + JITTER)
         # The bonus equals the prefill saved, so affinity never adds a longer wait.
@@ -123,7 +123,7 @@
     matched: int
 
 
-def _predicted_wait(host: Host, state: TargetState, now: timedelta) -> timedelta:
+def _predict_wait(host: Host, state: TargetState, now: timedelta) -> timedelta:
     service = state.service_time or DEFAULT_SERVICE
     load = state.load(now)
     over_capacity = max(0.0, load + 1 - host.concurrency)
@@ -131,7 +131,7 @@
     return service * ((over_capacity + within_capacity) / host.concurrency)
 
 
-def _without_ejected(
+def _drop_ejected(
     hosts: Sequence[Host], states: Mapping[str, TargetState], now: timedelta
 ) -> Sequence[Host]:
     """Return the hosts that are not ejected, or all if most are ejected."""
--- a/packages/runhatch-server/src/runhatch_server/serving/_service.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_service.py
@@ -62,7 +62,7 @@
         self._metrics = metrics
         self._traces = traces
         self._clock = clock
-        self._stall = stall
+        self._stall_timeout = stall
         self._detached_runs = ThreadPoolExecutor(
             RUN_ON_WORKERS, thread_name_prefix="run-on"
         )
@@ -76,13 +76,13 @@
         context = self._build_context(request, caller_gone)
         if request.key is None:
             return self._run_request(context, None)
-        claim = self._once.begin(request)
-        if isinstance(claim, Refusal):
-            return self._refuse(context, claim)
-        if isinstance(claim, StoredAnswer):
-            self._record_outcome(context, "repeated", claim.status)
-            return whole(claim, request.request_id)
-        return self._run_request(context, claim)
+        claim_outcome = self._once.begin(request)
+        if isinstance(claim_outcome, Refusal):
+            return self._refuse(context, claim_outcome)
+        if isinstance(claim_outcome, StoredAnswer):
+            self._record_outcome(context, "repeated", claim_outcome.status)
+            return whole(claim_outcome, request.request_id)
+        return self._run_request(context, claim_outcome)
 
     def close(self) -> None:
         """Wait for runs without callers and for answers that are being recorded."""
@@ -91,19 +91,19 @@
         self._canceller.close()
 
     def _run_request(
-        self, context: RequestContext, taken: Taken | None
+        self, context: RequestContext, claim: Taken | None
     ) -> CallerAnswer:
         while True:
             opened = self._attempter.open(context)
             if isinstance(opened, Refusal):
-                return self._refuse_run(context, taken, opened)
+                return self._refuse_run(context, claim, opened)
             if _is_stream(context.request, opened):
-                return self._start_stream(context, taken, opened)
+                return self._start_stream(context, claim, opened)
             answer = self._read_whole(context, opened)
             if isinstance(answer, Refusal):
-                return self._refuse_run(context, taken, answer)
+                return self._refuse_run(context, claim, answer)
             if answer is not None:
-                return self._finish_whole(context, taken, opened, answer)
+                return self._finish_whole(context, claim, opened, answer)
 
     def _read_whole(
         self, context: RequestContext, opened: Opened
@@ -126,18 +126,18 @@
     def _finish_whole(
         self,
         context: RequestContext,
-        taken: Taken | None,
+        claim: Taken | None,
         opened: Opened,
         answer: StoredAnswer,
     ) -> CallerAnswer:
         self._attempter.completed(opened, context)
-        if taken is not None:
-            self._once.finish(taken, answer)
+        if claim is not None:
+            self._once.finish(claim, answer)
         self._record_answered(context, answer.status)
         return whole(answer, context.request.request_id)
 
     def _start_stream(
-        self, context: RequestContext, taken: Taken | None, opened: Opened
+        self, context: RequestContext, claim: Taken | None, opened: Opened
     ) -> CallerAnswer:
         relay = StreamRelay(
             context,
@@ -147,22 +147,22 @@
             self._canceller,
             self._metrics,
             self._clock,
-            self._stall,
+            self._stall_timeout,
         )
         refusal = relay.start()
         if refusal is not None:
-            return self._refuse_run(context, taken, refusal)
+            return self._refuse_run(context, claim, refusal)
         headers = (
             *passed_headers(relay.answer),
             (REQUEST_ID_HEADER, context.request.request_id),
         )
-        events: Iterator[bytes] = self._relay_all(context, taken, relay)
-        if taken is not None:
+        events: Iterator[bytes] = self._relay_all(context, claim, relay)
+        if claim is not None:
             events = self._detach_if_closed(events)
         return StreamedAnswer(relay.answer.status, headers, events)
 
     def _relay_all(
-        self, context: RequestContext, taken: Taken | None, relay: StreamRelay
+        self, context: RequestContext, claim: Taken | None, relay: StreamRelay
     ) -> Generator[bytes, None, None]:
         outcome = "cut"
         status = relay.answer.status
@@ -172,11 +172,11 @@
             if not relay.complete:
                 outcome = "caller gone"
                 return
-            if taken is not None:
+            if claim is not None:
                 recorded = StoredAnswer(
                     status, passed_headers(relay.answer), b"".join(relay.events)
                 )
-                self._once.finish(taken, recorded)
+                self._once.finish(claim, recorded)
             outcome = "answered"
             yield relay.events[-1]
         except GeneratorExit:
@@ -203,12 +203,12 @@
                 self._detached_runs.submit(_consume, events)
 
     def _refuse_run(
-        self, context: RequestContext, taken: Taken | None, refusal: Refusal
+        self, context: RequestContext, claim: Taken | None, refusal: Refusal
     ) -> CallerAnswer:
         if context.request.is_model and refusal.executed is Executed.UNKNOWN:
             self._cancel_last_attempt(context)
-        if taken is not None and refusal.executed is Executed.NO:
-            self._once.release(taken)
+        if claim is not None and refusal.executed is Executed.NO:
+            self._once.release(claim)
         return self._refuse(context, refusal)
 
     def _cancel_last_attempt(self, context: RequestContext) -> None:
