--- a/packages/runhatch-server/tests/test_attempts.py
+++ b/packages/runhatch-server/tests/test_attempts.py
@@ -143,6 +143,7 @@
     """Requests that crash engines, which restart under the same names."""
 
     def test_request_is_sent_to_two_targets_at_most(self, picture):
+        """After two targets have crashed, the request is refused."""
         crashes = make_crash_watch(SystemClock(), FakeTargetLives("w0", "w1", "w2"))
 
         refusals, client = open_requests(picture, [BROKEN], requests=6, crashes=crashes)
@@ -153,6 +154,7 @@
         assert refusals[-1].executed is Executed.NO
 
     def test_incarnations_of_one_target_count_separately(self, picture):
+        """Two crashes of one restarting target count like those of two targets."""
         picture.learn(Hosting("w1", 2, ()))
         picture.learn(Hosting("w2", 2, ()))
         crashes = make_crash_watch(SystemClock(), FakeTargetLives("w0"))
@@ -164,6 +166,7 @@
         assert len(client.urls) == 2
 
     def test_node_informed_by_another_does_not_send_the_request(self, picture):
+        """A node refuses a request that crashed targets of another node."""
         clock = SystemClock()
         first, second = (
             make_crash_watch(clock, FakeTargetLives("w0", "w1", "w2")) for _ in "ab"
@@ -181,6 +184,7 @@
     """Ids of the incarnations of a declared target."""
 
     def test_each_end_starts_a_new_incarnation(self):
+        """A repeated report of the same end does not change the id again."""
         lives = TargetLives("n1")
         first = lives.current("w0", "http://127.0.0.1:1")
         lives.ended(first)
@@ -191,11 +195,13 @@
         assert lives.current("w0", "http://127.0.0.1:1") == second
 
     def test_ids_of_different_nodes_differ(self):
+        """Two nodes that observe the same end must not produce the same id."""
         ids = {TargetLives(node).current("w0", "http://a:1") for node in ("n1", "n2")}
 
         assert len(ids) == 2
 
     def test_refuses_only_if_no_process_listens(self):
+        """An unknown target does not count as refusing connections."""
         lives = TargetLives("n1")
         with socket.create_server(("127.0.0.1", 0)) as listener:
             url = f"http://127.0.0.1:{listener.getsockname()[1]}"
--- a/packages/runhatch-server/tests/test_dispatch.py
+++ b/packages/runhatch-server/tests/test_dispatch.py
@@ -175,6 +175,7 @@
         dispatcher.failed(grant, busy)
 
     def test_requests_are_refused_with_the_backoff_as_retry_after(self, dispatcher):
+        """If all targets back off, the refusal says how long, plus jitter."""
         (grant,) = acquire_slots(dispatcher, 1)
         self.back_off(dispatcher, grant, 30)
 
@@ -184,6 +185,7 @@
         assert timedelta(seconds=29) < refusal.retry_after < timedelta(seconds=38)
 
     def test_another_replica_serves_during_the_backoff(self, dispatcher, picture):
+        """Requests go to replicas that do not back off."""
         picture.learn(Hosting("w1", 1, ("m0@1",)))
         (grant,) = acquire_slots(dispatcher, 1)
         self.back_off(dispatcher, grant, 30)
