--- a/packages/runhatch-server/src/runhatch_server/placement/__init__.py
+++ b/packages/runhatch-server/src/runhatch_server/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Placement: the memory ledger, orders to engines and the planner."""
+"""Placement of models on targets: the memory ledger and the planner."""
 
 from runhatch_server.decisions import Spread, spread
 from runhatch_server.placement._actions import (
--- a/packages/runhatch-server/src/runhatch_server/placement/_actions.py
+++ b/packages/runhatch-server/src/runhatch_server/placement/_actions.py
@@ -1,4 +1,4 @@
-"""What a plan may ask for."""
+"""Actions of a plan: loading and retiring units."""
 
 from dataclasses import dataclass
 from enum import IntEnum
@@ -7,7 +7,7 @@
 
 
 class Urgency(IntEnum):
-    """Why a unit is loaded; lower goes first when loads must wait."""
+    """Reason for a load; loads with lower values get permits first."""
 
     UNREACHABLE = 0
     NEW_VERSION = 1
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadUnit:
-    """Load a unit on a target; ``base`` is set for adapters."""
+    """Load a unit on a target; ``base`` is the base unit of an adapter."""
 
     target: str
     unit: str
@@ -29,7 +29,7 @@
     base: str = ""
 
     def charge(self) -> Charge:
-        """Return the charge to write before ordering."""
+        """Return the charge to write to the ledger before the order is sent."""
         return Charge(
             self.unit,
             self.memory_mb,
--- a/packages/runhatch-server/src/runhatch_server/placement/_balance.py
+++ b/packages/runhatch-server/src/runhatch_server/placement/_balance.py
@@ -1,4 +1,4 @@
-"""The work of a pool, spread over its replicas."""
+"""Expected distribution of a pool's work over its replicas."""
 
 from runhatch_server.decisions import Spread, spread
 from runhatch_server.placement._ledger import ChargeState
@@ -6,9 +6,10 @@
 
 
 def balance(state: PoolState) -> Spread:
-    """Spread the work of a pool over its replicas as the routers would.
+    """Distribute the work of a pool over its replicas as the routers would.
 
-    Loading replicas count, so that a need is not met twice.
+    Loading replicas count as hosts; otherwise later plans would add further
+    replicas for the same work.
     """
     capacities = {t.name: float(t.concurrency) for t in state.pool.targets}
     hosts = {
--- a/packages/runhatch-server/src/runhatch_server/placement/_demand.py
+++ b/packages/runhatch-server/src/runhatch_server/placement/_demand.py
@@ -1,4 +1,4 @@
-"""Demand by model, estimated fast on the way up and slowly on the way down."""
+"""Request rate of each model, smoothed: estimates rise fast and fall slowly."""
 
 from collections import Counter, defaultdict
 from datetime import timedelta
@@ -9,7 +9,7 @@
 
 
 class DemandEstimate:
-    """Requests a second for each model, from counts that nodes send in.
+    """Requests per second of each model, estimated from the counts of all nodes.
 
     >>> estimate = DemandEstimate()
     >>> estimate.add({"m": 50})
@@ -22,26 +22,26 @@
         self._window = window
         self._counts: Counter[str] = Counter()
         self._rates: dict[str, float] = defaultdict(float)
-        self._ticked = timedelta()
+        self._last_update = timedelta()
 
     def add(self, counts: dict[str, int]) -> None:
-        """Take in one node's counts."""
+        """Add the request counts of one node, by model."""
         self._counts.update(counts)
 
     def tick(self, now: timedelta) -> None:
-        """Fold the counts into the rates, once a window."""
-        elapsed = now - self._ticked
+        """Update the rates from the counts, at most once per window."""
+        elapsed = now - self._last_update
         if elapsed < self._window:
             return
-        self._ticked = now
+        self._last_update = now
         seconds = elapsed.total_seconds()
         for name in {*self._counts, *self._rates}:
-            seen = self._counts[name] / seconds
-            known = self._rates[name]
-            gain = GAIN_UP if seen > known else GAIN_DOWN
-            self._rates[name] = known + (seen - known) * gain
+            measured = self._counts[name] / seconds
+            previous = self._rates[name]
+            gain = GAIN_UP if measured > previous else GAIN_DOWN
+            self._rates[name] = previous + (measured - previous) * gain
         self._counts.clear()
 
     def rate(self, name: str) -> float:
-        """Return the estimated requests a second for ``name``."""
+        """Return the estimated requests per second for ``name``, 0.0 if unknown."""
         return self._rates.get(name, 0.0)
--- a/packages/runhatch-server/src/runhatch_server/placement/_ledger.py
+++ b/packages/runhatch-server/src/runhatch_server/placement/_ledger.py
@@ -1,8 +1,9 @@
-"""The memory ledger: one row a target, changed only by the planner's lease holder.
+"""The memory ledger: one row per target, changed only by the planner's lease holder.
 
-A charge is written before its order is sent and dropped only when the load can no
-longer happen.  A row's version, in the table's era, is the fencing number of the orders
-it records, so numbers rise for each target whoever plans.
+A charge is written before its order is sent, and removed only when no order can load
+the unit any more; so memory in use is never planned for another unit.  The fencing
+number of an order is the version of the row that records it, within the table's era.
+The numbers of each target's orders therefore rise, also across planners.
 """
 
 from collections.abc import Iterable
@@ -13,7 +14,7 @@
 
 
 class ChargeState(Enum):
-    """How far a charge has come."""
+    """Stage of a unit's life cycle on a target."""
 
     LOADING = "loading"
     SERVING = "serving"
@@ -21,15 +22,15 @@
 
 
 NOT_ORDERED = 0
-"""Order number of a charge whose order was not sent yet."""
+"""Order number of a charge whose order has not been numbered yet."""
 
 
 @dataclass(frozen=True, slots=True)
 class Charge:
-    """Memory set aside on a target for one unit, in MB.
+    """Memory reserved on a target for one unit, in MB.
 
-    ``peak_mb`` is needed beside ``memory_mb`` while loading.  ``base`` is the unit
-    an adapter belongs to, empty for models.
+    ``peak_mb`` is the additional memory needed during loading.  ``base`` is the base
+    unit of an adapter, empty for models.
     """
 
     unit: str
@@ -41,23 +42,23 @@
 
     @property
     def held_mb(self) -> int:
-        """What the charge counts for now.
+        """Memory that the charge currently reserves.
 
-        The peak stays charged until the unit was seen loaded, also while an
-        unload overtakes the load.
+        The peak stays reserved until a report shows the unit loaded, also if it is
+        unloaded before that, because the load may still be running.
         """
         return self.memory_mb + self.peak_mb
 
     def serving(self) -> "Charge":
-        """Return the charge once the unit is confirmed loaded."""
+        """Return the charge of the unit after a report shows it loaded."""
         return replace(self, state=ChargeState.SERVING, peak_mb=0)
 
     def unloading(self) -> "Charge":
-        """Return the charge once the unit is to go; nothing is ordered yet."""
+        """Return the charge of the unit to be unloaded, without an order yet."""
         return replace(self, state=ChargeState.UNLOADING, order=NOT_ORDERED)
 
     def lost(self, peak_mb: int) -> "Charge":
-        """Return the charge of a unit that its engine lost, to be loaded again."""
+        """Return the charge for reloading a unit that its engine no longer holds."""
         return replace(
             self, state=ChargeState.LOADING, order=NOT_ORDERED, peak_mb=peak_mb
         )
@@ -65,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LedgerRow:
-    """All charges on one target; ``capacity_mb`` is never exceeded."""
+    """All charges on one target; their sum never exceeds ``capacity_mb``."""
 
     target: str
     capacity_mb: int
@@ -73,16 +74,16 @@
 
     @property
     def used_mb(self) -> int:
-        """The sum of the charges."""
+        """Memory reserved by all charges."""
         return sum(charge.held_mb for charge in self.charges)
 
     @property
     def free_mb(self) -> int:
-        """What may still be charged."""
+        """Memory not reserved by any charge."""
         return self.capacity_mb - self.used_mb
 
     def find(self, unit: str) -> Charge | None:
-        """Return the charge of ``unit``, if there is one."""
+        """Return the charge of ``unit``, ``None`` if it has none."""
         return next((c for c in self.charges if c.unit == unit), None)
 
     def units(self, *states: ChargeState) -> tuple[str, ...]:
@@ -90,10 +91,10 @@
         return tuple(c.unit for c in self.charges if c.state in states)
 
     def with_charge(self, charge: Charge) -> "LedgerRow":
-        """Return the row with ``charge`` added, or put in its unit's place.
+        """Return the row with ``charge`` added, or replacing that of the same unit.
 
-        Raises :class:`~runhatch_coordination.InvariantError` if it exceeds the
-        capacity.
+        Raises :class:`~runhatch_coordination.InvariantError` if the
+        charges exceed the capacity.
         """
         others = tuple(c for c in self.charges if c.unit != charge.unit)
         changed = replace(self, charges=(*others, charge))
@@ -102,15 +103,18 @@
 
     def without(self, units: Iterable[str]) -> "LedgerRow":
         """Return the row without the charges of ``units``."""
-        gone = frozenset(units)
-        kept = tuple(c for c in self.charges if c.unit not in gone)
-        return replace(self, charges=kept)
+        removed = frozenset(units)
+        remaining = tuple(c for c in self.charges if c.unit not in removed)
+        return replace(self, charges=remaining)
 
     def check(self) -> None:
-        """Raise unless the charges fit; called on every row written."""
+        """Raise ``InvariantError`` unless charges fit and their units are unique."""
         require(
             self.used_mb <= self.capacity_mb,
             f"memory of {self.target} is never overcommitted",
         )
         units = [charge.unit for charge in self.charges]
-        require(len(units) == len(set(units)), "a unit is charged once on a target")
+        require(
+            len(units) == len(set(units)),
+            "each unit has at most one charge on a target",
+        )
--- a/packages/runhatch-server/src/runhatch_server/placement/_state.py
+++ b/packages/runhatch-server/src/runhatch_server/placement/_state.py
@@ -1,4 +1,4 @@
-"""What a plan is made from: one pool's models, targets, charges and demand."""
+"""Input of a plan: one pool's models, targets, charges and demand."""
 
 from collections import defaultdict
 from collections.abc import Mapping
@@ -19,13 +19,14 @@
 
 @dataclass(frozen=True)
 class PoolState:
-    """A pool at one moment.
-
-    ``closed`` are targets whose replicas do not count: drained, leaving or silent.
-    ``unread`` are those that take no loads now because their report is missing.
-    ``pins`` and ``bans`` are pairs of model and target.  ``work`` is the concurrent
-    requests expected of each model, ``ages`` how long each replica, by target and
-    unit, has been there.
+    """Snapshot of a pool.
+
+    ``closed`` are targets whose replicas do not count because the target is drained,
+    draining or silent.  ``silent`` targets have sent no report for some time.  ``unread``
+    targets accept no loads now because their last report could not be read.
+    ``pins`` and ``bans`` are pairs of model and target.  ``work`` is the expected
+    number of concurrent requests of each model, ``ages`` the time since the last
+    state change of each replica, by target and unit.
     """
 
     pool: PoolSpec
@@ -42,11 +43,11 @@
     bans: frozenset[tuple[str, str]] = frozenset()
 
     def takes_loads(self, name: str) -> bool:
-        """Tell whether a load may be ordered from the target now."""
+        """Whether the target ``name`` may be sent a load order now."""
         return name not in self.closed and name not in self.unread
 
     def target(self, name: str) -> TargetSpec:
-        """Return the declared target called ``name``."""
+        """Return the declared target ``name``; raises ``KeyError`` if there is none."""
         return self._targets[name]
 
     def adapters_of(self, model: ModelSpec) -> tuple[AdapterSpec, ...]:
@@ -54,22 +55,22 @@
         return self._adapters_by_base.get(model.name, ())
 
     def footprint_mb(self, model: ModelSpec) -> int:
-        """Return what one replica holds once loaded, adapters included."""
+        """Return the memory of one loaded replica, adapters included."""
         adapters = sum(adapter.memory_mb for adapter in self.adapters_of(model))
         return model.memory_mb + model.kv_reserve_mb + adapters
 
     def hosts(self, unit: str, *states: ChargeState) -> list[str]:
         """Return the targets on which ``unit`` is charged in one of ``states``."""
-        placed = self._placed.get(unit, ())
-        return [name for name, charge in placed if charge.state in states]
+        placements = self._placements.get(unit, ())
+        return [name for name, charge in placements if charge.state in states]
 
     def older_units(self, model: ModelSpec) -> list[tuple[str, str]]:
-        """Return target and unit of all other versions of ``model``."""
+        """Return target and unit of all other versions of ``model`` not unloading."""
         return [
             (target, unit)
             for unit in self._units_by_name.get(model.name, ())
             if unit != model.unit
-            for target, charge in self._placed[unit]
+            for target, charge in self._placements[unit]
             if not charge.base and charge.state is not ChargeState.UNLOADING
         ]
 
@@ -85,18 +86,18 @@
         return {base: tuple(adapters) for base, adapters in by_base.items()}
 
     @cached_property
-    def _placed(self) -> dict[str, list[tuple[str, Charge]]]:
-        """Target and charge of every unit."""
-        placed: defaultdict[str, list[tuple[str, Charge]]] = defaultdict(list)
+    def _placements(self) -> dict[str, list[tuple[str, Charge]]]:
+        """Targets and charges of each unit."""
+        placements: defaultdict[str, list[tuple[str, Charge]]] = defaultdict(list)
         for name, row in self.rows.items():
             for charge in row.charges:
-                placed[charge.unit].append((name, charge))
-        return dict(placed)
+                placements[charge.unit].append((name, charge))
+        return dict(placements)
 
     @cached_property
     def _units_by_name(self) -> dict[str, list[str]]:
         by_name: defaultdict[str, list[str]] = defaultdict(list)
-        for unit in self._placed:
+        for unit in self._placements:
             by_name[unit.rpartition("@")[0]].append(unit)
         return dict(by_name)
 
--- a/packages/runhatch-server/src/runhatch_server/placement/_store.py
+++ b/packages/runhatch-server/src/runhatch_server/placement/_store.py
@@ -1,4 +1,4 @@
-"""Ledger rows in the table, written only under the shard's lease."""
+"""Stores ledger rows in the table; writes require the shard's lease."""
 
 from dataclasses import dataclass
 
@@ -32,10 +32,10 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionedRow:
-    """A ledger row, the version it was read or written at, and the table's era then.
+    """A ledger row with its version and the table's era when read or written.
 
-    Versions are counted again when the table comes back from an older copy, and
-    rows may be missing in it; so the era is part of what orders are fenced by.
+    When the table is restored from an older copy, versions repeat and rows may be
+    missing; therefore the fencing numbers of orders include the era.
     """
 
     row: LedgerRow
@@ -44,7 +44,7 @@
 
     @property
     def next_order(self) -> int:
-        """The fencing number of orders recorded by the next write."""
+        """Fencing number of the orders recorded by the next write."""
         return fence_of(self.era, number_of(StoreVersion(self.version)) + 1)
 
 
@@ -55,7 +55,7 @@
 
 
 class LedgerStore:
-    """The ledger of one shard."""
+    """Reads and writes the ledger of one shard."""
 
     def __init__(self, table: Table, shard: str, writer: str) -> None:
         self._table = table
@@ -63,11 +63,11 @@
         self._writer = writer
 
     def empty_row(self, target: str, capacity_mb: int) -> VersionedRow:
-        """Return the row of a target that has none in the table as it was read."""
+        """Return an empty row for a target that has none in the table."""
         return VersionedRow(LedgerRow(target, capacity_mb), ABSENT, self._era())
 
     def read_all(self) -> tuple[VersionedRow, ...] | Unavailable:
-        """Return all rows of the shard."""
+        """Return all rows of the shard, ``Unavailable`` if they cannot be read."""
         rows: QueryOutcome = self._table.query(self._partition)
         if isinstance(rows, Unavailable):
             return rows
@@ -76,10 +76,11 @@
     def write(
         self, row: LedgerRow, before: VersionedRow, epoch: Epoch
     ) -> VersionedRow | Conflict | Unavailable | Unknown:
-        """Replace the row ``before`` if the lease is still held.
+        """Replace the row ``before`` by ``row`` if the lease ``epoch`` is still held.
 
-        Asserts that the charges fit before anything is sent.  What was numbered in
-        an earlier era is not to be ordered, even if it was written in this one.
+        Raises ``InvariantError`` before writing if the charges do not fit.  Returns
+        ``Unknown`` if the table was restored meanwhile: orders numbered in an earlier
+        era must not be sent, even if the row was written.
         """
         row.check()
         body = msgspec.json.encode(_Body(row, f"{self._writer}:{epoch.number}"))
@@ -88,19 +89,24 @@
         if not isinstance(outcome, Committed):
             return outcome
         if self._era() != before.era:
-            return Unknown("the table came back from an older copy meanwhile")
+            return Unknown("the table was restored from an older copy during the write")
         count = number_of(StoreVersion(before.version)) + 1
         return VersionedRow(row, store_version(before.era, count), before.era)
 
     def _era(self) -> int:
-        """Return the table's era, which reading it has told."""
+        """Return the table's era, known after the first read.
+
+        Raises ``InvariantError`` before that.
+        """
         era = self._table.era
         if era is None:
-            raise InvariantError("no order is numbered before the era is known")
+            raise InvariantError(
+                "orders cannot be numbered before the table's era is known"
+            )
         return era
 
 
 def decode_row(row: Row) -> VersionedRow:
-    """Decode a row of the table."""
+    """Return the ledger row and version stored in a row of the table."""
     body = msgspec.json.decode(row.body, type=_Body)
     return VersionedRow(body.row, row.version, era_of(StoreVersion(row.version)))
