--- a/packages/runhatch-server/src/runhatch_server/placement/_draft.py
+++ b/packages/runhatch-server/src/runhatch_server/placement/_draft.py
@@ -1,4 +1,4 @@
-"""A plan in the making: actions so far, and the rows as they would become."""
+"""A plan under construction: its actions and the ledger rows they result in."""
 
 from collections.abc import Sequence
 
@@ -17,10 +17,10 @@
 
 
 class Draft:
-    """Collects actions that together fit the ledger as it stands.
+    """Collects actions that together fit the current ledger.
 
-    A load for which memory must first be freed comes in a later plan, after the
-    retirement it asks for.
+    If memory must be freed for a load, this plan has only the retirement; a later
+    plan has the load.
     """
 
     def __init__(self, state: PoolState) -> None:
@@ -30,14 +30,14 @@
         self.actions: list[Action] = []
 
     def add(self, load: LoadUnit) -> None:
-        """Take ``load`` into the plan."""
+        """Add ``load`` to the plan and its charge to the target's row."""
         self.rows[load.target] = self.rows[load.target].with_charge(load.charge())
         self.actions.append(load)
 
     def load_on(
         self, target: str, model: ModelSpec, urgency: Urgency, reason: str
     ) -> None:
-        """Load ``model`` on ``target``, which has room."""
+        """Add a load of ``model`` on ``target``, which must have enough free memory."""
         self.add(
             LoadUnit(
                 target,
@@ -50,7 +50,7 @@
         )
 
     def retire(self, target: str, unit: str, reason: str) -> None:
-        """Retire a unit, unless it is going already."""
+        """Retire ``unit`` unless it is absent or already being unloaded."""
         charge = self.rows[target].find(unit)
         if charge is None or charge.state is ChargeState.UNLOADING:
             return
@@ -58,11 +58,11 @@
         self.actions.append(RetireUnit(target, unit, reason))
 
     def needed_mb(self, model: ModelSpec) -> int:
-        """Return what must be free to load ``model``."""
+        """Return the free memory that loading ``model`` takes, adapters included."""
         return self.state.footprint_mb(model) + model.loading_peak_mb
 
     def targets_for(self, model: ModelSpec) -> list[str]:
-        """Return the targets that may take a load of ``model`` now."""
+        """Return the targets that accept loads, lack ``model`` and do not ban it."""
         return [
             name
             for name, row in self.rows.items()
@@ -78,19 +78,22 @@
         reason: str,
         targets: Sequence[str] | None = None,
     ) -> bool:
-        """Load ``model`` on the best target with room; false if there is none."""
+        """Load ``model`` on the best target with enough free memory.
+
+        Return false if no target has it.  ``targets`` restricts the choice.
+        """
         needed = self.needed_mb(model)
         allowed = self.targets_for(model) if targets is None else targets
         hosts = [name for name in allowed if self.rows[name].free_mb >= needed]
         if not hosts:
             return False
-        domains = self._domains_of(model)
+        domains = self._failure_domains(model)
         best = min(hosts, key=lambda name: self._placement_order(name, domains))
         self.load_on(best, model, urgency, reason)
         return True
 
     def serves(self, target: str, unit: str) -> bool:
-        """Whether ``unit`` serves there and is not retired by this plan."""
+        """Whether ``unit`` serves on ``target`` and this plan does not retire it."""
         charge = self.rows[target].find(unit)
         return charge is not None and charge.state is ChargeState.SERVING
 
@@ -100,7 +103,7 @@
         return all(self.serves(target, unit) for unit in units)
 
     def may_retire(self, model: ModelSpec, target: str) -> bool:
-        """Whether enough other replicas serve, so that this one may go."""
+        """Whether the replica on ``target`` is unpinned and enough others serve."""
         if (model.name, target) in self.state.pins:
             return False
         others = [
@@ -113,7 +116,7 @@
         return len(others) >= model.min_replicas
 
     def unloading_mb(self, target: str) -> int:
-        """Return what is being unloaded from ``target``."""
+        """Return the memory of the units being unloaded from ``target``."""
         return sum(
             charge.held_mb
             for charge in self.rows[target].charges
@@ -121,9 +124,10 @@
         )
 
     def victims(self, target: str, lacking: int) -> list[ModelSpec] | None:
-        """Return surplus replicas that free ``lacking`` MB, ``None`` if too few.
+        """Return surplus replicas whose removal frees ``lacking`` MB.
 
-        What is being unloaded already counts; those with the least work go first.
+        Those with the least work come first.  Memory of units already being unloaded
+        counts as freed.  Return ``None`` if all surplus replicas free too little.
         """
         freed = self.unloading_mb(target)
         surplus = [
@@ -143,13 +147,14 @@
     def _placement_order(
         self, target: str, domains: frozenset[str]
     ) -> tuple[bool, float, int]:
-        """Another failure domain first, then the least utilised, then the emptiest."""
-        same = self.state.target(target).failure_domain in domains
-        # Coarse steps, so that memory decides between targets about as busy.
-        busy = round(self.balance.utilisation(target), 1)
-        return same, busy, -self.rows[target].free_mb
-
-    def _domains_of(self, model: ModelSpec) -> frozenset[str]:
+        """Return the sort key: new failure domain, low utilisation, free memory."""
+        is_shared = self.state.target(target).failure_domain in domains
+        # Rounded, so that free memory decides between similarly utilised targets.
+        utilisation = round(self.balance.utilisation(target), 1)
+        return is_shared, utilisation, -self.rows[target].free_mb
+
+    def _failure_domains(self, model: ModelSpec) -> frozenset[str]:
+        """Return the failure domains in which ``model`` is present."""
         hosts = self.state.hosts(model.unit, *PRESENT)
-        known = [host for host in hosts if host in self.balance.capacities]
-        return frozenset(self.state.target(h).failure_domain for h in known)
+        declared = [host for host in hosts if host in self.balance.capacities]
+        return frozenset(self.state.target(h).failure_domain for h in declared)
--- a/packages/runhatch-server/src/runhatch_server/placement/_planner.py
+++ b/packages/runhatch-server/src/runhatch_server/placement/_planner.py
@@ -1,9 +1,9 @@
-"""Deciding which units to load and which to retire in one pool.
+"""Decides which units to load and which to retire in one pool.
 
-Reachability first: what is declared and not resident is loaded, a version is made
-before the old one is broken, and the last replica is never retired.  After that a
-replica is added where the requests in time it wins over the horizon exceed the
-price of the moves it costs; a replica is retired only to make room.
+Reachability comes first: missing declared units are loaded, an old version is retired
+only after the new one serves, and the last replica is never retired.  Then a replica
+is added where the number of additional requests answered in time within the horizon
+exceeds the cost of the moves; surplus replicas are retired only to free memory.
 """
 
 from runhatch_server.configuration import ModelSpec
@@ -21,7 +21,7 @@
 
 
 def plan(state: PoolState) -> list[Action]:
-    """Return what to do now; the actions together fit the ledger as it stands."""
+    """Return actions that together fit the current ledger."""
     draft = Draft(state)
     keep_reachable(draft)
     load_adapters(draft)
@@ -32,7 +32,7 @@
 
 
 def explain(state: PoolState, model: ModelSpec) -> list[str]:
-    """Return lines that tell where ``model`` is, and what speaks for changes."""
+    """Return lines on the replicas of ``model`` and the next actions with reasons."""
     spread: Spread = balance(state)
     work = state.work.get(model.name, 0.0)
     lines = [f"expected work: {work:.2f} concurrent requests"]
@@ -40,10 +40,10 @@
         charge = row.find(model.unit)
         if charge is None:
             continue
-        busy = spread.utilisation(name) if name in spread.capacities else 0.0
+        utilisation = spread.utilisation(name) if name in spread.capacities else 0.0
         lines.append(
             f"{name}: {charge.state.value}, {charge.held_mb} MB, "
-            f"target at {busy:.0%} of its concurrency"
+            f"target at {utilisation:.0%} of its concurrency"
         )
     for action in plan(state):
         if action.unit == model.unit:
--- a/packages/runhatch-server/src/runhatch_server/placement/_reachability.py
+++ b/packages/runhatch-server/src/runhatch_server/placement/_reachability.py
@@ -1,4 +1,4 @@
-"""Keeping every declared model, version and adapter resident."""
+"""Keeps every declared model, version and adapter resident, and retires others."""
 
 from collections.abc import Iterator, Sequence
 
@@ -9,18 +9,18 @@
 
 
 def keep_reachable(draft: Draft) -> None:
-    """Load what has too few replicas, those with none first, then pins."""
-    needs = sorted(_missing(draft), key=lambda need: need[0])
-    for urgency, model, reason in needs:
+    """Load models with too few replicas, those without any first, then pins."""
+    missing = sorted(_missing_models(draft), key=lambda entry: entry[0])
+    for urgency, model, reason in missing:
         if not draft.load_somewhere(model, urgency, reason):
-            _make_room(draft, model, draft.targets_for(model))
+            _free_memory(draft, model, draft.targets_for(model))
     for model, target in _missing_pins(draft):
         if not draft.load_somewhere(model, Urgency.TOO_FEW, "pinned", [target]):
-            _make_room(draft, model, [target])
+            _free_memory(draft, model, [target])
 
 
 def load_adapters(draft: Draft) -> None:
-    """Load missing adapters wherever their base serves."""
+    """Load missing adapters on all targets on which their base serves."""
     for model in draft.state.models:
         for host in draft.state.hosts(model.unit, ChargeState.SERVING):
             for adapter in draft.state.adapters_of(model):
@@ -42,7 +42,7 @@
 
 
 def retire_obsolete(draft: Draft) -> None:
-    """Retire what is undeclared, replaced, banned, or on a target that goes."""
+    """Retire units that are undeclared, replaced, banned or on a closed target."""
     state = draft.state
     declared = {model.unit for model in state.models}
     declared |= {adapter.unit for adapter in state.adapters}
@@ -55,7 +55,8 @@
     _retire_banned(draft)
 
 
-def _missing(draft: Draft) -> Iterator[tuple[Urgency, ModelSpec, str]]:
+def _missing_models(draft: Draft) -> Iterator[tuple[Urgency, ModelSpec, str]]:
+    """Yield urgency, model and reason for each model with too few replicas."""
     state = draft.state
     for model in state.models:
         hosts = state.hosts(model.unit, *PRESENT)
@@ -70,6 +71,7 @@
 
 
 def _missing_pins(draft: Draft) -> Iterator[tuple[ModelSpec, str]]:
+    """Yield model and target of each pin without a charge."""
     models = {model.name: model for model in draft.state.models}
     for name, target in sorted(draft.state.pins):
         model = models.get(name)
@@ -80,8 +82,12 @@
             yield model, target
 
 
-def _make_room(draft: Draft, needing: ModelSpec, targets: Sequence[str]) -> None:
-    """Retire surplus replicas on that of ``targets`` where the fewest must go."""
+def _free_memory(draft: Draft, needing: ModelSpec, targets: Sequence[str]) -> None:
+    """Free memory for ``needing`` on the target with the fewest retirements.
+
+    If surplus replicas free too little on every target, retire old versions, and
+    otherwise load another model's only replica elsewhere.
+    """
     needed = draft.needed_mb(needing)
     best: tuple[str, list[ModelSpec]] | None = None
     for name in targets:
@@ -90,39 +96,39 @@
             best = name, victims
     if best is not None:
         for model in best[1]:
-            draft.retire(best[0], model.unit, f"room for {needing.name}")
+            draft.retire(best[0], model.unit, f"frees memory for {needing.name}")
         return
     if not _retire_superseded(draft, needing, needed, targets):
-        _relocate(draft, needing, needed)
+        _load_elsewhere(draft, needing, needed)
 
 
 def _retire_superseded(
     draft: Draft, needing: ModelSpec, needed: int, targets: Sequence[str]
 ) -> bool:
-    """Retire replicas of old versions of which another one serves.
+    """Retire old versions of models of which another replica serves.
 
-    Without this a pool full of old versions, none of which may go before its
-    successor serves, never has room for the first successor.
+    Otherwise a pool full of old versions would never have memory for the first new
+    version, because an old one is kept until its new version serves.
     """
     for name in targets:
         lacking = needed - draft.rows[name].free_mb - draft.unloading_mb(name)
         chosen: list[str] = []
-        for charge in _superseded(draft, name):
+        for charge in _superseded_charges(draft, name):
             if lacking <= 0:
                 break
-            if _serves_without(draft, charge.unit, name, chosen):
+            if _is_served_without(draft, charge.unit, name, chosen):
                 chosen.append(charge.unit)
                 lacking -= charge.held_mb
         if lacking > 0:
             continue
         for unit in chosen:
-            draft.retire(name, unit, f"old version, room for {needing.name}")
+            draft.retire(name, unit, f"old version, frees memory for {needing.name}")
         return True
     return False
 
 
-def _superseded(draft: Draft, target: str) -> list[Charge]:
-    """Return the serving charges on ``target`` of models' older versions."""
+def _superseded_charges(draft: Draft, target: str) -> list[Charge]:
+    """Return the serving charges of older model versions on ``target``."""
     older = {pair for m in draft.state.models for pair in draft.state.older_units(m)}
     return [
         charge
@@ -131,21 +137,29 @@
     ]
 
 
-def _serves_without(draft: Draft, unit: str, target: str, gone: Sequence[str]) -> bool:
-    """Whether any version of the unit's model serves beside this replica."""
+def _is_served_without(
+    draft: Draft, unit: str, target: str, removed: Sequence[str]
+) -> bool:
+    """Whether any version of the unit's model serves without this replica.
+
+    ``removed`` are units of ``target`` that do not count.
+    """
     model = unit.rpartition("@")[0]
     return any(
         charge.state is ChargeState.SERVING
         and charge.unit.rpartition("@")[0] == model
-        and not (name == target and charge.unit in (unit, *gone))
+        and not (name == target and charge.unit in (unit, *removed))
         for name, row in draft.rows.items()
         if name not in draft.state.closed
         for charge in row.charges
     )
 
 
-def _relocate(draft: Draft, needing: ModelSpec, needed: int) -> None:
-    """Load a sole replica elsewhere, so that a later plan may retire it here."""
+def _load_elsewhere(draft: Draft, needing: ModelSpec, needed: int) -> None:
+    """Load a model's only replica on another target as well.
+
+    A later plan may then retire it and use its memory for ``needing``.
+    """
     state = draft.state
     for name, row in draft.rows.items():
         if name in state.closed:
@@ -153,10 +167,14 @@
         for model in state.models:
             if not draft.serves(name, model.unit):
                 continue
-            frees = row.free_mb + state.footprint_mb(model) >= needed
-            alone = len(state.hosts(model.unit, *PRESENT)) == 1
-            reason = f"makes room for {needing.name} on {name}"
-            if frees and alone and draft.load_somewhere(model, Urgency.TOO_FEW, reason):
+            frees_enough = row.free_mb + state.footprint_mb(model) >= needed
+            is_only_replica = len(state.hosts(model.unit, *PRESENT)) == 1
+            reason = f"frees memory for {needing.name} on {name}"
+            if (
+                frees_enough
+                and is_only_replica
+                and draft.load_somewhere(model, Urgency.TOO_FEW, reason)
+            ):
                 return
 
 
@@ -166,17 +184,21 @@
     charge: Charge,
     replaced: dict[tuple[str, str], ModelSpec],
 ) -> None:
-    if charge.base and not _adapter_replaced(draft, charge.unit):
+    """Retire an undeclared unit unless it is an old version still in use.
+
+    ``replaced`` maps target and unit of old versions to the declared model.
+    """
+    if charge.base and not _is_adapter_replaced(draft, charge.unit):
         return
     model = replaced.get((target, charge.unit))
-    if model is not None and not _replaced(draft, model):
+    if model is not None and not _is_replaced(draft, model):
         return
-    why = "not declared" if model is None else f"{model.unit} serves"
-    draft.retire(target, charge.unit, why)
+    reason = "not declared" if model is None else f"{model.unit} serves"
+    draft.retire(target, charge.unit, reason)
 
 
-def _replaced(draft: Draft, model: ModelSpec) -> bool:
-    """Whether the new version serves, with its adapters, somewhere."""
+def _is_replaced(draft: Draft, model: ModelSpec) -> bool:
+    """Whether the new version and its adapters serve on a reachable target."""
     hosts = draft.state.hosts(model.unit, ChargeState.SERVING)
     return any(
         host not in draft.state.silent and draft.is_complete(host, model)
@@ -184,8 +206,8 @@
     )
 
 
-def _adapter_replaced(draft: Draft, unit: str) -> bool:
-    """Whether the adapter is declared no more, or its new version serves."""
+def _is_adapter_replaced(draft: Draft, unit: str) -> bool:
+    """Whether the adapter is no longer declared or its new version serves."""
     name = unit.rpartition("@")[0]
     declared = [a.unit for a in draft.state.adapters if a.name == name]
     if not declared:
@@ -194,19 +216,20 @@
 
 
 def _retire_from_closed(draft: Draft) -> None:
-    """Empty targets that are to go, once their models serve elsewhere."""
+    """Retire models from closed, reachable targets once enough others serve."""
     for name in draft.state.closed - draft.state.silent:
         row = draft.state.rows.get(name)
         if row is None:
             continue
         for model in draft.state.models:
             if row.find(model.unit) is not None and draft.may_retire(model, name):
-                draft.retire(name, model.unit, "the target takes no new work")
+                draft.retire(name, model.unit, "the target accepts no new work")
 
 
 def _retire_banned(draft: Draft) -> None:
+    """Retire models from targets on which they are banned."""
     for model in draft.state.models:
         for host in draft.state.hosts(model.unit, ChargeState.SERVING):
             banned = (model.name, host) in draft.state.bans
             if banned and draft.may_retire(model, host):
-                draft.retire(host, model.unit, "an operator wants it gone")
+                draft.retire(host, model.unit, "banned by an operator")
--- a/packages/runhatch-server/src/runhatch_server/placement/_value.py
+++ b/packages/runhatch-server/src/runhatch_server/placement/_value.py
@@ -1,4 +1,4 @@
-"""Adding replicas that win more requests in time than their moves cost."""
+"""Adds replicas whose additional requests in time exceed the cost of the moves."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -9,11 +9,11 @@
 from runhatch_server.placement._draft import PRESENT, Draft
 
 MAX_ADDITIONS = 2
-"""Replicas added for value in one plan; the next sees what they did."""
+"""Replicas added per plan; the next plan takes their effect into account."""
 FULL = 0.95
-"""Share of a target's concurrency that a new replica may fill."""
+"""Share of a target's concurrency up to which a new replica may load it."""
 LEAST_DIFFERENCE = 0.15
-"""A replica moves work only to targets by so much less utilised."""
+"""Minimum difference in utilisation for moving work to another target."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,41 +25,47 @@
 
 
 def add_for_value(draft: Draft) -> None:
-    """Add the replicas that win the most beyond their price."""
+    """Add the replicas with the highest value above their cost."""
     for _ in range(MAX_ADDITIONS):
-        best = max(_candidates(draft), key=lambda found: found.value, default=None)
+        best = max(
+            _candidates(draft), key=lambda candidate: candidate.value, default=None
+        )
         if best is None:
             return
         if best.evicted:
             for model in best.evicted:
-                reason = f"room for {best.model.name}"
+                reason = f"frees memory for {best.model.name}"
                 draft.retire(best.target, model.unit, reason)
             return
-        reason = f"wins {best.value:.0f} requests in time beyond its price"
+        reason = f"adds {best.value:.0f} requests in time above its cost"
         draft.load_on(best.target, best.model, Urgency.VALUE, reason)
 
 
 def _candidates(draft: Draft) -> Iterator[_Candidate]:
+    """Yield all additions of one replica with a positive value."""
     policy = draft.state.policy
     for model in draft.state.models:
-        relief, busiest = _relief(draft, model)
-        if relief <= 0 or _is_loading(draft, model):
+        overload, max_utilisation = _overload(draft, model)
+        if overload <= 0 or _is_loading(draft, model):
             continue
         for target in draft.targets_for(model):
-            if draft.balance.utilisation(target) > busiest - LEAST_DIFFERENCE:
+            if draft.balance.utilisation(target) > max_utilisation - LEAST_DIFFERENCE:
                 continue
             evicted = _evictions(draft, model, target)
             if evicted is None:
                 continue
-            won = _won(draft, target, relief, evicted)
-            gained = won / model.service_seconds * policy.horizon_seconds
+            absorbed = _absorbed_work(draft, target, overload, evicted)
+            gained = absorbed / model.service_seconds * policy.horizon_seconds
             value = gained - policy.move_price * (1 + len(evicted))
             if value > 0:
                 yield _Candidate(model, target, value, evicted)
 
 
-def _relief(draft: Draft, model: ModelSpec) -> tuple[float, float]:
-    """Return the model's part of overload, and its busiest host's utilisation."""
+def _overload(draft: Draft, model: ModelSpec) -> tuple[float, float]:
+    """Return the model's overload and the utilisation of its busiest host.
+
+    The overload is in concurrent requests.
+    """
     high = draft.state.policy.high_utilisation
     spread = draft.balance
     hosts = [
@@ -67,11 +73,11 @@
         for name in draft.state.hosts(model.unit, *PRESENT)
         if name in spread.loads and name not in draft.state.closed
     ]
-    relief = sum(
+    overload = sum(
         min(spread.share(model.name, host), spread.overload(host, high))
         for host in hosts
     )
-    return relief, max((spread.utilisation(host) for host in hosts), default=0.0)
+    return overload, max((spread.utilisation(host) for host in hosts), default=0.0)
 
 
 def _is_loading(draft: Draft, model: ModelSpec) -> bool:
@@ -84,42 +90,47 @@
 def _evictions(
     draft: Draft, model: ModelSpec, target: str
 ) -> tuple[ModelSpec, ...] | None:
-    """Return what must go first, ``None`` if that cannot be."""
+    """Return the replicas to evict first, ``None`` if evictions cannot free enough."""
     lacking = draft.needed_mb(model) - draft.rows[target].free_mb
     if lacking <= 0:
         return ()
     victims = draft.victims(target, lacking)
     if not victims:
-        # Too little can go, or enough is going and the next plan will load.
+        # Either too little can be evicted, or units being unloaded free enough and
+        # the next plan loads the model.
         return None
-    if all(_has_stayed(draft, target, victim) for victim in victims):
+    if all(_is_past_min_residence(draft, target, victim) for victim in victims):
         return tuple(victims)
     return None
 
 
-def _has_stayed(draft: Draft, target: str, model: ModelSpec) -> bool:
+def _is_past_min_residence(draft: Draft, target: str, model: ModelSpec) -> bool:
+    """Whether the replica has been present for the minimum residence time."""
     age = draft.state.ages.get((target, model.unit), timedelta())
     return age.total_seconds() >= draft.state.policy.min_residence_seconds
 
 
-def _won(
-    draft: Draft, target: str, relief: float, evicted: tuple[ModelSpec, ...]
+def _absorbed_work(
+    draft: Draft, target: str, overload: float, evicted: tuple[ModelSpec, ...]
 ) -> float:
-    """Return the concurrent requests won, less those the evicted would lose."""
+    """Return the concurrent requests that a replica on ``target`` takes over.
+
+    Requests that the evicted replicas can no longer serve are subtracted.
+    """
     spread = draft.balance
     freed = sum(spread.share(model.name, target) for model in evicted)
-    room = spread.headroom(target, FULL) + freed
-    lost = sum(_lost(draft, model, target) for model in evicted)
-    return min(relief, room) - lost
+    headroom = spread.headroom(target, FULL) + freed
+    lost = sum(_lost_work(draft, model, target) for model in evicted)
+    return min(overload, headroom) - lost
 
 
-def _lost(draft: Draft, model: ModelSpec, target: str) -> float:
-    """Return the work of ``model`` on ``target`` that its other hosts cannot take."""
+def _lost_work(draft: Draft, model: ModelSpec, target: str) -> float:
+    """Return the work of ``model`` on ``target`` beyond its other hosts' headroom."""
     spread = draft.balance
     others = [
         host
         for host in draft.state.hosts(model.unit, *PRESENT)
         if host != target and host in spread.loads
     ]
-    room = sum(spread.headroom(host, FULL) for host in others)
-    return max(0.0, spread.share(model.name, target) - room)
+    headroom = sum(spread.headroom(host, FULL) for host in others)
+    return max(0.0, spread.share(model.name, target) - headroom)
