--- a/packages/runhatch-server/src/runhatch_server/placement/_reconcile.py
+++ b/packages/runhatch-server/src/runhatch_server/placement/_reconcile.py
@@ -1,9 +1,9 @@
-"""Comparing one target's charges with its report: what to change, what to order.
+"""Compares one target's charges with its report and derives changes and orders.
 
-The clever part is knowing when an order can no longer take effect.  An engine that
-refuses old fencing numbers is closed to earlier orders as soon as it reports a
-higher number.  One that ignores them is closed only when the longest order delay
-and report lag have passed since the last order was sent.
+A charge is removed only when no earlier order can load the unit any more; otherwise
+its memory could be used twice.  An engine that refuses old fencing numbers rejects
+earlier orders once it reports a higher number.  For an engine that ignores them, the
+maximum order delay and report lag must have passed since the last order was sent.
 """
 
 from collections.abc import Mapping
@@ -21,15 +21,15 @@
 
 RESEND_AFTER = timedelta(seconds=3)
 RETIRE_GRACE = timedelta(seconds=3)
-"""Time for nodes to stop routing to a unit before it is unloaded."""
+"""Time in which nodes stop routing to a unit before it is unloaded."""
 
 
 @dataclass(slots=True)
 class UnitTimes:
-    """When, on the holder's clock, things happened to one charge.
+    """Times of one charge's last state change and last order, by the holder's clock.
 
-    A new holder starts them at its takeover, which is later than any order of
-    the last holder and so on the safe side.
+    A new lease holder sets both to the time of its takeover, which is later than any
+    order of the previous holder, so it never waits too short a time.
     """
 
     since: timedelta
@@ -39,9 +39,9 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetView:
-    """What the holder knows of one target at one moment.
+    """The lease holder's data on one target at time ``now``.
 
-    ``report_started`` is when the reading of the report began.
+    ``report_started`` is the time at which the report was requested.
     """
 
     spec: TargetSpec
@@ -52,7 +52,12 @@
 
 @dataclass(slots=True)
 class Reconciled:
-    """The row as it should be written, and orders to send once it is."""
+    """The row to write, the orders to send after that, and permits.
+
+    ``permits_wanted`` are charges that need a permit to be loaded, ``permits_done``
+    units whose permits can be returned.  ``unaccounted`` units are loaded on the
+    engine but do not fit into the row.
+    """
 
     row: LedgerRow
     orders: list[Order] = field(default_factory=list)
@@ -68,32 +73,35 @@
     next_order: int,
     permitted: frozenset[str],
 ) -> Reconciled:
-    """Return what the report asks to change in ``row``.
+    """Return the changes of ``row`` and the orders that follow from the report.
 
-    ``next_order`` numbers all orders that the next write of the row records.
-    ``permitted`` are the units whose loads may be sent to the engine.
+    ``next_order`` is the number of all orders recorded by the next write of the row.
+    ``permitted`` are the units whose load orders may be sent to the engine.
     """
     result = Reconciled(row)
     for charge in row.charges:
-        timing = times[charge.unit]
+        unit_times = times[charge.unit]
         if charge.base and not _base_stays(row, charge):
-            # It goes with its base.
+            # An adapter is removed together with its base.
             continue
         match charge.state:
             case ChargeState.LOADING:
-                _reconcile_loading(result, charge, view, timing, next_order, permitted)
+                _reconcile_loading(
+                    result, charge, view, unit_times, next_order, permitted
+                )
             case ChargeState.SERVING:
                 if not view.report.holds(charge.unit):
-                    # The engine restarted or dropped it; load it again.
+                    # The engine restarted or dropped the unit; reload it.
                     lost = charge.lost(peak_mb=0)
                     result.row = result.row.with_charge(lost)
             case ChargeState.UNLOADING:
-                _reconcile_unloading(result, charge, view, timing, next_order)
+                _reconcile_unloading(result, charge, view, unit_times, next_order)
     _adopt_unknown(result, view)
     return result
 
 
 def _base_stays(row: LedgerRow, adapter: Charge) -> bool:
+    """Whether the adapter's base is charged and not being unloaded."""
     base = row.find(adapter.base)
     return base is not None and base.state is not ChargeState.UNLOADING
 
@@ -102,19 +110,20 @@
     result: Reconciled,
     charge: Charge,
     view: TargetView,
-    timing: UnitTimes,
+    unit_times: UnitTimes,
     next_order: int,
     permitted: frozenset[str],
 ) -> None:
+    """Confirm a load, request its permit, or send its order (again)."""
     if view.report.holds(charge.unit):
         result.row = result.row.with_charge(charge.serving())
         result.permits_done.add(charge.unit)
         return
     if charge.unit in view.report.loading:
         return
-    waited = view.now - timing.last_order
+    waited = view.now - unit_times.last_order
     lag = timedelta(seconds=view.spec.max_report_lag_seconds)
-    if timing.sent and waited < RESEND_AFTER + lag:
+    if unit_times.sent and waited < RESEND_AFTER + lag:
         return
     if charge.base and not view.report.holds(charge.base):
         return
@@ -139,22 +148,23 @@
     result: Reconciled,
     charge: Charge,
     view: TargetView,
-    timing: UnitTimes,
+    unit_times: UnitTimes,
     next_order: int,
 ) -> None:
+    """Order an unload, repeat the order, or remove the charge of an unloaded unit."""
     if charge.order == NOT_ORDERED:
-        if view.now - timing.since >= RETIRE_GRACE:
+        if view.now - unit_times.since >= RETIRE_GRACE:
             _order_unload(result, charge, next_order)
         return
-    if _is_gone(charge, view, timing):
+    if _is_unloaded(charge, view, unit_times):
         adapters = [c.unit for c in result.row.charges if c.base == charge.unit]
         if not any(view.report.holds(unit) for unit in adapters):
             result.row = result.row.without([charge.unit, *adapters])
             result.permits_done |= {charge.unit, *adapters}
         return
-    seen = view.report.holds(charge.unit) or charge.unit in view.report.loading
+    is_present = view.report.holds(charge.unit) or charge.unit in view.report.loading
     unfenced = view.report.fence < charge.order
-    if (seen or unfenced) and view.now - timing.last_order >= RESEND_AFTER:
+    if (is_present or unfenced) and view.now - unit_times.last_order >= RESEND_AFTER:
         _order_unload(result, charge, next_order)
 
 
@@ -163,25 +173,25 @@
     result.orders.append(Order(OrderKind.UNLOAD, charge.unit, next_order))
 
 
-def _is_gone(charge: Charge, view: TargetView, timing: UnitTimes) -> bool:
-    """Whether the unit is unloaded and no order can load it any more."""
+def _is_unloaded(charge: Charge, view: TargetView, unit_times: UnitTimes) -> bool:
+    """Whether the unit is unloaded and no earlier order can load it again."""
     if view.report.holds(charge.unit) or charge.unit in view.report.loading:
         return False
     if view.spec.fencing is Fencing.REFUSES:
         return view.report.fence >= charge.order
-    longest = timedelta(
+    max_delay = timedelta(
         seconds=view.spec.max_order_delay_seconds + view.spec.max_report_lag_seconds
     )
-    return view.report_started - timing.last_order >= longest
+    return view.report_started - unit_times.last_order >= max_delay
 
 
 def _adopt_unknown(result: Reconciled, view: TargetView) -> None:
-    """Charge what the engine holds without a charge, so that it is unloaded."""
+    """Add charges for loaded units that have none, so that they are unloaded."""
     for loaded in view.report.units:
         if result.row.find(loaded.unit) is not None:
             continue
-        stray = Charge(loaded.unit, loaded.memory_mb, 0, ChargeState.UNLOADING)
+        unknown = Charge(loaded.unit, loaded.memory_mb, 0, ChargeState.UNLOADING)
         if result.row.free_mb < loaded.memory_mb:
             result.unaccounted.append(loaded)
             continue
-        result.row = result.row.with_charge(stray)
+        result.row = result.row.with_charge(unknown)
