--- a/packages/runhatch-server/src/runhatch_server/placement/_service.py
+++ b/packages/runhatch-server/src/runhatch_server/placement/_service.py
@@ -1,4 +1,4 @@
-"""The placement side of one node: leases, planners, and the picture's backstop."""
+"""Placement on one node: leases of pools, their planners, and ledger reads."""
 
 import threading
 from collections.abc import Callable
@@ -28,18 +28,20 @@
 
 REPORT_WORKERS = 8
 CANDIDATES = 3
-"""Nodes that watch a pool's lease; they are replaced when suspected."""
+"""Number of nodes that watch a pool's lease; suspected ones are replaced."""
 WORKERS_A_SECOND = 8
-"""Workers that a planner reads and plans for a second, so that a large pool
-costs its holder no more of a core than a small one."""
+"""Targets per second that a planner reads and plans for.
+
+A large pool thus uses no larger share of a core than a small one.
+"""
 WEIGHT_STORE = "weight-store"
 
 
 class PlacementService:
-    """Holds the planning leases that fall to this node, and plans under them.
+    """Acquires planning leases for this node and plans the pools it holds.
 
     One task calls :meth:`watch_leases` and another :meth:`plan_pools`, so that
-    engines which do not answer cannot make a holder miss its renewal.
+    unresponsive engines cannot delay the renewal of a lease.
     """
 
     def __init__(
@@ -62,17 +64,17 @@
         self._executor = ThreadPoolExecutor(REPORT_WORKERS, thread_name_prefix="report")
         self._leases: dict[str, Lease] = {}
         self._planners: dict[str, ShardPlanner] = {}
-        self._due: dict[str, timedelta] = {}
-        self._known: dict[str, LeaseRecord] = {}
-        self._known_lock = threading.Lock()
+        self._next_rounds: dict[str, timedelta] = {}
+        self._lease_records: dict[str, LeaseRecord] = {}
+        self._records_lock = threading.Lock()
         self._epochs: dict[str, int] = {}
         self._lease_lock = threading.Lock()
         self._stopping = False
         self.leaving: frozenset[str] = frozenset()
-        """VMs that the platform's list says are leaving."""
+        """VMs that the platform lists as draining."""
 
     def watch_leases(self, deployment: Deployment) -> None:
-        """Renew or challenge the leases that this node is to watch."""
+        """Renew or try to acquire the leases that this node watches."""
         with self._lease_lock:
             if self._stopping:
                 return
@@ -82,12 +84,15 @@
             self._metrics.shards.set(held)
 
     def plan_pools(self, deployment: Deployment) -> None:
-        """Make one round for each pool whose lease is held and that is due."""
+        """Run a planning round for each pool that is due and whose lease is held."""
         for pool in deployment.pools:
             self._plan_pool(deployment, pool)
 
     def refresh(self, deployment: Deployment) -> None:
-        """Read the ledgers of pools planned elsewhere, for the picture."""
+        """Read the ledgers of pools planned by other nodes and pass their hostings on.
+
+        This makes up for lost notifications between nodes.
+        """
         for pool in deployment.pools:
             lease = self._leases.get(pool.name)
             if lease is not None and lease.held() is not None:
@@ -95,11 +100,11 @@
             rows = LedgerStore(self._table, pool.name, "").read_all()
             if isinstance(rows, Unavailable):
                 return
-            for held in rows:
-                self._on_hosting(hosting_of(held))
+            for row in rows:
+                self._on_hosting(hosting_of(row))
 
     def demand(self, counts: dict[str, int], deployment: Deployment) -> None:
-        """Take in demand counts for the pools planned here."""
+        """Add request counts, by model or adapter, for the pools planned here."""
         pools = deployment.pool_by_callable
         for name, count in counts.items():
             planner = self._planners.get(pools.get(name, ""))
@@ -107,17 +112,17 @@
                 planner.demand.add({name: count})
 
     def leases(self) -> dict[str, LeaseRecord]:
-        """Return the newest that is known of each pool's lease."""
-        with self._known_lock:
-            return dict(self._known)
+        """Return the newest known record of each pool's lease."""
+        with self._records_lock:
+            return dict(self._lease_records)
 
     def learn_lease(self, pool: str, record: LeaseRecord) -> bool:
-        """Take in who holds a pool's lease; returns whether it was news."""
-        with self._known_lock:
-            known = self._known.get(pool)
-            if known is not None and known.epoch >= record.epoch:
+        """Record the holder of a pool's lease; return whether its epoch is newer."""
+        with self._records_lock:
+            previous = self._lease_records.get(pool)
+            if previous is not None and previous.epoch >= record.epoch:
                 return False
-            self._known[pool] = record
+            self._lease_records[pool] = record
             return True
 
     def planner(self, pool: str) -> ShardPlanner | None:
@@ -127,7 +132,7 @@
         return self._planners.get(pool) if held else None
 
     def stop(self) -> None:
-        """Give up all leases, so that others need not wait for their end."""
+        """Release all leases, so that other nodes need not wait for their expiry."""
         with self._lease_lock:
             self._stopping = True
             for lease in self._leases.values():
@@ -135,6 +140,7 @@
         self._executor.shutdown(wait=False)
 
     def _watch_lease(self, pool: PoolSpec) -> None:
+        """Renew or try to acquire a pool's lease if this node is a candidate."""
         lease = self._lease(pool)
         ranked = self._candidates(pool.name)
         own = self._membership.own.name
@@ -148,23 +154,24 @@
             self._on_lease(pool.name, lease.record)
 
     def _plan_pool(self, deployment: Deployment, pool: PoolSpec) -> None:
+        """Run a planning round for ``pool`` if it is due and its lease is held."""
         lease = self._leases.get(pool.name)
         epoch = None if lease is None else lease.held()
         planner = self._planner(deployment, pool)
         if epoch is None or epoch.number != self._epochs.get(pool.name):
-            # Whatever was known belongs to an earlier epoch.
+            # The planner's state is from an earlier epoch.
             planner.forget()
             self._epochs[pool.name] = 0 if epoch is None else epoch.number
         if epoch is None:
             return
         now = self._clock.elapsed()
-        if now < self._due.get(pool.name, now):
+        if now < self._next_rounds.get(pool.name, now):
             return
-        self._due[pool.name] = now + round_interval(len(pool.targets))
+        self._next_rounds[pool.name] = now + round_interval(len(pool.targets))
         try:
             planner.step(deployment, pool, epoch, self.leaving)
-        except LedgerLostError as lost:
-            log_change("round_given_up", pool=pool.name, at=str(lost))
+        except LedgerLostError as error:
+            log_change("round_given_up", pool=pool.name, at=str(error))
 
     def _lease(self, pool: PoolSpec) -> Lease:
         lease = self._leases.get(pool.name)
@@ -207,15 +214,15 @@
     def _candidates(self, pool: str) -> list[str]:
         """Return the nodes that watch the pool's lease, the preferred one first.
 
-        All others hear from peers who holds it; were every node to watch every
-        lease, the table's reads would grow with their product.
+        All others learn the holder from their peers.  If every node watched every
+        lease, reads of the table would grow with nodes times pools.
         """
         names = [vm.name for vm in self._membership.alive()]
         return rank(pool, names)[:CANDIDATES]
 
 
 def round_interval(workers: int) -> timedelta:
-    """Return the least time between two rounds for a pool of ``workers``.
+    """Return the minimum time between two rounds for a pool of ``workers`` targets.
 
     >>> round_interval(9).total_seconds(), round_interval(64).total_seconds()
     (1.125, 8.0)
--- a/packages/runhatch-server/src/runhatch_server/placement/_shard.py
+++ b/packages/runhatch-server/src/runhatch_server/placement/_shard.py
@@ -1,4 +1,4 @@
-"""Planning one shard while holding its lease: report, reconcile, plan, order."""
+"""Plans one shard under its lease: reads reports, reconciles, plans, sends orders."""
 
 from collections import defaultdict
 from collections.abc import Callable, Iterable, Mapping
@@ -31,23 +31,23 @@
 from runhatch_server.targets import EngineClient, EngineReport, Order, OrderKind
 
 SILENT_AFTER = timedelta(seconds=10)
-"""A target whose report cannot be read for so long is planned around."""
+"""Time without a readable report after which a target's replicas do not count."""
 
 OnHosting = Callable[[Hosting], None]
 
 
 @dataclass(frozen=True, slots=True)
 class Reading:
-    """One target's report, and when its reading began."""
+    """One target's report and the time at which it was requested."""
 
     started: timedelta
     report: EngineReport | Unavailable
 
 
 class ShardPlanner:
-    """The planner of one pool on the node that holds its lease.
+    """Plans one pool on the node that holds its lease.
 
-    Everything it knows beyond the table is rebuilt after a takeover.
+    State beyond that in the table is rebuilt after a takeover.
     """
 
     def __init__(
@@ -68,11 +68,11 @@
         self._executor = executor
         self._metrics = metrics
         self._on_hosting = on_hosting
-        self._engine = engine
+        self._open_engine = engine
         self._engines: dict[str, EngineClient] = {}
         self._rows: dict[str, VersionedRow] | None = None
         self._times: dict[str, dict[str, UnitTimes]] = defaultdict(dict)
-        self._heard: dict[str, timedelta] = {}
+        self._last_reports: dict[str, timedelta] = {}
         self._urgency: dict[str, Urgency] = {}
         self._permitted: set[tuple[str, str]] = set()
         self._state: PoolState | None = None
@@ -80,18 +80,18 @@
 
     @property
     def state(self) -> PoolState | None:
-        """What the last plan was made from."""
+        """The input of the last plan, ``None`` before the first."""
         return self._state
 
     def rows(self) -> Mapping[str, LedgerRow]:
-        """Return the ledger as this holder last wrote or read it."""
-        return {name: held.row for name, held in (self._rows or {}).items()}
+        """Return the ledger rows as last written or read by this node, by target."""
+        return {name: stored.row for name, stored in (self._rows or {}).items()}
 
     def forget(self) -> None:
-        """Drop all that was known; called when the lease is lost."""
+        """Discard the state of the current epoch; called when the lease is lost."""
         self._rows = None
         self._times.clear()
-        self._heard.clear()
+        self._last_reports.clear()
         self._permitted.clear()
 
     def step(
@@ -101,36 +101,41 @@
         epoch: Epoch,
         leaving: frozenset[str],
     ) -> None:
-        """Make one round under the lease ``epoch``."""
+        """Run one planning round under the lease ``epoch``.
+
+        ``leaving`` are the names of draining VMs.  Raises :class:`LedgerLostError` if
+        a write of the ledger is not confirmed.
+        """
         if self._rows is None and not self._take_over(pool):
             return
-        self._meet_new_targets(pool)
+        self._update_targets(pool)
         readings = self._read_reports(pool)
         wanted: list[tuple[str, Charge]] = []
         for target in pool.targets:
             result = self._reconcile(target, readings[target.name], epoch)
             if result is not None:
                 wanted += [(target.name, charge) for charge in result.permits_wanted]
-        self._ask_for_permits(wanted)
+        self._acquire_permits(wanted)
         self.demand.tick(self._clock.elapsed())
         self._state = self._pool_state(deployment, pool, readings, leaving)
         for action in plan(self._state):
-            self._carry_out(action, epoch)
+            self._record_action(action, epoch)
 
     def _take_over(self, pool: PoolSpec) -> bool:
+        """Read the ledger after a takeover; return false if it is unavailable."""
         rows = self._store.read_all()
         if isinstance(rows, Unavailable):
             return False
-        self._rows = {held.row.target: held for held in rows}
-        for held in rows:
-            self._tell(held)
-            for charge in held.row.charges:
-                self._restart_times(held.row.target, charge.unit)
+        self._rows = {stored.row.target: stored for stored in rows}
+        for stored in rows:
+            self._publish_hosting(stored)
+            for charge in stored.row.charges:
+                self._restart_times(stored.row.target, charge.unit)
         self._return_stale_permits(pool)
         return True
 
     def _return_stale_permits(self, pool: PoolSpec) -> None:
-        """Give back permits of loads that the last holder saw to their end."""
+        """Release permits of loads that ended under the previous lease holder."""
         loading = {
             self._permit_user(name, unit)
             for name, row in self.rows().items()
@@ -145,17 +150,18 @@
         if stale:
             self._permits.release(frozenset(stale))
 
-    def _meet_new_targets(self, pool: PoolSpec) -> None:
-        rows = self._held_rows()
+    def _update_targets(self, pool: PoolSpec) -> None:
+        """Add rows of new targets and apply changed memory capacities."""
+        rows = self._loaded_rows()
         for target in pool.targets:
-            held = rows.get(target.name)
-            if held is None:
+            stored = rows.get(target.name)
+            if stored is None:
                 empty = self._store.empty_row(target.name, target.memory_mb)
                 rows[target.name] = empty
-            elif held.row.used_mb <= target.memory_mb:
-                # Written with the row's next change.
-                resized = replace(held.row, capacity_mb=target.memory_mb)
-                rows[target.name] = replace(held, row=resized)
+            elif stored.row.used_mb <= target.memory_mb:
+                # Stored in the table with the row's next change.
+                resized = replace(stored.row, capacity_mb=target.memory_mb)
+                rows[target.name] = replace(stored, row=resized)
 
     def _read_reports(self, pool: PoolSpec) -> dict[str, Reading]:
         names = [target.name for target in pool.targets]
@@ -169,43 +175,48 @@
     def _client(self, target: TargetSpec) -> EngineClient:
         key = f"{target.name} {target.url}"
         if key not in self._engines:
-            self._engines[key] = self._engine(target.url)
+            self._engines[key] = self._open_engine(target.url)
         return self._engines[key]
 
     def _reconcile(
         self, target: TargetSpec, reading: Reading, epoch: Epoch
     ) -> Reconciled | None:
-        held = self._held_rows()[target.name]
+        """Update a target's row and send orders, as its report requires.
+
+        Return ``None`` if the report is unavailable.
+        """
+        stored = self._loaded_rows()[target.name]
         now = self._clock.elapsed()
-        self._heard.setdefault(target.name, now)
+        self._last_reports.setdefault(target.name, now)
         if isinstance(reading.report, Unavailable):
             return None
-        self._heard[target.name] = now
+        self._last_reports[target.name] = now
         view = TargetView(target, reading.report, reading.started, now)
         permitted = frozenset(
             unit for name, unit in self._permitted if name == target.name
         )
         result = reconcile(
-            held.row, view, self._times[target.name], held.next_order, permitted
+            stored.row, view, self._times[target.name], stored.next_order, permitted
         )
         for loaded in result.unaccounted:
             log_change("unaccounted", target=target.name, unit=loaded.unit)
-        if result.row != held.row:
+        if result.row != stored.row:
             self._write(result.row, epoch)
         self._send(target, result.orders)
         self._return_permits(target.name, result)
         return result
 
     def _return_permits(self, target: str, result: Reconciled) -> None:
-        done = {(target, unit) for unit in result.permits_done}
-        if not done:
+        """Release the permits of loads that have ended."""
+        finished = {(target, unit) for unit in result.permits_done}
+        if not finished:
             return
-        users = frozenset(self._permit_user(*pair) for pair in done)
+        users = frozenset(self._permit_user(*pair) for pair in finished)
         if self._permits.release(users):
-            self._permitted -= done
+            self._permitted -= finished
 
-    def _ask_for_permits(self, wanted: list[tuple[str, Charge]]) -> None:
-        """Ask for all loads that wait, the most urgent first."""
+    def _acquire_permits(self, wanted: list[tuple[str, Charge]]) -> None:
+        """Request permits for all waiting loads, the most urgent first."""
         if not wanted:
             return
         wanted.sort(
@@ -223,11 +234,11 @@
 
     def _send(self, target: TargetSpec, orders: list[Order]) -> None:
         for order in orders:
-            timing = self._times[target.name][order.unit]
-            timing.sent = True
+            unit_times = self._times[target.name][order.unit]
+            unit_times.sent = True
             outcome = self._client(target).give(order)
-            # Taken after sending: the order cannot have left later than this.
-            timing.last_order = self._clock.elapsed()
+            # Read after sending, so that the order was not sent later than this.
+            unit_times.last_order = self._clock.elapsed()
             self._metrics.orders.labels(order.kind.value, outcome.value).inc()
             log_change(
                 "order",
@@ -238,17 +249,18 @@
                 outcome=outcome.value,
             )
 
-    def _carry_out(self, action: Action, epoch: Epoch) -> None:
-        held = self._held_rows()[action.target]
+    def _record_action(self, action: Action, epoch: Epoch) -> None:
+        """Write the charge of ``action`` to the ledger; a later round orders it."""
+        stored = self._loaded_rows()[action.target]
         if isinstance(action, LoadUnit):
             self._urgency[action.unit] = action.urgency
-            row = held.row.with_charge(action.charge())
+            row = stored.row.with_charge(action.charge())
         else:
-            charge = held.row.find(action.unit)
+            charge = stored.row.find(action.unit)
             if charge is None:
                 return
-            self._require_another(action)
-            row = held.row.with_charge(charge.unloading())
+            self._require_other_replica(action)
+            row = stored.row.with_charge(charge.unloading())
         self._write(row, epoch)
         kind = OrderKind.LOAD if isinstance(action, LoadUnit) else OrderKind.UNLOAD
         log_change(
@@ -259,8 +271,8 @@
             reason=action.reason,
         )
 
-    def _require_another(self, action: RetireUnit) -> None:
-        """Assert that a declared model keeps a serving replica."""
+    def _require_other_replica(self, action: RetireUnit) -> None:
+        """Assert that another replica of a declared model serves."""
         state = self._state
         models = () if state is None else state.models
         declared = {model.unit for model in models}
@@ -276,24 +288,28 @@
         require(bool(others), f"the last replica of {action.unit} is never retired")
 
     def _write(self, row: LedgerRow, epoch: Epoch) -> None:
-        """Write ``row``; raises :class:`LedgerLostError` unless it is certain."""
-        rows = self._held_rows()
+        """Write ``row``.
+
+        Raises :class:`LedgerLostError` unless the write is confirmed.
+        """
+        rows = self._loaded_rows()
         before = rows[row.target]
         written = self._store.write(row, before, epoch)
         if not isinstance(written, VersionedRow):
-            # Whatever happened, the table knows better: read it all again.
+            # The row may or may not be written, so the ledger is read again.
             log_change("ledger_write_failed", target=row.target, why=str(written))
             self._rows = None
             raise LedgerLostError(row.target)
         rows[row.target] = written
-        self._note_changes(before.row, row)
-        self._tell(written)
+        self._update_times(before.row, row)
+        self._publish_hosting(written)
 
-    def _note_changes(self, before: LedgerRow, after: LedgerRow) -> None:
+    def _update_times(self, before: LedgerRow, after: LedgerRow) -> None:
+        """Restart the times of changed charges and drop those of removed ones."""
         times = self._times[after.target]
         for charge in after.charges:
-            known = before.find(charge.unit)
-            if known is None or known.state is not charge.state:
+            previous = before.find(charge.unit)
+            if previous is None or previous.state is not charge.state:
                 self._restart_times(after.target, charge.unit)
         for unit in set(times) - {charge.unit for charge in after.charges}:
             del times[unit]
@@ -302,10 +318,10 @@
         now = self._clock.elapsed()
         self._times[target][unit] = UnitTimes(now, now)
 
-    def _tell(self, held: VersionedRow) -> None:
-        self._on_hosting(hosting_of(held))
+    def _publish_hosting(self, stored: VersionedRow) -> None:
+        self._on_hosting(hosting_of(stored))
 
-    def _held_rows(self) -> dict[str, VersionedRow]:
+    def _loaded_rows(self) -> dict[str, VersionedRow]:
         if self._rows is None:
             raise LedgerLostError(self._pool)
         return self._rows
@@ -319,7 +335,9 @@
     ) -> PoolState:
         now = self._clock.elapsed()
         silent = frozenset(
-            name for name, heard in self._heard.items() if now - heard >= SILENT_AFTER
+            name
+            for name, reported in self._last_reports.items()
+            if now - reported >= SILENT_AFTER
         )
         draining = {
             name
@@ -343,22 +361,23 @@
             tuple(a for a in deployment.adapters if a.base in names),
             deployment.policy,
             {name: row for name, row in self.rows().items() if name in declared},
-            self._work(deployment, models),
+            self._expected_work(deployment, models),
             frozenset(closed),
             silent,
             frozenset(unread),
             {
-                (name, unit): now - timing.since
+                (name, unit): now - unit_times.since
                 for name, units in self._times.items()
-                for unit, timing in units.items()
+                for unit, unit_times in units.items()
             },
             frozenset((pin.model, pin.target) for pin in deployment.pins),
             frozenset((ban.model, ban.target) for ban in deployment.bans),
         )
 
-    def _work(
+    def _expected_work(
         self, deployment: Deployment, models: Iterable[ModelSpec]
     ) -> dict[str, float]:
+        """Return the expected concurrent requests of each model."""
         work: dict[str, float] = {}
         for model in models:
             names = [model.name, *(a.name for a in deployment.adapters_of(model.name))]
@@ -368,13 +387,13 @@
 
 
 class LedgerLostError(RunhatchError):
-    """A write failed or the ledger is not loaded; the round is given up."""
+    """A write is unconfirmed or the ledger is not loaded; the round is aborted."""
 
 
 def hosting_of(held: VersionedRow) -> Hosting:
-    """Return what a ledger row tells the serving side.
+    """Return the units that the target of a ledger row serves, for routing.
 
-    An adapter counts only while its base serves.
+    An adapter is included only while its base serves.
     """
     serving = held.row.units(ChargeState.SERVING)
     units = tuple(
