--- a/packages/runhatch-server/src/runhatch_server/placement/_state.py
+++ b/packages/runhatch-server/src/runhatch_server/placement/_state.py
@@ -22,8 +22,8 @@
     """Snapshot of a pool.
 
     ``closed`` are targets whose replicas do not count because the target is drained,
-    draining or silent.  ``silent`` targets have sent no report for some time.  ``unread``
-    targets accept no loads now because their last report could not be read.
+    draining or silent.  ``silent`` targets have sent no report for some time.
+    ``unread`` targets accept no loads now because their last report is missing.
     ``pins`` and ``bans`` are pairs of model and target.  ``work`` is the expected
     number of concurrent requests of each model, ``ages`` the time since the last
     state change of each replica, by target and unit.
