--- a/packages/runhatch-server/src/runhatch_server/peers/__init__.py
+++ b/packages/runhatch-server/src/runhatch_server/peers/__init__.py
@@ -1,4 +1,7 @@
-"""Links between nodes: hints that speed things up, never the truth."""
+"""Links between nodes.
+
+Messages only speed up the spread of state; the store stays authoritative.
+"""
 
 from runhatch_server.peers._broadcast import Broadcaster, Listener
 from runhatch_server.peers._exchange import MemberExchange
--- a/packages/runhatch-server/src/runhatch_server/peers/_messages.py
+++ b/packages/runhatch-server/src/runhatch_server/peers/_messages.py
@@ -1,6 +1,6 @@
-"""Messages between nodes, encoded by msgspec as MessagePack.
+"""Messages between nodes, encoded as MessagePack by msgspec.
 
-One envelope carries many facts, since a message costs far more than its bytes.
+One envelope carries many facts, because the cost per message exceeds that of its bytes.
 """
 
 import zlib
@@ -11,19 +11,21 @@
 from runhatch_coordination import MemberFact, Standing, StoreVersion, Vm
 
 ROWS_LEVEL = 1
-"""Fastest compression: 60 rows of 400 bytes in 0.2 ms, to an eighth."""
+"""Fastest level of zlib: 60 rows of 400 bytes shrink to an eighth in 0.2 ms."""
 MOST_ROWS_BYTES = 16_777_216
-"""Unpacked rows of one message at the most; the store's tables hold far less, and a
-peer must not make a node use its memory."""
+"""Maximum size of the unpacked rows of one message.
+
+Tables of the store are far smaller; the limit keeps a peer from exhausting memory.
+"""
 VERSION = 7
 UNKNOWN_VERSION = StoreVersion(-1)
-"""Stands for the version of a table of which nothing is known."""
+"""Version of a table of which no state is known."""
 ALL_DOMAINS = "*"
-"""Stands for a failure domain in sums over all nodes."""
+"""Replaces the failure domain in sums over all nodes."""
 
 
 class Member(msgspec.Struct, frozen=True, tag="member", array_like=True):
-    """What is believed of one VM."""
+    """Membership state of one VM, as recorded by the sender."""
 
     name: str
     failure_domain: str
@@ -34,13 +36,13 @@
 
 
 class RevisionNotice(msgspec.Struct, frozen=True, tag="notice", array_like=True):
-    """The sender has the revision at the position ``number`` in force."""
+    """The sender has applied the revision at position ``number``."""
 
     number: int
 
 
 class RevisionBody(msgspec.Struct, frozen=True, tag="body", array_like=True):
-    """A whole revision, for a node that cannot read the store."""
+    """A complete revision, for a node that cannot read the store."""
 
     number: int
     operation: str
@@ -54,7 +56,7 @@
 
 
 class HostingFact(msgspec.Struct, frozen=True, tag="hosting", array_like=True):
-    """What a target serves, as of a version of its ledger row."""
+    """Units that a target serves as of ``version`` of its ledger row."""
 
     target: str
     version: int
@@ -62,25 +64,25 @@
 
 
 class PictureDigest(msgspec.Struct, frozen=True, tag="digest", array_like=True):
-    """What the sender's hostings add up to."""
+    """Digest of all hostings known to the sender."""
 
     digest: int
 
 
 class DrainingTargets(msgspec.Struct, frozen=True, tag="draining", array_like=True):
-    """Targets seen draining by the sender."""
+    """Targets that the sender has observed to be draining."""
 
     targets: tuple[str, ...]
 
 
 class DemandCounts(msgspec.Struct, frozen=True, tag="demand", array_like=True):
-    """Requests by model since the sender's last counts."""
+    """Number of requests by model since the sender's previous counts."""
 
     counts: dict[str, int]
 
 
 class PlannerNotice(msgspec.Struct, frozen=True, tag="planner", array_like=True):
-    """Who plans a pool, as of a lease epoch."""
+    """The node that plans a pool, as of a lease epoch."""
 
     pool: str
     holder: str
@@ -89,10 +91,10 @@
 
 
 class LoadOfTarget(msgspec.Struct, frozen=True, array_like=True):
-    """What the sender has outstanding at one target.
+    """Outstanding work of the sender at one target.
 
-    ``waiting_ms`` is prompt reading still ahead, by tier, most urgent first, and
-    ``busy`` the share of the target's time that prompts sent of late take.
+    ``waiting_ms`` is the prompt processing still to be done, by tier, most urgent
+    first.  ``busy`` is the share of the target's time taken by recent prompts.
     """
 
     target: str
@@ -105,10 +107,10 @@
 
 
 class TargetLoads(msgspec.Struct, frozen=True, tag="loads", array_like=True):
-    """What the sender has outstanding at some targets, all of them if ``whole``.
+    """Outstanding work of the sender at some targets, at all of them if ``whole``.
 
-    With a ``domain`` it is what the nodes of that failure domain have together, or
-    all nodes if it is ``ALL_DOMAINS``.
+    With a ``domain``, it is the sum over the nodes of that failure domain, or over all
+    nodes if it is ``ALL_DOMAINS``.
     """
 
     loads: list[LoadOfTarget]
@@ -117,11 +119,11 @@
 
 
 class DemandOfModel(msgspec.Struct, frozen=True, array_like=True):
-    """Requests for a model, perhaps with an adapter, since the last count.
+    """Requests for a model, optionally with an adapter, since the previous message.
 
-    Answers to them must begin within ``goal_ms``.  ``missed`` of them found no
-    target that holds it; ``work_ms`` is the prompt reading that they ask for.  A new
-    orderer is told for how long it has been missed.
+    Their answers must begin within ``goal_ms``.  For ``missed`` of them no target
+    held the model.  ``work_ms`` is the prompt processing that they require.  A new
+    orderer also gets ``missed_for_ms``, the time for which no target has held it.
     """
 
     service: str
@@ -136,9 +138,9 @@
 
 
 class ModelDemand(msgspec.Struct, frozen=True, tag="asked", array_like=True):
-    """What callers have asked of the sender since it told last.
+    """Requests of callers to the sender since its previous message.
 
-    To a new orderer it is what they asked within the last ``age_ms``.
+    A message to a new orderer covers the requests of the last ``age_ms``.
     """
 
     demand: list[DemandOfModel]
@@ -146,7 +148,7 @@
 
 
 class HoldingOfTarget(msgspec.Struct, frozen=True, array_like=True):
-    """What a target holds, and what it is loading, with the seconds left."""
+    """Models and adapters on a target, and loads with their remaining seconds."""
 
     target: str
     models: dict[str, list[str]]
@@ -154,9 +156,10 @@
 
 
 class TargetHoldings(msgspec.Struct, frozen=True, tag="holdings", array_like=True):
-    """What the node that orders the targets knows of some of them.
+    """Holdings of some targets, as known by the node that sends them orders.
 
-    The node at ``orderer`` numbers what it tells; it reaches others by several ways.
+    The node at ``orderer`` numbers its messages, because they reach other nodes by
+    several paths.
     """
 
     epoch: int
@@ -166,9 +169,9 @@
 
 
 class OrdererNotice(msgspec.Struct, frozen=True, tag="orderer", array_like=True):
-    """The node at ``orderer`` holds the lease for ordering targets.
+    """The node at ``orderer`` holds the lease for sending orders to targets.
 
-    It has renewed it so many times; without an address it is the sender.
+    ``renewal`` counts its renewals.  An empty ``orderer`` stands for the sender.
     """
 
     epoch: int
@@ -177,10 +180,10 @@
 
 
 class OrdererResigned(msgspec.Struct, frozen=True, tag="resigned", array_like=True):
-    """The sender held the lease for ordering targets, and gives no further order.
+    """The sender has released the lease for sending orders to targets.
 
-    A successor waits ``waits`` seconds before it orders a target, ``others_wait``
-    before it orders one that is not named.
+    A successor waits for the seconds in ``waits`` before its first order to a target,
+    and for ``others_wait`` seconds if the target is not in it.
     """
 
     epoch: int
@@ -189,18 +192,18 @@
 
 
 class TableVersion(msgspec.Struct, frozen=True, tag="version", array_like=True):
-    """The sender has seen ``version`` of a watched table."""
+    """The sender has read ``version`` of a watched table."""
 
     table: str
     version: StoreVersion
 
 
 class TableNews(msgspec.Struct, frozen=True, tag="news", array_like=True):
-    """What the sender has read of a watched table, and whether it can go on reading.
+    """Changes of a watched table, and whether the sender can still read it.
 
-    ``rows`` changed after version ``after`` up to ``version``, see
-    :func:`pack_rows`; empty if none did.  They are the ``whole`` table, or what
-    follows on ``after``.  Without a ``version`` the sender knows nothing yet.
+    ``rows`` are those changed after version ``after`` up to ``version``, packed by
+    :func:`pack_rows` and empty if there are none, or the complete table if ``whole``.
+    Without a known ``version``, the sender has not read the table yet.
     """
 
     table: str
@@ -212,11 +215,11 @@
 
 
 class StateAsked(msgspec.Struct, frozen=True, tag="state", array_like=True):
-    """Asks the receiver to tell the sender what it knows.
+    """Requests state from the receiver.
 
-    It wants what has changed of tables since these versions, all of one since
-    ``UNKNOWN_VERSION``;
-    with ``members`` also who is there and who orders the targets.
+    The answer has the changes of tables since these versions, and the complete table
+    for ``UNKNOWN_VERSION``.  With ``members`` it also has the members and the node that
+    sends orders to targets.
     """
 
     versions: dict[str, StoreVersion]
@@ -226,7 +229,7 @@
 class TargetEnded(msgspec.Struct, frozen=True, array_like=True):
     """An incarnation of a target ended ``age_ms`` ago with a request in progress.
 
-    Requests are named by their fingerprints.
+    ``fingerprint`` identifies the request.
     """
 
     fingerprint: str
@@ -235,30 +238,30 @@
 
 
 class TargetsEnded(msgspec.Struct, frozen=True, tag="ended", array_like=True):
-    """Under which requests targets have ended, as far as it is news to the sender."""
+    """Ends of targets with requests in progress that the sender newly learned of."""
 
     ends: list[TargetEnded]
 
 
 class RequestsCleared(msgspec.Struct, frozen=True, tag="cleared", array_like=True):
-    """Requests under suspicion that were answered, by their fingerprints."""
+    """Fingerprints of suspected requests that have since been answered."""
 
     fingerprints: list[str]
 
 
 class SuspectsDigest(msgspec.Struct, frozen=True, tag="suspects", array_like=True):
-    """What the sender knows of ended targets adds up to ``digest``.
+    """Digest of all ended targets known to the sender.
 
-    A receiver that knows something else tells it.
+    A receiver with another digest sends the ends that it knows.
     """
 
     digest: int
 
 
 class LimitOfTarget(msgspec.Struct, frozen=True, array_like=True):
-    """A target takes ``rate`` requests a second from all nodes together.
+    """A target accepts ``rate`` requests per second from all nodes together.
 
-    Without a ``rate`` it named no limit.  That was seen ``age_ms`` ago.
+    ``None`` means that it stated no limit.  This was observed ``age_ms`` ago.
     """
 
     target: str
@@ -267,15 +270,15 @@
 
 
 class RateLimitsTold(msgspec.Struct, frozen=True, tag="limits", array_like=True):
-    """Rate limits that targets have named, or name no more."""
+    """Rate limits that targets have stated or no longer state."""
 
     limits: list[LimitOfTarget]
 
 
 class PermitAsked(msgspec.Struct, frozen=True, tag="permit_asked", array_like=True):
-    """Asks the receiver for a permit to send a request of ``tier`` to a target.
+    """Requests a permit to send a request of ``tier`` to a target.
 
-    ``limit`` is what the sender knows of its limit.
+    ``limit`` is the target's rate limit as known to the sender.
     """
 
     tier: int
@@ -283,9 +286,9 @@
 
 
 class PermitAnswer(msgspec.Struct, frozen=True, tag="permit", array_like=True):
-    """A permit to send a request of ``tier`` to ``target``.
+    """A permit to send a request of ``tier`` to ``target``, or its refusal.
 
-    With ``wait_ms`` there is none, and the receiver may ask again after that time.
+    With ``wait_ms`` the permit is refused; the receiver may retry after that time.
     """
 
     target: str
@@ -294,11 +297,15 @@
 
 
 class LinkClosed(msgspec.Struct, frozen=True, tag="closed", array_like=True):
-    """The sender links to the receiver no more, and its silence means nothing."""
+    """The sender has closed its link; the receiver must not suspect its silence."""
 
 
 class StateWanted(msgspec.Struct, frozen=True, tag="wanted", array_like=True):
-    """The sender knows no revision beyond the position ``known``, and asks for all."""
+    """Requests the receiver's state, to be sent to the address ``reply_to``.
+
+    The answer has all hostings, planners and members that are not alive, and the
+    current revision if its position is after ``known``.
+    """
 
     known: int
     reply_to: str
@@ -333,9 +340,9 @@
 
 
 class Envelope(msgspec.Struct, frozen=True, array_like=True):
-    """One message: who sends it, and the facts it carries; may carry none.
+    """One message: its sender and its facts, possibly none.
 
-    ``linked`` says that more will follow at the heartbeat's pace.
+    ``linked`` means that further messages follow at the heartbeat interval.
     """
 
     version: int
@@ -345,7 +352,7 @@
 
 
 def member_of_fact(fact: MemberFact) -> Member:
-    """Return the message for a membership fact."""
+    """Return the message for membership fact ``fact``."""
     vm = fact.vm
     return Member(
         vm.name,
@@ -358,7 +365,7 @@
 
 
 def fact_of_member(member: Member) -> MemberFact:
-    """Return the membership fact in a message."""
+    """Return the membership fact in ``member``."""
     vm = Vm(
         member.name,
         member.failure_domain,
@@ -370,7 +377,7 @@
 
 
 def pack_rows(rows: Iterable[tuple[str, bytes | None]]) -> bytes:
-    """Return rows as they travel: alike as they are, a tenth of their size.
+    """Return rows compressed for sending, to about a tenth as they are similar.
 
     >>> unpack_rows(pack_rows([("a", b"1"), ("b", None)]))
     [('a', b'1'), ('b', None)]
@@ -379,15 +386,15 @@
 
 
 def unpack_rows(packed: bytes) -> list[tuple[str, bytes | None]]:
-    """Return the rows in ``packed``; raises ``ValueError`` if it holds none."""
+    """Return the rows in ``packed``; raises ``ValueError`` if it is malformed."""
     unpacker = zlib.decompressobj()
     try:
-        plain = unpacker.decompress(packed, MOST_ROWS_BYTES)
+        decompressed = unpacker.decompress(packed, MOST_ROWS_BYTES)
     except zlib.error as error:
-        raise ValueError(f"rows cannot be unpacked: {error}") from None
+        raise ValueError(f"rows cannot be decompressed: {error}") from None
     if not unpacker.eof:
-        raise ValueError("rows are cut short, or too long")
+        raise ValueError("rows are truncated or exceed the maximum size")
     try:
-        return msgspec.msgpack.decode(plain, type=list[tuple[str, bytes | None]])
+        return msgspec.msgpack.decode(decompressed, type=list[tuple[str, bytes | None]])
     except msgspec.MsgspecError as error:
-        raise ValueError(f"rows cannot be read: {error}") from None
+        raise ValueError(f"rows cannot be decoded: {error}") from None
