--- a/packages/runhatch-server/src/runhatch_server/peers/_broadcast.py
+++ b/packages/runhatch-server/src/runhatch_server/peers/_broadcast.py
@@ -1,8 +1,8 @@
-"""One node telling many at once.
+"""Publish-subscribe messages from one node to many.
 
-A publisher writes each message once, and the library copies it to whoever listens,
-without a task for each of them.  What a listener does not take in time it loses; it
-finds out by the version that the next message follows on, and asks.
+A publisher writes each message once, and pynng copies it to all subscribers without a
+task for each.  A subscriber that reads too slowly loses messages.  It detects the gap
+by the base version in the next message and requests the missing state.
 """
 
 import threading
@@ -24,11 +24,11 @@
 RECONNECT = timedelta(milliseconds=200)
 LONGEST_RECONNECT = timedelta(seconds=2)
 QUEUED = 64
-"""Messages that wait for a listener that does not read; then it loses the next."""
+"""Messages queued for a slow subscriber; further ones are dropped."""
 
 
 class Broadcaster:
-    """Tells all that listen at ``url``."""
+    """Publishes facts to all subscribers of ``url``."""
 
     def __init__(self, url: str, own: Callable[[], Member], metrics: Metrics) -> None:
         self._own = own
@@ -38,7 +38,7 @@
         _listen(self._socket, url)
 
     def tell(self, facts: list[Fact]) -> None:
-        """Send ``facts`` in one message; never waits for anybody."""
+        """Publish ``facts`` in one message, without waiting for subscribers."""
         message = ENCODER.encode(Envelope(VERSION, self._own(), False, facts))
         try:
             self._socket.send(message)
@@ -49,12 +49,12 @@
         self._metrics.peer_bytes.labels("broadcast").inc(len(message))
 
     def close(self) -> None:
-        """Stop telling."""
+        """Close the socket."""
         self._socket.close()
 
 
 class Listener:
-    """Hears the broadcasts of a few nodes, in one task."""
+    """Receives the broadcasts of several nodes, in one task."""
 
     def __init__(
         self,
@@ -75,24 +75,24 @@
         threading.Thread(target=self._run, name="broadcasts", daemon=True).start()
 
     def keep(self, urls: frozenset[str]) -> None:
-        """Listen to exactly ``urls``; called by one task."""
+        """Subscribe to exactly ``urls``; not safe to call from several tasks."""
         for url in set(self._dialers) - urls:
             self._dialers.pop(url).close()
         for url in urls - set(self._dialers):
             self._dialers[url] = self._socket.dial(url, block=False)
 
     def renew(self, url: str) -> None:
-        """Connect to ``url`` anew.
+        """Reconnect to ``url`` if subscribed.
 
-        A node that lost power and is back does not know the connection, and as
-        nothing is sent on it nobody says so.
+        A node restarted after a power loss has no such connection any more.  As a
+        subscriber sends nothing, it gets no reset and would wait forever.
         """
         if url in self._dialers:
             self._dialers.pop(url).close()
             self._dialers[url] = self._socket.dial(url, block=False)
 
     def close(self) -> None:
-        """Stop listening."""
+        """Close the socket, which ends the receiving task."""
         self._socket.close()
 
     def _run(self) -> None:
@@ -111,14 +111,14 @@
                 continue
             try:
                 self._on_envelope(envelope)
-            except InvariantError as broken:
-                self._on_broken(broken)
+            except InvariantError as error:
+                self._on_broken(error)
                 return
 
 
 def _listen(socket: "pynng.Socket", url: str) -> None:
-    """Listen at ``url``; raises ``OSError`` with the address if that cannot be."""
+    """Listen at ``url``; raises ``OSError`` naming the address on failure."""
     try:
         socket.listen(url)
     except pynng.NNGException as error:
-        raise OSError(f"peers: found {url}, {str(error).lower()}") from None
+        raise OSError(f"peers: cannot listen at {url}: {str(error).lower()}") from None
--- a/packages/runhatch-server/src/runhatch_server/peers/_exchange.py
+++ b/packages/runhatch-server/src/runhatch_server/peers/_exchange.py
@@ -1,4 +1,4 @@
-"""Who else is there: heartbeats, links to peers, and news about members."""
+"""Membership between nodes: heartbeats, links to peers and changes of members."""
 
 import random
 import threading
@@ -25,7 +25,7 @@
 
 
 class MemberExchange:
-    """Keeps links to peers and tells them who is there."""
+    """Keeps links to peers and exchanges membership facts with them."""
 
     def __init__(
         self, membership: Membership, metrics: Metrics, seed: int | None = None
@@ -34,26 +34,27 @@
         self._metrics = metrics
         self._links: Links | None = None
         self._linked: frozenset[str] = frozenset()
-        """Addresses of the peers to which this node keeps links."""
+        """Addresses of the peers that this node is linked to."""
         self._random = random.Random(seed)
         self.met_member = threading.Event()
-        """Set when a VM is heard that was not known to live.
+        """Set on a message from a VM that was not known to be alive.
 
-        Until it is linked and told what goes on, it cannot serve what needs others.
+        Until that VM has links and the current state, it cannot serve requests that
+        depend on other nodes.
         """
 
     def attach(self, links: Links) -> None:
-        """Use ``links`` from now on."""
+        """Send over ``links`` from now on."""
         self._links = links
 
     def own(self) -> Member:
-        """Return the sender's part of every envelope."""
+        """Return this node's membership fact, the sender of its envelopes."""
         own = self._membership.own
         standing = self._membership.standing(own.name) or Standing.ALIVE
         return member_of_fact(MemberFact(own, standing))
 
     def keep_links(self) -> None:
-        """Link to the peers that the membership now asks for."""
+        """Open and close links as the current membership requires."""
         if self._links is None:
             return
         peers = choose_peers(self._membership.own, self._membership.alive())
@@ -62,11 +63,11 @@
         self._links.keep(self._linked)
 
     def also_linked(self) -> list[Vm]:
-        """Return the nodes to link to beside those that keep all connected."""
+        """Return nodes to link to in addition to the peers of the overlay."""
         return []
 
     def look_for_members(self, seeds: Iterable[str]) -> None:
-        """Make this node known at ``seeds`` while it knows nobody else."""
+        """Announce this node to ``seeds`` while it knows no other member."""
         if len(self._membership.alive()) > 1:
             return
         for seed in seeds:
@@ -74,10 +75,10 @@
                 self.tell(seed, self.own())
 
     def look_round(self) -> None:
-        """Suspect silent peers and pass on what is new about members.
+        """Suspect silent peers and publish changes of members.
 
-        One suspected VM is told so each time, whether linked or not: if it lives
-        it refutes that, and after a parted network heals nothing else would.
+        Each call also notifies one suspected VM, linked or not, so that it can refute
+        the suspicion.  After a network partition heals, nothing else would do so.
         """
         for name in self._membership.suspect_silent():
             self._metrics.suspicions.inc()
@@ -87,7 +88,7 @@
         suspects = self._membership.suspects()
         if suspects:
             suspect = self._random.choice(suspects)
-            self._tell_belief(MemberFact(suspect, Standing.SUSPECT))
+            self._send_recorded_fact(MemberFact(suspect, Standing.SUSPECT))
 
     def tell_all(self, fact: Fact) -> None:
         """Send ``fact`` to every linked peer."""
@@ -100,39 +101,39 @@
             self._links.tell(address, [fact])
 
     def receive(self, envelope: Envelope) -> None:
-        """Take in one envelope, unless it is of another version."""
+        """Handle one envelope; ignores those of another protocol version."""
         if envelope.version != VERSION:
             return
-        self._hear(envelope)
+        self._record_heartbeat(envelope)
         for fact in envelope.facts:
             match fact:
                 case Member():
-                    self._learn_member(fact, envelope.sender)
+                    self._apply_member(fact, envelope.sender)
                 case LinkClosed():
                     self._membership.forget(envelope.sender.name)
                 case _:
                     self.take_in(fact, envelope.sender)
 
     def take_in(self, fact: Fact, sender: Member) -> None:
-        """Take in a fact that is not about members; for the kinds of nodes."""
+        """Handle a fact that is not about members; implemented by subclasses."""
         raise NotImplementedError
 
-    def _hear(self, envelope: Envelope) -> None:
-        """Take in that a peer lives."""
+    def _record_heartbeat(self, envelope: Envelope) -> None:
+        """Record the heartbeat of the sender, and notify it if it is suspected."""
         sender = fact_of_member(envelope.sender)
-        before = self._membership.standing(sender.vm.name)
-        believed = self._membership.heartbeat(sender, envelope.linked)
-        if before is not Standing.ALIVE:
+        previous = self._membership.standing(sender.vm.name)
+        recorded = self._membership.heartbeat(sender, envelope.linked)
+        if previous is not Standing.ALIVE:
             self.met_member.set()
-        if believed is not None:
-            self._tell_belief(believed)
+        if recorded is not None:
+            self._send_recorded_fact(recorded)
 
-    def _learn_member(self, fact: Member, sender: Member) -> None:
-        """Take in what a peer believes of a VM."""
-        denied = self._membership.learn([fact_of_member(fact)])
-        if denied:
+    def _apply_member(self, fact: Member, sender: Member) -> None:
+        """Apply a peer's fact; refute it if it says that this node is not alive."""
+        is_contradicted = self._membership.learn([fact_of_member(fact)])
+        if is_contradicted:
             self.tell(sender.address, self.own())
 
-    def _tell_belief(self, believed: MemberFact) -> None:
-        """Tell a VM what is believed of it, so that it can refute it."""
-        self.tell(believed.vm.address, member_of_fact(believed))
+    def _send_recorded_fact(self, fact: MemberFact) -> None:
+        """Send a VM the membership fact recorded for it, so that it can refute it."""
+        self.tell(fact.vm.address, member_of_fact(fact))
--- a/packages/runhatch-server/src/runhatch_server/peers/_keys.py
+++ b/packages/runhatch-server/src/runhatch_server/peers/_keys.py
@@ -1,4 +1,4 @@
-"""Keys of peer links, read anew while the node runs."""
+"""TLS keys of peer links, reloadable while the node runs."""
 
 import ssl
 from dataclasses import dataclass
@@ -8,16 +8,16 @@
 import pynng
 
 if TYPE_CHECKING:
-    # A gateway has no such settings, and starts 0.1 s sooner without their module.
+    # Gateways do not use these settings; importing them takes 0.1 s at start.
     from runhatch_server.settings import PeerTls
 
 
 PEER_NAME = "runhatch-peer"
-"""The name that every node's certificate is issued for; addresses come and go."""
+"""Name in every node's certificate; addresses change too often for that."""
 
 
 class KeysChange(Enum):
-    """What reading the key files again brought."""
+    """Outcome of reloading the key files."""
 
     SAME = "same"
     RENEWED = "renewed"
@@ -32,9 +32,9 @@
 
 
 class PeerKeys:
-    """The keys in force: all three files of one reading, or none of them.
+    """The keys in use, always all three files of the same read.
 
-    Raises ``OSError`` with the cause if the files cannot be used.
+    Raises ``OSError`` naming the files and the cause if they are unusable.
     """
 
     def __init__(self, tls: "PeerTls") -> None:
@@ -42,7 +42,7 @@
         self._keys = self._read()
 
     def reload(self) -> KeysChange:
-        """Read the files again; unusable ones leave the keys in force as they are."""
+        """Read the files again; unusable files leave the current keys in use."""
         try:
             keys = self._read()
         except OSError:
@@ -53,7 +53,7 @@
         return KeysChange.RENEWED
 
     def config(self, server: bool) -> "pynng.TLSConfig":
-        """Return the TLS configuration of one side; the other side is checked."""
+        """Return the TLS configuration of one side, which verifies the other side."""
         mode = pynng.TLSConfig.MODE_SERVER if server else pynng.TLSConfig.MODE_CLIENT
         return pynng.TLSConfig(
             mode,
@@ -67,7 +67,7 @@
     def _read(self) -> _Keys:
         tls = self._tls
         try:
-            # A certificate and a key that do not belong together are found here.
+            # Raises if the certificate and the key do not match.
             context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
             context.load_cert_chain(tls.certificate_file, tls.key_file)
             context.load_verify_locations(tls.authority_file)
--- a/packages/runhatch-server/src/runhatch_server/peers/_links.py
+++ b/packages/runhatch-server/src/runhatch_server/peers/_links.py
@@ -1,4 +1,4 @@
-"""pynng sockets: one to receive on, one and a task for each peer sent to."""
+"""Links by pynng sockets: one for receiving, and one with a task for each peer."""
 
 import queue
 import threading
@@ -15,7 +15,7 @@
 from runhatch_server.peers._messages import VERSION, Envelope, Fact, LinkClosed, Member
 
 if TYPE_CHECKING:
-    # A gateway has no such settings, and starts 0.1 s sooner without their module.
+    # Gateways do not use these settings; importing them takes 0.1 s at start.
     from runhatch_server.settings import PeerTls
 
 SEND_TIMEOUT = timedelta(seconds=1)
@@ -23,7 +23,7 @@
 LONGEST_RECONNECT = timedelta(seconds=5)
 QUEUE_LIMIT = 4_096
 MOST_UNREADABLE_LOGGED = 10
-"""Messages that cannot be read are counted; so many are logged, to tell the kind."""
+"""Unreadable messages logged with their cause; further ones are only counted."""
 ENCODER = msgspec.msgpack.Encoder()
 DECODER = msgspec.msgpack.Decoder(Envelope)
 
@@ -31,9 +31,10 @@
 
 
 def decode_envelope(message: bytes, metrics: Metrics) -> Envelope | None:
-    """Return a peer's message, ``None`` if it is not one; such a one is counted.
+    """Return the envelope in ``message``, ``None`` if it is unreadable.
 
-    Of another version than this node's, its kinds of facts may not be known.
+    Unreadable messages are counted.  A peer of another protocol version may send
+    kinds of facts that this node does not know.
     """
     try:
         return DECODER.decode(message)
@@ -46,27 +47,26 @@
 
 
 class Links(Protocol):
-    """What carries facts to other nodes."""
+    """Sends facts to other nodes."""
 
     def keep(self, addresses: frozenset[str]) -> None:
-        """Keep links to exactly ``addresses``."""
+        """Link to exactly ``addresses``."""
 
     def tell_all(self, fact: Fact) -> None:
-        """Send ``fact`` to every kept peer."""
+        """Send ``fact`` to every linked peer."""
 
     def tell(self, address: str, facts: list[Fact]) -> None:
-        """Send ``facts`` to one address, kept or not."""
+        """Send ``facts`` to one address, linked or not."""
 
     def hold(self, address: str) -> None:
-        """Keep a link to ``address`` by which only :meth:`tell` sends."""
+        """Keep a link to ``address`` that only :meth:`tell` uses."""
 
 
 class PeerLinks:
     """All links of one node.
 
-    Facts for a peer collect until its task sends them together; ``interval``
-    is the longest they wait, and an envelope goes out that often even if empty,
-    as the heartbeat.
+    Facts for a peer are queued until its task sends them together, after at most
+    ``interval``.  An envelope without facts is sent as a heartbeat if none are queued.
     """
 
     def __init__(
@@ -88,8 +88,8 @@
         self._keys = None if tls is None else PeerKeys(tls)
         self._scheme = "tcp" if tls is None else "tls+tcp"
         self._links: dict[str, _Link] = {}
-        self._held_address = ""
-        self._held: _Link | None = None
+        self._direct_address = ""
+        self._direct_link: _Link | None = None
         self._lock = threading.Lock()
         self._socket = pynng.Pull0()
         self._socket.recv_max_size = max_message
@@ -101,11 +101,11 @@
 
     @property
     def address(self) -> str:
-        """The address others reach this node by."""
+        """The address at which other nodes reach this one."""
         return str(self._listener.local_address)
 
     def keep(self, addresses: frozenset[str]) -> None:
-        """Keep links to exactly ``addresses``: open new ones, close others."""
+        """Link to exactly ``addresses``: open new links and close others."""
         with self._lock:
             for address in set(self._links) - addresses:
                 link = self._links.pop(address)
@@ -115,47 +115,47 @@
                 self._links[address] = self._open(address, self._interval)
 
     def tell_all(self, fact: Fact) -> None:
-        """Send ``fact`` to every kept peer."""
+        """Send ``fact`` to every linked peer."""
         with self._lock:
             links = list(self._links.values())
         for link in links:
             link.put(fact)
 
     def tell(self, address: str, facts: list[Fact]) -> None:
-        """Send ``facts`` to one address, by its kept link or a passing one."""
+        """Send ``facts`` to one address, by its link or a temporary one."""
         with self._lock:
-            held = self._held if address == self._held_address else None
-            link = self._links.get(address) or held
+            direct = self._direct_link if address == self._direct_address else None
+            link = self._links.get(address) or direct
         if link is not None:
             for fact in facts:
                 link.put(fact)
             return
-        passing = self._open(address, None)
+        temporary = self._open(address, None)
         for fact in facts:
-            passing.put(fact)
-        passing.close()
+            temporary.put(fact)
+        temporary.close()
 
     def hold(self, address: str) -> None:
-        """Keep one link by which only :meth:`tell` sends, to no other address.
+        """Keep one link that only :meth:`tell` uses; replaces the previous one.
 
-        Whoever tells one node something several times a second would open and close
-        a connection and a task for it each time.
+        An empty ``address`` closes it.  Without it, a node that sends to one address
+        several times a second would open a connection and a task each time.
         """
         with self._lock:
-            if address == self._held_address:
+            if address == self._direct_address:
                 return
-            before, self._held = self._held, None
-            self._held_address = address
+            previous, self._direct_link = self._direct_link, None
+            self._direct_address = address
             if address:
-                self._held = self._open(address, None)
-        if before is not None:
-            before.close()
+                self._direct_link = self._open(address, None)
+        if previous is not None:
+            previous.close()
 
     def renew_keys(self) -> None:
-        """Put changed key files in force for both directions of every link.
+        """Use changed key files for both directions of every link.
 
-        Nothing queued is lost: a link that ends sends what it has.  Files that
-        cannot be used change nothing.
+        No queued fact is lost, because a closed link still sends its queue.  Unusable
+        files change nothing.
         """
         change = KeysChange.SAME if self._keys is None else self._keys.reload()
         if change is KeysChange.SAME:
@@ -171,12 +171,12 @@
             for address, link in self._links.items():
                 link.close()
                 self._links[address] = self._open(address, self._interval)
-        held = self._held_address
+        direct_address = self._direct_address
         self.hold("")
-        self.hold(held)
+        self.hold(direct_address)
 
     def close(self) -> None:
-        """Send what is queued, then close every socket."""
+        """Have all links send their queues and end, and close the receiving socket."""
         self.keep(frozenset())
         self.hold("")
         self._socket.close()
@@ -186,13 +186,15 @@
         return _Link(url, self._own, self._metrics, interval, self._keys)
 
     def _listen(self, url: str) -> "pynng.Listener":
-        """Listen at ``url``; raises ``OSError`` with the address if that cannot be."""
+        """Listen at ``url``; raises ``OSError`` naming the address on failure."""
         if self._keys is not None:
             self._socket.tls_config = self._keys.config(server=True)
         try:
             return self._socket.listen(url)
         except pynng.NNGException as error:
-            raise OSError(f"peers: found {url}, {str(error).lower()}") from None
+            raise OSError(
+                f"peers: cannot listen at {url}: {str(error).lower()}"
+            ) from None
 
     def _receive(self) -> None:
         while True:
@@ -209,13 +211,13 @@
                 continue
             try:
                 self._on_envelope(envelope)
-            except InvariantError as broken:
-                self._on_broken(broken)
+            except InvariantError as error:
+                self._on_broken(error)
                 return
 
 
 class _Link:
-    """One peer: its socket, its queue and the task that joins them."""
+    """A link to one peer: a queue, and a task that sends it over a socket."""
 
     def __init__(
         self,
@@ -235,18 +237,18 @@
         self._task.start()
 
     def put(self, fact: Fact) -> None:
-        """Queue ``fact``; a peer that does not take its facts loses them."""
+        """Queue ``fact``, or drop it if the queue of a slow peer is full."""
         try:
             self._facts.put_nowait(fact)
         except queue.Full:
             self._metrics.peer_messages.labels("dropped").inc()
 
     def close(self) -> None:
-        """Have the task send what is queued and end."""
+        """Have the task send the queue and end; does not wait for it."""
         self.put_end()
 
     def put_end(self) -> None:
-        """Mark the end of the queue, making room if there is none."""
+        """Put the end marker into the queue, dropping facts if it is full."""
         while True:
             try:
                 self._facts.put_nowait(None)
@@ -269,7 +271,10 @@
                     self._send(socket, facts)
 
     def _collect(self) -> tuple[list[Fact], bool]:
-        """Wait for the first fact or the interval, then take what has queued."""
+        """Return the queued facts, and whether the end marker was reached.
+
+        Waits for the first fact, at most for the interval if there is one.
+        """
         timeout = None if self._interval is None else self._interval.total_seconds()
         facts: list[Fact] = []
         try:
@@ -294,5 +299,5 @@
 
 
 def milliseconds(duration: timedelta) -> int:
-    """Return ``duration`` as the library takes it."""
+    """Return ``duration`` in whole milliseconds, as pynng expects."""
     return int(duration.total_seconds() * 1000)
--- a/packages/runhatch-server/tests/test_peers.py
+++ b/packages/runhatch-server/tests/test_peers.py
@@ -126,16 +126,16 @@
         a.keep(frozenset())
         assert received.wait(1)
         a.hold(target)
-        held = a._held
+        link = a._direct_link
         a.tell_all(RevisionNotice(1))
         for number in (7, 8):
             a.tell(target, [RevisionNotice(number)])
 
         assert received.wait(3)
         assert received.facts == [LinkClosed(), RevisionNotice(7), RevisionNotice(8)]
-        assert a._held is held
+        assert a._direct_link is link
         a.hold("")
-        assert a._held is None
+        assert a._direct_link is None
 
     def test_passing_link(self, pair):
         """A fact for one address needs no kept link."""
