--- a/packages/runhatch-server/tests/test_planner.py
+++ b/packages/runhatch-server/tests/test_planner.py
@@ -1,4 +1,4 @@
-"""Plans: reachability first, moves only for what they win."""
+"""Plans keep models reachable first, and move replicas only at a net gain."""
 
 import json
 from dataclasses import replace
@@ -21,8 +21,8 @@
 NAMES = ("w0", "w1", "w2")
 
 
-def state(rows, work=None, **changes):
-    """Return a pool's state; ``rows`` lists units served by each target."""
+def make_state(rows, work=None, **changes):
+    """Return a pool's state; ``rows`` lists the units served by each target."""
     extra = {
         name: changes.pop(name)
         for name in ("closed", "silent", "ages")
@@ -53,119 +53,132 @@
     )
 
 
-def brief(actions):
+def summarize(actions):
     return sorted(
         (("load" if isinstance(a, LoadUnit) else "retire"), a.unit, a.target)
         for a in actions
     )
 
 
-FULL = (("m0@1", "a0@1"), ("m1@1", "m3@1"), ("m2@1",))
+ALL_RESIDENT = (("m0@1", "a0@1"), ("m1@1", "m3@1"), ("m2@1",))
 
 
 class TestPlan:
-    """What is planned for a state."""
+    """Actions planned for the state of a pool."""
 
     def test_empty_pool_loads_everything(self):
         """Every declared model is loaded somewhere, spread over the targets."""
-        actions = plan(state(((), (), ())))
+        actions = plan(make_state(((), (), ())))
         loads = [a for a in actions if isinstance(a, LoadUnit)]
         assert {a.unit for a in loads} == {f"m{i}@1" for i in range(4)}
         assert len({a.target for a in loads}) == 3
 
-    def test_settled_pool_is_left_alone(self):
-        """With everything resident and little work nothing moves."""
-        assert plan(state(FULL, {"m0": 1.0, "m1": 0.5})) == []
+    def test_no_actions_if_all_models_are_resident(self):
+        """With all units resident and little work, the plan is empty."""
+        assert plan(make_state(ALL_RESIDENT, {"m0": 1.0, "m1": 0.5})) == []
 
-    def test_adapter_follows_its_base(self):
-        """An adapter is loaded wherever its base serves."""
-        rows = (("m0@1",), *FULL[1:])
-        assert brief(plan(state(rows))) == [("load", "a0@1", "w0")]
+    def test_missing_adapter_is_loaded_beside_its_base(self):
+        """An adapter is loaded on every target on which its base serves."""
+        rows = (("m0@1",), *ALL_RESIDENT[1:])
+        assert summarize(plan(make_state(rows))) == [("load", "a0@1", "w0")]
 
-    def test_hot_model_gets_a_replica(self):
-        """Work beyond what its target carries brings another replica."""
-        actions = plan(state(FULL, {"m0": 9.0}))
+    def test_overloaded_model_gets_a_replica(self):
+        """Work beyond the capacity of its target adds a replica elsewhere."""
+        actions = plan(make_state(ALL_RESIDENT, {"m0": 9.0}))
         assert [a.unit for a in actions if isinstance(a, LoadUnit)] == ["m0@1"]
         assert all(a.target != "w0" for a in actions)
 
-    def test_price_outweighs_a_small_gain(self):
-        """A replica that wins less than its move costs is not loaded."""
-        dear = {"move_price": 10_000}
-        assert plan(state(FULL, {"m0": 9.0}, policy=dear)) == []
+    def test_no_replica_if_its_cost_exceeds_its_gain(self):
+        """A replica whose gain is below the price of its move is not loaded."""
+        policy = {"move_price": 10_000}
+        assert plan(make_state(ALL_RESIDENT, {"m0": 9.0}, policy=policy)) == []
 
-    def test_paused_planner_only_keeps_reachable(self):
-        """Paused, a missing model is still loaded, and no replica added."""
-        rows = (FULL[0], ("m1@1",), FULL[2])
-        actions = plan(state(rows, {"m0": 9.0}, policy={"paused": True}))
+    def test_paused_planner_only_loads_missing_models(self):
+        """While paused, missing models are loaded but no replicas are added."""
+        rows = (ALL_RESIDENT[0], ("m1@1",), ALL_RESIDENT[2])
+        actions = plan(make_state(rows, {"m0": 9.0}, policy={"paused": True}))
         assert [a.unit for a in actions] == ["m3@1"]
 
     @pytest.mark.parametrize(
         ("rows", "expected"),
         [
-            (FULL, [("load", "m1@2", "w2")]),
-            ((FULL[0], FULL[1], ("m2@1", "m1@2")), [("retire", "m1@1", "w1")]),
+            (ALL_RESIDENT, [("load", "m1@2", "w2")]),
+            (
+                (ALL_RESIDENT[0], ALL_RESIDENT[1], ("m2@1", "m1@2")),
+                [("retire", "m1@1", "w1")],
+            ),
         ],
     )
-    def test_new_version_is_made_before_the_old_is_broken(self, rows, expected):
-        """The old version goes only once the new one serves."""
+    def test_old_version_is_retired_after_the_new_one_serves(self, rows, expected):
+        """The old version is retired only once the new one serves."""
         models = deployment_document()["models"]
         models[1] = {**models[1], "version": "2"}
-        assert brief(plan(state(rows, models=models))) == expected
+        assert summarize(plan(make_state(rows, models=models))) == expected
 
-    def test_pool_full_of_old_versions_makes_room(self):
-        """An old version goes where another old one serves, or none could come."""
+    def test_pool_full_of_old_versions_frees_memory(self):
+        """Old versions are retired if another replica of their model serves.
+
+        Otherwise the full pool could never load the first new version.
+        """
         models = [
             {**model, "version": "9", "memory_mb": 40, "loading_peak_mb": 12}
             for model in deployment_document()["models"]
         ]
         rows = (("m0@1", "m3@1"), ("m1@2", "m1@4"), ("m2@1", "m3@1"))
-        full = state(rows, models=models)
+        pool_state = make_state(rows, models=models)
         old = Charge("", 40, 0, SERVING, 1)
         ledger = {
             name: replace(row, charges=tuple(replace(old, unit=u) for u in units))
-            for (name, row), units in zip(full.rows.items(), rows, strict=True)
+            for (name, row), units in zip(pool_state.rows.items(), rows, strict=True)
         }
-        actions = plan(replace(full, rows=ledger))
-        gone = {(a.target, a.unit) for a in actions}
+        actions = plan(replace(pool_state, rows=ledger))
+        retired = {(a.target, a.unit) for a in actions}
         assert all(isinstance(a, RetireUnit) for a in actions)
-        assert gone
-        left = {
+        assert retired
+        remaining = {
             u
             for name, row in zip(NAMES, rows, strict=True)
             for u in row
-            if (name, u) not in gone
+            if (name, u) not in retired
+        }
+        assert {unit.partition("@")[0] for unit in remaining} == {
+            "m0",
+            "m1",
+            "m2",
+            "m3",
         }
-        assert {unit.partition("@")[0] for unit in left} == {"m0", "m1", "m2", "m3"}
 
-    def test_drained_target_is_emptied_last_replica_kept(self):
-        """A drained target's models are loaded elsewhere before they go."""
-        actions = plan(state(FULL, closed=frozenset({"w2"})))
+    def test_drained_target_keeps_last_replica_until_another_serves(self):
+        """Models of a drained target are loaded elsewhere before they are retired."""
+        actions = plan(make_state(ALL_RESIDENT, closed=frozenset({"w2"})))
         assert [(a.unit, type(a)) for a in actions] == [("m2@1", LoadUnit)]
-        moved = (FULL[0], FULL[1], ("m2@1",))
-        with_copy = (("m0@1", "a0@1", "m2@1"), *moved[1:])
-        actions = plan(state(with_copy, closed=frozenset({"w2"})))
-        assert brief(actions) == [("retire", "m2@1", "w2")]
-
-    def test_silent_target_is_replaced_not_emptied(self):
-        """Models of a silent target are loaded elsewhere, nothing is retired."""
-        gone = frozenset({"w2"})
-        actions = plan(state(FULL, closed=gone, silent=gone))
+        loaded = (ALL_RESIDENT[0], ALL_RESIDENT[1], ("m2@1",))
+        with_replica = (("m0@1", "a0@1", "m2@1"), *loaded[1:])
+        actions = plan(make_state(with_replica, closed=frozenset({"w2"})))
+        assert summarize(actions) == [("retire", "m2@1", "w2")]
+
+    def test_models_of_silent_target_are_loaded_elsewhere(self):
+        """Models of a silent target are loaded elsewhere, and none is retired."""
+        silent = frozenset({"w2"})
+        actions = plan(make_state(ALL_RESIDENT, closed=silent, silent=silent))
         assert [(a.unit, type(a)) for a in actions] == [("m2@1", LoadUnit)]
 
-    def test_undeclared_units_go(self):
-        """What is declared no more is retired."""
-        rows = (FULL[0], FULL[1], ("m2@1", "old@1"))
-        assert brief(plan(state(rows))) == [("retire", "old@1", "w2")]
+    def test_undeclared_units_are_retired(self):
+        """Units that are no longer declared are retired."""
+        rows = (ALL_RESIDENT[0], ALL_RESIDENT[1], ("m2@1", "old@1"))
+        assert summarize(plan(make_state(rows))) == [("retire", "old@1", "w2")]
 
-    def test_pin_and_ban(self):
-        """Operators' pins are loaded, and bans emptied once others serve."""
-        pin = plan(state(FULL, pins=[{"model": "m2", "target": "w1"}]))
-        assert brief(pin) == [("load", "m2@1", "w1")]
-        rows = (FULL[0], FULL[1], ("m2@1", "m1@1"))
-        ban = plan(state(rows, bans=[{"model": "m1", "target": "w1"}]))
-        assert brief(ban) == [("retire", "m1@1", "w1")]
+    def test_pins_are_loaded_and_bans_retired(self):
+        """Pinned models are loaded; banned ones are retired once others serve."""
+        pin_actions = plan(
+            make_state(ALL_RESIDENT, pins=[{"model": "m2", "target": "w1"}])
+        )
+        assert summarize(pin_actions) == [("load", "m2@1", "w1")]
+        rows = (ALL_RESIDENT[0], ALL_RESIDENT[1], ("m2@1", "m1@1"))
+        ban_actions = plan(make_state(rows, bans=[{"model": "m1", "target": "w1"}]))
+        assert summarize(ban_actions) == [("retire", "m1@1", "w1")]
 
     def test_last_replica_is_never_retired(self):
-        """A ban on the only replica waits until another serves."""
-        actions = plan(state(FULL, bans=[{"model": "m1", "target": "w1"}]))
+        """A banned replica is kept while no other replica serves."""
+        actions = plan(make_state(ALL_RESIDENT, bans=[{"model": "m1", "target": "w1"}]))
         assert not any(isinstance(a, RetireUnit) for a in actions)
