--- a/packages/runhatch-server/tests/test_shard.py
+++ b/packages/runhatch-server/tests/test_shard.py
@@ -1,6 +1,6 @@
-"""Two nodes planning one pool while engines, orders and the table misbehave.
+"""Two nodes plan one pool under faults of engines, orders and the table.
 
-A hypothesis state machine; the engines keep their own account of memory.
+A hypothesis state machine; the fake engines count their memory independently.
 """
 
 from concurrent.futures import ThreadPoolExecutor
@@ -37,23 +37,23 @@
 
 
 class FakeEngine:
-    """Holds units, takes orders now, late, twice or never, and tells the truth."""
+    """Applies orders at once, late, twice or never; its reports are correct."""
 
     def __init__(self, clock, refuses):
         self.clock = clock
         self.refuses = refuses
-        self.held = {}
+        self.loaded = {}
         self.fence = 0
         self.mode = "now"
-        self.late = []
-        self.most = 0
+        self.delayed_orders = []
+        self.peak_used_mb = 0
         self.silent = False
 
     def give(self, order: Order) -> OrderOutcome:
         if self.silent or self.mode == "lost":
             return OrderOutcome.UNKNOWN
         if self.mode in ("late", "doubled"):
-            self.late.append((self.clock.elapsed().total_seconds(), order))
+            self.delayed_orders.append((self.clock.elapsed().total_seconds(), order))
         if self.mode == "late":
             return OrderOutcome.ACCEPTED
         return self.apply(order)
@@ -63,46 +63,52 @@
             return OrderOutcome.REFUSED_OLD
         self.fence = max(self.fence, order.number)
         if order.kind is OrderKind.UNLOAD:
-            bases = {order.unit}
-            self.held = {
-                unit: held
-                for unit, held in self.held.items()
-                if unit not in bases and held[1] not in bases
+            removed = {order.unit}
+            self.loaded = {
+                unit: entry
+                for unit, entry in self.loaded.items()
+                if unit not in removed and entry[1] not in removed
             }
-        elif order.unit not in self.held:
-            if order.base and order.base not in self.held:
+        elif order.unit not in self.loaded:
+            if order.base and order.base not in self.loaded:
                 return OrderOutcome.REFUSED
-            self.held[order.unit] = (order.memory_mb, order.base)
+            self.loaded[order.unit] = (order.memory_mb, order.base)
             peak = order.loading_peak_mb
-            self.most = max(self.most, self.used + peak)
+            self.peak_used_mb = max(self.peak_used_mb, self.used_mb + peak)
         return OrderOutcome.ACCEPTED
 
     @property
-    def used(self):
-        return sum(memory for memory, _ in self.held.values())
+    def used_mb(self):
+        return sum(memory for memory, _ in self.loaded.values())
 
-    def deliver_late(self, count):
-        for _, order in self.late[:count]:
+    def apply_delayed(self, count):
+        for _, order in self.delayed_orders[:count]:
             self.apply(order)
-        del self.late[:count]
+        del self.delayed_orders[:count]
 
-    def drop_overdue(self):
-        """Deliver what must arrive by now; nothing is later than the longest."""
+    def apply_overdue(self):
+        """Apply delayed orders that have reached the maximum order delay."""
         now = self.clock.elapsed().total_seconds()
-        overdue = [entry for entry in self.late if now - entry[0] >= ORDER_DELAY - 0.1]
-        self.late = [entry for entry in self.late if entry not in overdue]
+        overdue = [
+            entry
+            for entry in self.delayed_orders
+            if now - entry[0] >= ORDER_DELAY - 0.1
+        ]
+        self.delayed_orders = [
+            entry for entry in self.delayed_orders if entry not in overdue
+        ]
         for _, order in overdue:
             self.apply(order)
 
     def report(self):
         if self.silent:
             return Unavailable("silent")
-        units = tuple(LoadedUnit(unit, mb) for unit, (mb, _) in self.held.items())
+        units = tuple(LoadedUnit(unit, mb) for unit, (mb, _) in self.loaded.items())
         return EngineReport("i", self.fence, units, 0, 0)
 
 
 class ShardMachine(RuleBasedStateMachine):
-    """Whatever happens, no engine is ever asked for more than it has."""
+    """No engine ever needs more memory than it has, whatever faults occur."""
 
     @initialize()
     def start(self):
@@ -112,7 +118,7 @@
             name: FakeEngine(self.clock, refuses=name != "w0") for name in NAMES
         }
         document = deployment_document()
-        # Tight: a target holds two models, and one of them while loading another.
+        # A target fits two loaded models, or one while another is being loaded.
         for model in document["models"]:
             model.update(memory_mb=40, loading_peak_mb=12)
         for target in document["pools"][0]["targets"]:
@@ -122,10 +128,10 @@
         self.document = document
         self.version = 1
         self.demand = {}
-        self.configure()
+        self.update_deployment()
         self.nodes = {name: self.make_node(name) for name in "ab"}
 
-    def configure(self):
+    def update_deployment(self):
         self.deployment = Deployment.model_validate(self.document)
 
     def make_node(self, name):
@@ -148,10 +154,10 @@
         return table, lease, planner
 
     @rule(name=st.sampled_from("ab"), rounds=st.integers(1, 8))
-    def work(self, name, rounds):
+    def run_rounds(self, name, rounds):
         _, lease, planner = self.nodes[name]
         for _ in range(rounds):
-            self.advance(1.0)
+            self.advance_clock(1.0)
             lease.step()
             epoch = lease.held()
             if epoch is None:
@@ -165,42 +171,42 @@
                 pass
 
     @rule(seconds=st.floats(0.5, 6.0))
-    def advance(self, seconds):
+    def advance_clock(self, seconds):
         self.clock.advance(timedelta(seconds=seconds))
         for engine in self.engines.values():
-            engine.drop_overdue()
+            engine.apply_overdue()
 
     @rule(
-        worker=st.sampled_from(NAMES),
+        target_name=st.sampled_from(NAMES),
         mode=st.sampled_from(["now", "late", "lost", "doubled"]),
     )
-    def order_fault(self, worker, mode):
-        self.engines[worker].mode = mode
+    def set_order_mode(self, target_name, mode):
+        self.engines[target_name].mode = mode
 
-    @rule(worker=st.sampled_from(NAMES), count=st.integers(1, 3))
-    def deliver(self, worker, count):
-        self.engines[worker].deliver_late(count)
+    @rule(target_name=st.sampled_from(NAMES), count=st.integers(1, 3))
+    def deliver_delayed_orders(self, target_name, count):
+        self.engines[target_name].apply_delayed(count)
 
-    @rule(worker=st.sampled_from(NAMES), silent=st.booleans())
-    def silence(self, worker, silent):
-        self.engines[worker].silent = silent
+    @rule(target_name=st.sampled_from(NAMES), silent=st.booleans())
+    def set_silence(self, target_name, silent):
+        self.engines[target_name].silent = silent
 
     @rule(
         name=st.sampled_from("ab"),
         fault=st.sampled_from(TableFault),
         count=st.integers(0, 4),
     )
-    def table_fault(self, name, fault, count):
+    def inject_table_fault(self, name, fault, count):
         self.nodes[name][0].inject(fault, count)
 
     @rule(model=st.integers(0, 3))
-    def new_version(self, model):
+    def declare_new_version(self, model):
         self.version += 1
         self.document["models"][model]["version"] = str(self.version)
-        self.configure()
+        self.update_deployment()
 
     @rule(model=st.integers(0, 3), rate=st.integers(0, 60))
-    def demand_moves(self, model, rate):
+    def set_demand(self, model, rate):
         self.demand[f"m{model}"] = rate
 
     @rule(name=st.sampled_from("ab"))
@@ -208,13 +214,13 @@
         self.nodes[name] = self.make_node(name)
 
     @invariant()
-    def never_overcommitted(self):
+    def memory_is_never_overcommitted(self):
         for name, engine in getattr(self, "engines", {}).items():
-            assert engine.most <= CAPACITY, name
-            assert engine.used <= CAPACITY, name
+            assert engine.peak_used_mb <= CAPACITY, name
+            assert engine.used_mb <= CAPACITY, name
 
     def teardown(self):
-        """Once all is well again every model is resident."""
+        """Assert that every model is resident some time after all faults end."""
         if not hasattr(self, "engines"):
             return
         for engine in self.engines.values():
@@ -223,10 +229,10 @@
             table.inject(TableFault.NONE, 0)
         self.demand.clear()
         for _ in range(60):
-            self.work("a", 1)
-            self.work("b", 1)
-        held = {unit for engine in self.engines.values() for unit in engine.held}
-        assert {model.unit for model in self.deployment.models} <= held
+            self.run_rounds("a", 1)
+            self.run_rounds("b", 1)
+        resident = {unit for engine in self.engines.values() for unit in engine.loaded}
+        assert {model.unit for model in self.deployment.models} <= resident
 
 
 TestShardMachine = ShardMachine.TestCase
--- a/packages/runhatch-server/tests/test_shard_restored.py
+++ b/packages/runhatch-server/tests/test_shard_restored.py
@@ -1,4 +1,4 @@
-"""Planning one pool by a table that comes back from an older copy."""
+"""Planning of one pool when the table is restored from an older copy."""
 
 from concurrent.futures import ThreadPoolExecutor
 from datetime import timedelta
@@ -17,31 +17,31 @@
 TTL = timedelta(seconds=6)
 SECOND = timedelta(seconds=1)
 ROUNDS = 30
-"""Enough to take a lease over, and to load and unload."""
+"""Planning rounds that suffice to take over a lease, load and unload."""
 
 
-class Engine:
-    """Takes every order at once, and remembers their numbers."""
+class FakeEngine:
+    """Applies every order at once and records its number."""
 
     def __init__(self):
-        self.numbers = []
-        self.held = {}
+        self.order_numbers = []
+        self.loaded = {}
 
     def give(self, order):
-        self.numbers.append(order.number)
+        self.order_numbers.append(order.number)
         if order.kind is OrderKind.UNLOAD:
-            self.held.pop(order.unit, None)
+            self.loaded.pop(order.unit, None)
         else:
-            self.held[order.unit] = order.memory_mb
+            self.loaded[order.unit] = order.memory_mb
         return OrderOutcome.ACCEPTED
 
     def report(self):
-        units = tuple(LoadedUnit(unit, mb) for unit, mb in self.held.items())
-        return EngineReport("i", max(self.numbers, default=0), units, 0, 0)
+        units = tuple(LoadedUnit(unit, mb) for unit, mb in self.loaded.items())
+        return EngineReport("i", max(self.order_numbers, default=0), units, 0, 0)
 
 
 class Pool:
-    """One pool, its engines, and the node that plans it."""
+    """A pool, its engines and the node that plans it."""
 
     def __init__(self):
         self.memory = MemoryTable()
@@ -52,13 +52,13 @@
         self.version = 1
         self.deployment = Deployment.model_validate(self.document)
         pool = self.deployment.pools[0]
-        self.engines = {target.url: Engine() for target in pool.targets}
+        self.engines = {target.url: FakeEngine() for target in pool.targets}
         self.picture = Picture()
         self.picture.configure(self.deployment)
-        self.start("a")
+        self.start_node("a")
 
-    def start(self, name):
-        """The node of ``name`` plans from now on, and the one before does not."""
+    def start_node(self, name):
+        """Plan by the node ``name`` from now on, instead of the previous one."""
         self.table = FaultyTable(self.memory)
         self.lease = Lease(self.table, self.clock, "reader", name, TTL)
         self.planner = ShardPlanner(
@@ -73,7 +73,7 @@
         )
         self.epoch = 0
 
-    def plan(self, rounds=ROUNDS):
+    def run_rounds(self, rounds=ROUNDS):
         for _ in range(rounds):
             self.clock.advance(SECOND)
             self.lease.step()
@@ -82,25 +82,25 @@
                 self.planner.forget()
                 self.epoch = 0 if epoch is None else epoch.number
             if epoch is not None:
-                self.plan_once(epoch)
+                self.run_round(epoch)
 
-    def plan_once(self, epoch):
+    def run_round(self, epoch):
         pool = self.deployment.pools[0]
         try:
             self.planner.step(self.deployment, pool, epoch, frozenset())
         except LedgerLostError:
             pass
 
-    def change(self):
-        """Declare another version of every model, so that targets get orders."""
+    def declare_new_versions(self):
+        """Declare a new version of every model, so that targets get orders."""
         self.version += 1
         for model in self.document["models"]:
             model["version"] = str(self.version)
         self.deployment = Deployment.model_validate(self.document)
         self.picture.configure(self.deployment)
 
-    def ordered(self):
-        return {url: list(engine.numbers) for url, engine in self.engines.items()}
+    def order_numbers(self):
+        return {url: list(engine.order_numbers) for url, engine in self.engines.items()}
 
 
 @pytest.fixture
@@ -109,56 +109,63 @@
 
 
 class TestRestored:
-    """Orders are numbered by rows that go back with the table."""
+    """Order numbers come from row versions, which a restored table repeats."""
 
     @pytest.mark.parametrize("planner", ["a", "b"])
     @pytest.mark.parametrize("rounds", [0, 4, ROUNDS])
-    def test_numbers_of_orders_go_on_rising(self, pool, rounds, planner):
-        """Rows of the copy are of any age, and may be missing."""
-        pool.plan(rounds)
+    def test_order_numbers_rise_after_a_restore(self, pool, rounds, planner):
+        """Orders after a restore have higher numbers than all before it.
+
+        Otherwise engines would refuse them.  The copy may lack rows or be of any age.
+        """
+        pool.run_rounds(rounds)
         pool.memory.copy()
-        pool.plan()
-        pool.change()
-        pool.plan()
-        before = pool.ordered()
-        assert all(before.values())
+        pool.run_rounds()
+        pool.declare_new_versions()
+        pool.run_rounds()
+        numbers_before = pool.order_numbers()
+        assert all(numbers_before.values())
         pool.memory.restore()
         if planner != "a":
-            pool.start(planner)
-        pool.plan()
-        pool.change()
-        pool.plan()
-
-        for url, numbers in pool.ordered().items():
-            later = numbers[len(before[url]) :]
-            assert later, url
-            assert min(later) > max(before[url]), url
-
-    def test_what_was_numbered_before_is_not_ordered_after(self, pool):
-        """The row was written in the next era, under a condition that held there."""
-        pool.plan()
+            pool.start_node(planner)
+        pool.run_rounds()
+        pool.declare_new_versions()
+        pool.run_rounds()
+
+        for url, numbers in pool.order_numbers().items():
+            numbers_after = numbers[len(numbers_before[url]) :]
+            assert numbers_after, url
+            assert min(numbers_after) > max(numbers_before[url]), url
+
+    def test_order_numbered_before_a_restore_is_not_sent(self, pool):
+        """A write that spans a restore returns ``Unknown``, though its condition held.
+
+        Its order number belongs to the earlier era and is too low in the new one.
+        """
+        pool.run_rounds()
         store = LedgerStore(pool.table, "reader", "a")
-        held = store.read_all()[0]
+        stored = store.read_all()[0]
         pool.memory.copy()
         pool.memory.restore()
 
-        written = store.write(held.row, held, pool.lease.held())
+        written = store.write(stored.row, stored, pool.lease.held())
 
         assert isinstance(written, Unknown)
-        assert store.read_all()[0].next_order > held.next_order
+        assert store.read_all()[0].next_order > stored.next_order
 
-    def test_what_is_served_is_told_though_rows_are_counted_again(self, pool):
+    def test_hostings_are_published_after_a_restore(self, pool):
+        """Hostings stay current although the versions of rows repeat."""
         pool.memory.copy()
         for _ in range(2):
-            pool.plan()
-            pool.change()
-        pool.plan()
+            pool.run_rounds()
+            pool.declare_new_versions()
+        pool.run_rounds()
         pool.memory.restore()
-        pool.change()
-        pool.plan(2 * ROUNDS)
+        pool.declare_new_versions()
+        pool.run_rounds(2 * ROUNDS)
 
-        told = {
+        published = {
             hosting.target: set(hosting.units) for hosting in pool.picture.hostings()
         }
         targets = pool.deployment.pools[0].targets
-        assert told == {t.name: set(pool.engines[t.url].held) for t in targets}
+        assert published == {t.name: set(pool.engines[t.url].loaded) for t in targets}
