--- a/packages/runhatch-server/tests/test_peers.py
+++ b/packages/runhatch-server/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Peer links and what travels on them, with and without keys."""
+"""Peer links and the facts sent over them, with and without TLS keys."""
 
 import threading
 import time
@@ -20,24 +20,24 @@
 from runhatch_server.settings import PeerTls
 
 
-class Received:
-    """Collects facts, and waits for as many as wanted."""
+class FactCollector:
+    """Collects received facts; :meth:`wait` blocks until there are enough."""
 
     def __init__(self):
         self.facts = []
         self.senders = set()
         self.links = None
-        self._more = threading.Condition()
+        self._changed = threading.Condition()
 
     def __call__(self, envelope: Envelope):
-        with self._more:
+        with self._changed:
             self.facts += envelope.facts
             self.senders.add(envelope.sender.name)
-            self._more.notify_all()
+            self._changed.notify_all()
 
     def wait(self, count, seconds=5.0):
-        with self._more:
-            return self._more.wait_for(lambda: len(self.facts) >= count, seconds)
+        with self._changed:
+            return self._changed.wait_for(lambda: len(self.facts) >= count, seconds)
 
 
 def open_links(name, received, tls=None, interval=0.1):
@@ -63,8 +63,8 @@
     opened = []
 
     def make(tls_a=None, tls_b=None):
-        received = Received()
-        a = open_links("a", Received(), tls_a)
+        received = FactCollector()
+        a = open_links("a", FactCollector(), tls_a)
         b = open_links("b", received, tls_b)
         opened.extend([a, b])
         received.links = b
@@ -91,10 +91,10 @@
 
 
 class TestPeerLinks:
-    """Facts arrive, in order, under their sender's name."""
+    """Delivery of facts, use of links, and TLS keys."""
 
     def test_facts_arrive_in_order(self, pair):
-        """What is told to all peers arrives whole and in order."""
+        """Facts sent to all peers arrive completely and in order."""
         a, received = pair()
         facts = [HostingFact(f"w{i}", i, ("m@1",)) for i in range(50)]
         for fact in facts:
@@ -103,24 +103,31 @@
         assert received.facts == facts
         assert received.senders == {"a"}
 
-    def test_closing_is_told(self, pair):
-        """A peer that is linked to no more hears so, and times no silence."""
+    def test_closed_link_is_announced(self, pair):
+        """A closed link is announced; otherwise the peer would suspect the silence."""
         a, received = pair()
         a.keep(frozenset())
         assert received.wait(1)
         assert received.facts == [LinkClosed()]
 
     def test_address_in_use(self, pair):
-        """An address that is taken is one clear error."""
+        """An address in use raises an ``OSError`` that names it."""
         a, received = pair()
-        taken = address(a)
-        with pytest.raises(OSError, match=f"{taken}.*in use"):
+        used_address = address(a)
+        with pytest.raises(OSError, match=f"{used_address}.*in use"):
             PeerLinks(
-                taken, None, received, Metrics(), timedelta(1), 1000, None, pytest.fail
+                used_address,
+                None,
+                received,
+                Metrics(),
+                timedelta(1),
+                1000,
+                None,
+                pytest.fail,
             )
 
-    def test_a_held_link_carries_only_what_is_told_to_it(self, pair):
-        """No heartbeat, nothing that goes to all, and one connection for many facts."""
+    def test_direct_link_sends_only_facts_addressed_to_it(self, pair):
+        """A direct link sends no heartbeats or facts to all, and stays open."""
         a, received = pair()
         target = next(iter(a._links))
         a.keep(frozenset())
@@ -137,8 +144,8 @@
         a.hold("")
         assert a._direct_link is None
 
-    def test_passing_link(self, pair):
-        """A fact for one address needs no kept link."""
+    def test_fact_to_unlinked_address(self, pair):
+        """A fact can be sent to an address without a link."""
         a, received = pair()
         target = next(iter(a._links))
         a.keep(frozenset())
@@ -147,7 +154,7 @@
         assert RevisionNotice(7) in received.facts
 
     def test_keys_of_one_authority(self, pair, tmp_path):
-        """With keys of one authority the link works."""
+        """Nodes with keys of the same authority exchange facts."""
         authority = trustme.CA()
         a, received = pair(
             write_keys(tmp_path / "a", authority), write_keys(tmp_path / "b", authority)
@@ -155,18 +162,18 @@
         a.tell_all(RevisionNotice(1))
         assert received.wait(1)
 
-    @pytest.mark.parametrize("stranger", ["other authority", "no keys"])
-    def test_strangers_are_not_heard(self, pair, tmp_path, stranger):
-        """A peer without a key of the authority is not listened to."""
+    @pytest.mark.parametrize("sender_keys", ["other authority", "no keys"])
+    def test_facts_without_trusted_keys_are_rejected(self, pair, tmp_path, sender_keys):
+        """Facts from a peer without keys of the same authority are not received."""
         own = write_keys(tmp_path / "b", trustme.CA())
         other = write_keys(tmp_path / "a", trustme.CA())
-        a, received = pair(other if stranger == "other authority" else None, own)
+        a, received = pair(other if sender_keys == "other authority" else None, own)
         a.tell_all(RevisionNotice(1))
         time.sleep(1)
         assert received.facts == []
 
-    def test_renewed_keys(self, pair, tmp_path):
-        """New keys are in force on both sides without a restart."""
+    def test_renewed_keys_take_effect_without_restart(self, pair, tmp_path):
+        """Renewed keys are used in both directions without a restart."""
         old, new = trustme.CA(), trustme.CA()
         folders = tmp_path / "a", tmp_path / "b"
         a, received = pair(*(write_keys(folder, old) for folder in folders))
@@ -184,21 +191,21 @@
         assert received.facts[-1] == RevisionNotice(3)
 
     @pytest.mark.parametrize("broken", ["certificate", "key", "authority"])
-    def test_unusable_keys_change_nothing(self, pair, tmp_path, broken):
-        """Half-written or unfitting files leave the keys in force as they are."""
+    def test_unusable_keys_leave_current_keys_in_use(self, pair, tmp_path, broken):
+        """Incomplete or mismatching key files leave the current keys in use."""
         authority = trustme.CA()
         folders = tmp_path / "a", tmp_path / "b"
         a, received = pair(*(write_keys(folder, authority) for folder in folders))
-        other = trustme.CA().issue_cert("runhatch-peer").private_key_pem.bytes()
-        bad = other if broken == "key" else b"-----BEGIN"
-        (folders[1] / f"{broken}.pem").write_bytes(bad)
+        other_key = trustme.CA().issue_cert("runhatch-peer").private_key_pem.bytes()
+        content = other_key if broken == "key" else b"-----BEGIN"
+        (folders[1] / f"{broken}.pem").write_bytes(content)
         received.links.renew_keys()
         a.tell_all(RevisionNotice(1))
         assert received.wait(1)
 
-    def test_unusable_keys_at_the_start(self, tmp_path):
-        """A node whose keys cannot be used says which in one line."""
+    def test_unusable_keys_prevent_start(self, tmp_path):
+        """Unusable keys at start raise an ``OSError`` that names the file."""
         keys = write_keys(tmp_path / "a", trustme.CA())
         keys.key_file.write_text("nothing")
         with pytest.raises(OSError, match=r"peering\.tls: found .*key\.pem"):
-            open_links("a", Received(), keys)
+            open_links("a", FactCollector(), keys)
