--- a/packages/runhatch-server/src/runhatch_server/placement/_shard.py
+++ b/packages/runhatch-server/src/runhatch_server/placement/_shard.py
@@ -68,8 +68,8 @@
         self._executor = executor
         self._metrics = metrics
         self._on_hosting = on_hosting
-        self._open_engine = engine
-        self._engines: dict[str, EngineClient] = {}
+        self._client_factory = engine
+        self._clients: dict[str, EngineClient] = {}
         self._rows: dict[str, VersionedRow] | None = None
         self._times: dict[str, dict[str, UnitTimes]] = defaultdict(dict)
         self._last_reports: dict[str, timedelta] = {}
@@ -174,9 +174,9 @@
 
     def _client(self, target: TargetSpec) -> EngineClient:
         key = f"{target.name} {target.url}"
-        if key not in self._engines:
-            self._engines[key] = self._open_engine(target.url)
-        return self._engines[key]
+        if key not in self._clients:
+            self._clients[key] = self._client_factory(target.url)
+        return self._clients[key]
 
     def _reconcile(
         self, target: TargetSpec, reading: Reading, epoch: Epoch
