--- a/packages/runhatch-coordination/src/runhatch_coordination/__init__.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/__init__.py
@@ -1,7 +1,7 @@
-"""Coordination for many nodes over a transactional table.
+"""Coordination of many nodes through a transactional table.
 
-Leases with epochs, conditional writes with lost answers, at-most-once claims,
-revisions, membership, shared permits and retry budgets.
+Provides leases with epochs, conditional writes that resolve lost answers,
+at-most-once claims, revisions, membership, shared permits and retry budgets.
 """
 
 from runhatch_coordination._budget import RetryBudget
--- a/packages/runhatch-coordination/src/runhatch_coordination/_budget.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/_budget.py
@@ -1,4 +1,4 @@
-"""A retry budget: retries are paid for by successes."""
+"""Retry budget: limits retries to a share of recent successes."""
 
 import threading
 
@@ -7,10 +7,11 @@
 
 
 class RetryBudget:
-    """Allows retries up to a share of recent successes.
+    """Token bucket that allows retries up to a share of recent successes.
 
-    With every target failing nothing is paid in, so attempts stay close to one a
-    request once ``reserve`` is used up.
+    Each success adds ``share`` tokens and each retry takes one.  While every target
+    fails no tokens are added, so once the initial ``reserve`` is used up each request
+    is attempted only once.
 
     >>> budget = RetryBudget(share=0.5, reserve=1)
     >>> [budget.withdraw(), budget.withdraw()]
@@ -31,13 +32,13 @@
         self._lock = threading.Lock()
 
     def deposit(self) -> None:
-        """Record one success."""
+        """Record one success, which adds ``share`` tokens."""
         with self._lock:
             limit = 10 * self._reserve
             self._balance = min(limit, self._balance + self._share)
 
     def withdraw(self) -> bool:
-        """Pay for one retry; false means that it must not be made."""
+        """Take the token for one retry; return false if the retry must not be made."""
         with self._lock:
             if self._balance < 1:
                 return False
--- a/packages/runhatch-coordination/src/runhatch_coordination/_clock.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/_clock.py
@@ -1,4 +1,4 @@
-"""The clock interface that everything which waits or ages is handed."""
+"""Clock interface for code that waits or measures durations."""
 
 import time
 from datetime import UTC, datetime, timedelta
@@ -8,8 +8,8 @@
 class Clock(Protocol):
     """Source of time; production uses :class:`SystemClock`.
 
-    ``elapsed`` is for ages and deadlines, ``now`` only for records people read:
-    no decision compares the wall clocks of two VMs.
+    Use ``elapsed`` for ages and deadlines, and ``now`` only for records that people
+    read: no decision may compare the wall clocks of two VMs.
 
     .. versionadded:: 0.1
     """
@@ -18,17 +18,18 @@
         """Return the wall time, in UTC."""
 
     def elapsed(self) -> timedelta:
-        """Return the time since an arbitrary fixed point; never goes back."""
+        """Return the time since an arbitrary fixed point; it never decreases."""
 
     def sleep(self, duration: timedelta) -> None:
         """Block the calling thread for ``duration``."""
 
 
 class SystemClock:
-    """The operating system's clocks.
+    """Clock that reads the operating system's clocks.
 
-    ``elapsed`` reads the boot-time clock, which unlike the monotonic one also
-    advances while the VM is suspended: a lease must not look fresh after that.
+    ``elapsed`` reads the boot-time clock.  Unlike the monotonic clock it also advances
+    while the VM is suspended, so that an expired lease does not appear valid after
+    the VM resumes.
     """
 
     def now(self) -> datetime:
@@ -36,7 +37,7 @@
         return datetime.now(UTC)
 
     def elapsed(self) -> timedelta:
-        """Return the time since boot, suspended time included."""
+        """Return the time since boot, including suspended time."""
         return timedelta(seconds=time.clock_gettime(time.CLOCK_BOOTTIME))
 
     def sleep(self, duration: timedelta) -> None:
--- a/packages/runhatch-coordination/src/runhatch_coordination/_errors.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/_errors.py
@@ -1,24 +1,24 @@
-"""The exception tree of the library.
+"""Exceptions of the library.
 
-Expected outcomes (a conflict, a store that is down) are values, not exceptions.
+Expected outcomes (a conflict, an unavailable store) are return values, not exceptions.
 """
 
 
 class CoordinationError(Exception):
-    """Base of every exception this library raises.
+    """Base class of every exception that this library raises.
 
     .. versionadded:: 0.1
     """
 
 
 class InvariantError(CoordinationError):
-    """A promise of the system is broken; the process must stop."""
+    """An invariant of the system is violated; the process must exit."""
 
 
 def require(holds: bool, promise: str) -> None:
-    """Raise :class:`InvariantError` naming ``promise`` unless it ``holds``.
+    """Raise :class:`InvariantError` with the message ``promise`` unless ``holds``.
 
-    Unlike ``assert`` it stays in force under ``python -O``.
+    Unlike ``assert``, the check also runs under ``python -O``.
 
     >>> require(True, "sum of charges <= capacity")
     >>> require(False, "sum of charges <= capacity")
