--- a/packages/runhatch-coordination/src/runhatch_coordination/_claims.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/_claims.py
@@ -1,7 +1,7 @@
-"""At-most-once claims: whoever inserts a key's row may act on it.
+"""At-most-once claims: the node that inserts a key's row may run the action.
 
-A claim is never taken from its node by timing: a paused node may still act.  Only
-the node itself releases it, after it knows that it did not act.
+A claim never expires by a timeout, because a paused node may still run the action.
+Only the node that holds a claim releases it, knowing that the action has not run.
 """
 
 import threading
@@ -36,7 +36,7 @@
 
 
 class ClaimState(Enum):
-    """How far the claimed action is known to have come."""
+    """Recorded progress of the claimed action."""
 
     OPEN = "open"
     DONE = "done"
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimRecord:
-    """Body of a claim row; ``result`` is, or names, the kept answer once done."""
+    """Body of a claim row; ``result`` holds or locates the answer once it is done."""
 
     attempt: str
     node: str
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Taken:
-    """The caller holds the claim and may act, once."""
+    """The caller holds the claim and may run the action once."""
 
     key: str
     record: ClaimRecord
@@ -63,14 +63,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Done:
-    """The action ran earlier; ``result`` is what it was finished with."""
+    """The action has already run; ``result`` is the value passed to ``finish``."""
 
     result: str
 
 
 @dataclass(frozen=True, slots=True)
 class Pending:
-    """Another attempt holds the claim, on ``node``; it may or may not have run."""
+    """Another attempt, on ``node``, holds the claim; its action may have run."""
 
     node: str
     attempt: str
@@ -78,21 +78,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Mismatch:
-    """The key was used before with another request."""
+    """The key was already used for a different request."""
 
 
 ClaimOutcome = Taken | Done | Pending | Mismatch | Unavailable
 
 
 class Committer(Protocol):
-    """Whatever commits a transaction and settles lost answers."""
+    """Commits transactions and resolves lost answers."""
 
     def commit(self, writes: Sequence[Write]) -> TransactOutcome:
-        """Apply all ``writes`` or none."""
+        """Apply all ``writes`` or none of them."""
 
 
 class Claims:
-    """The claims of one node.
+    """Takes and settles claims on behalf of one node.
 
     .. versionadded:: 0.1
     """
@@ -111,72 +111,78 @@
         self._committer = committer
         self._node = node
         self._lock = threading.Lock()
-        self._unsettled: set[str] = set()
+        self._unused_attempts: set[str] = set()
 
     def take(self, key: str, digest: str) -> ClaimOutcome:
         """Try to claim ``key`` for a request with ``digest``.
 
-        A claim whose insertion stays unsettled is not taken: its attempt is
-        remembered as never acted on, so that :meth:`read` by this node releases it.
+        If the outcome of the insertion stays unknown, return ``Unavailable`` and
+        record the attempt as unused, so that a later :meth:`read` on this node can
+        take the claim.
         """
         record = ClaimRecord(uuid.uuid4().hex, self._node, digest, ClaimState.OPEN)
-        put = self._put(key, record, ABSENT)
-        outcome = self._committer.commit([put])
+        insertion = self._make_put(key, record, ABSENT)
+        outcome = self._committer.commit([insertion])
         if isinstance(outcome, Committed):
             return Taken(key, record)
         if isinstance(outcome, Conflict):
             return self.read(key, digest)
         if isinstance(outcome, Unknown):
             with self._lock:
-                self._unsettled.add(record.attempt)
+                self._unused_attempts.add(record.attempt)
         return Unavailable(outcome.reason)
 
     def read(self, key: str, digest: str) -> ClaimOutcome:
-        """Look at an existing claim; takes it over if this node left it unacted."""
+        """Read a claim, and take it if this node has an unused attempt on it."""
         found = self._table.get(Key(CLAIM_PARTITION, key))
         if isinstance(found, Unavailable):
             return found
         if isinstance(found, Missing):
-            return Unavailable("the claim was just released")
+            return Unavailable("the claim was released concurrently")
         record = msgspec.json.decode(found.body, type=ClaimRecord)
         if record.digest != digest:
             return Mismatch()
         if record.state is ClaimState.DONE:
             return Done(record.result)
         with self._lock:
-            mine = record.attempt in self._unsettled
-            self._unsettled.discard(record.attempt)
-        if mine:
+            is_unused = record.attempt in self._unused_attempts
+            self._unused_attempts.discard(record.attempt)
+        if is_unused:
             return Taken(key, record)
         return Pending(record.node, record.attempt)
 
     def finish(self, taken: Taken, result: str) -> TransactOutcome:
-        """Record that the action ran, with its answer or where that is kept."""
-        done = ClaimRecord(
+        """Record that the action ran; ``result`` holds or locates its answer."""
+        finished = ClaimRecord(
             taken.record.attempt,
             self._node,
             taken.record.digest,
             ClaimState.DONE,
             result,
         )
-        return self._settle(taken, lambda expect: self._put(taken.key, done, expect))
+        return self._update_claim(
+            taken, lambda expect: self._make_put(taken.key, finished, expect)
+        )
 
     def release(self, taken: Taken) -> None:
-        """Give back a claim that was certainly not acted on.
+        """Release a claim whose action has certainly not run.
 
-        If the table cannot be reached the attempt is remembered instead, and a
-        repeat that comes to this node takes it over.
+        If the table is unreachable, record the attempt as unused instead, so that a
+        repeated request on this node can take the claim.
         """
         key = Key(CLAIM_PARTITION, taken.key)
-        outcome = self._settle(taken, lambda expect: Delete(key, expect))
+        outcome = self._update_claim(taken, lambda expect: Delete(key, expect))
         if isinstance(outcome, Unavailable | Unknown):
             with self._lock:
-                self._unsettled.add(taken.record.attempt)
+                self._unused_attempts.add(taken.record.attempt)
 
-    def _settle(
+    def _update_claim(
         self, taken: Taken, write: Callable[[int], Put | Delete]
     ) -> TransactOutcome:
-        """Write to the claim; in a copy that the table came back from as well."""
+        """Update the claim row, also after the table was restored from a copy.
+
+        A restored row may have another version but still hold this attempt.
+        """
         outcome = self._committer.commit([write(ABSENT + 1)])
         if not isinstance(outcome, Conflict):
             return outcome
@@ -185,12 +191,12 @@
             return outcome
         return self._committer.commit([write(found.version)])
 
-    def _put(self, key: str, record: ClaimRecord, expect: int) -> Put:
+    def _make_put(self, key: str, record: ClaimRecord, expect: int) -> Put:
         body = msgspec.json.encode(record)
         expires = self._clock.now() + self._retention
         return Put(Key(CLAIM_PARTITION, key), body, expect, expires)
 
 
 def stored_claim(row: Row) -> ClaimRecord:
-    """Decode a claim row, for operators and checkers."""
+    """Decode a claim row, for operator tools and consistency checks."""
     return msgspec.json.decode(row.body, type=ClaimRecord)
--- a/packages/runhatch-coordination/src/runhatch_coordination/_commit.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/_commit.py
@@ -1,4 +1,4 @@
-"""Committing a transaction whose answer may be lost."""
+"""Commits transactions and resolves the outcome when an answer is lost."""
 
 from collections.abc import Sequence
 
@@ -15,23 +15,23 @@
 )
 
 RESUBMISSIONS = 2
-"""How often a transaction with a lost answer is sent again."""
+"""Number of times that a transaction with a lost answer is sent again."""
 
 
 def commit(
     table: Table, writes: Sequence[Write], lost: bool = False
 ) -> TransactOutcome:
-    """Apply ``writes``, settling a lost answer where the table can tell.
+    """Apply ``writes``, and resolve a lost answer by resending and reading back.
 
-    The first ``Put`` is the evidence: its body must be unique to this call (hold
-    an operation id), and its key must not be written by a later call before this
-    one returns.  Sending the same transaction again is safe, since its conditions
-    hold at most once.
+    The first ``Put`` identifies the transaction: its body must be unique to this call
+    (contain an operation id), and no later call may write its key before this call
+    returns.  Resending the transaction is safe because its conditions hold at most
+    once.
 
-    ``lost`` says that an earlier sending of ``writes`` already lost its answer.
+    ``lost`` means that a previous attempt to send ``writes`` already lost its answer.
 
-    Returns ``Unknown`` only if the table stays unreachable, or the evidence has
-    been overwritten since.
+    Return ``Unknown`` only if the table stays unreachable or the row of the first
+    ``Put`` has been overwritten or deleted.
     """
     outcome = table.transact(writes)
     for _ in range(RESUBMISSIONS):
@@ -43,25 +43,28 @@
         return outcome
     if isinstance(outcome, Conflict):
         return _read_back(table, writes, outcome)
-    return Unknown("the store does not answer")
+    return Unknown("the table did not answer")
 
 
 def _read_back(
     table: Table, writes: Sequence[Write], conflict: Conflict
 ) -> TransactOutcome:
-    evidence = next(write for write in writes if isinstance(write, Put))
-    found = table.get(evidence.key)
+    first_put = next(write for write in writes if isinstance(write, Put))
+    found = table.get(first_put.key)
     if not isinstance(found, Row):
-        return Unknown("evidence is gone")
-    writes_since = _writes_between(evidence.expect, found.version)
+        return Unknown("the row of the first put cannot be read back")
+    writes_since = _writes_between(first_put.expect, found.version)
     if writes_since == 1:
-        return Committed() if found.body == evidence.body else conflict
+        return Committed() if found.body == first_put.body else conflict
     if writes_since <= 0:
         return conflict
-    return Unknown("evidence was overwritten")
+    return Unknown("the row of the first put was overwritten")
 
 
 def _writes_between(before: int, after: int) -> int:
-    """Return by how many writes ``after`` follows ``before``, a plain count maybe."""
+    """Return the number of writes between two versions of a row.
+
+    ``before`` may be a plain count, without an era.
+    """
     is_plain = era_of(StoreVersion(before)) == 0
     return (number_of(StoreVersion(after)) if is_plain else after) - before
