--- a/packages/runhatch-coordination/src/runhatch_coordination/_group.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/_group.py
@@ -1,4 +1,4 @@
-"""Group commit: many small transactions in one call to the table."""
+"""Group commit: combines many small transactions into one call to the table."""
 
 import contextlib
 import queue
@@ -18,7 +18,7 @@
 )
 
 MAX_GROUP = 50
-"""Transactions to a call; with two writes each it stays within 100 items."""
+"""Transactions in one call; with two writes each, a call has at most 100 items."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,12 +28,12 @@
 
 
 class GroupCommitter:
-    """Commits transactions of many threads together.
+    """Commits the transactions of many threads in shared calls.
 
-    What arrives while one call is under way goes with the next, so a lone caller
-    waits for nothing and a crowd shares calls.  Where a member conflicts, the
-    rest is sent again without it; a member is never reported by another's
-    outcome.
+    Transactions submitted during a call are sent with the next one, so a single
+    caller does not wait and concurrent callers share calls.  If some transactions of
+    a group conflict, the others are sent again without them; each transaction gets
+    its own outcome.
 
     .. versionadded:: 0.1
     """
@@ -43,47 +43,47 @@
         self._pending: queue.SimpleQueue[_Submission | None] = queue.SimpleQueue()
         self._thread = threading.Thread(target=self._run, name="group", daemon=True)
         self.calls = 0
-        """Calls made to the table so far."""
+        """Number of group calls made to the table."""
         self._thread.start()
 
     def submit(self, writes: Sequence[Write]) -> Future[TransactOutcome]:
-        """Queue ``writes`` as one all-or-nothing transaction."""
+        """Queue ``writes`` as one atomic transaction and return its future outcome."""
         future: Future[TransactOutcome] = Future()
         self._pending.put(_Submission(tuple(writes), future))
         return future
 
     def commit(self, writes: Sequence[Write]) -> TransactOutcome:
-        """Queue ``writes`` and wait for their outcome."""
+        """Queue ``writes`` as one atomic transaction and wait for its outcome."""
         return self.submit(writes).result()
 
     def close(self) -> None:
-        """Finish what is queued and stop the thread."""
+        """Commit the queued transactions and stop the thread."""
         self._pending.put(None)
         self._thread.join()
 
     def _run(self) -> None:
         closing = False
         while not closing:
-            first = self._pending.get()
-            if first is None:
+            submission = self._pending.get()
+            if submission is None:
                 return
-            group = [first]
-            keys = _keys(first)
-            carried: list[_Submission] = []
+            group = [submission]
+            keys = _row_keys(submission)
+            deferred: list[_Submission] = []
             with contextlib.suppress(queue.Empty):
                 while len(group) < MAX_GROUP:
                     member = self._pending.get_nowait()
                     if member is None:
                         closing = True
                         break
-                    # A transaction may touch a row only once.
-                    if keys.isdisjoint(_keys(member)):
+                    # A transaction may contain each row only once.
+                    if keys.isdisjoint(_row_keys(member)):
                         group.append(member)
-                        keys |= _keys(member)
+                        keys |= _row_keys(member)
                     else:
-                        carried.append(member)
+                        deferred.append(member)
             self._commit_group(group)
-            for member in carried:
+            for member in deferred:
                 self._commit_group([member])
 
     def _commit_group(self, group: list[_Submission]) -> None:
@@ -95,33 +95,35 @@
                 return
             outcome = self._table.transact(writes)
             if isinstance(outcome, Conflict) and outcome.failed:
-                group = self._drop_conflicting(group, set(outcome.failed))
+                group = self._remove_conflicting(group, set(outcome.failed))
                 continue
             if isinstance(outcome, Unknown):
-                # Each member settles its own lost answer.
+                # Resolve the lost answer of each transaction separately.
                 for member in group:
-                    settled = commit(self._table, member.writes, lost=True)
-                    member.future.set_result(settled)
+                    member_outcome = commit(self._table, member.writes, lost=True)
+                    member.future.set_result(member_outcome)
                 return
             for member in group:
                 member.future.set_result(outcome)
             return
 
-    def _drop_conflicting(
+    def _remove_conflicting(
         self, group: list[_Submission], failed: set[int]
     ) -> list[_Submission]:
-        kept = []
+        remaining = []
         position = 0
         for member in group:
             span = range(position, position + len(member.writes))
             position = span.stop
             if failed.isdisjoint(span):
-                kept.append(member)
+                remaining.append(member)
                 continue
-            own = tuple(index - span.start for index in sorted(failed & set(span)))
-            member.future.set_result(Conflict(own))
-        return kept
+            own_failed = tuple(
+                index - span.start for index in sorted(failed & set(span))
+            )
+            member.future.set_result(Conflict(own_failed))
+        return remaining
 
 
-def _keys(member: _Submission) -> set[Key]:
+def _row_keys(member: _Submission) -> set[Key]:
     return {write.key for write in member.writes}
--- a/packages/runhatch-coordination/src/runhatch_coordination/_permits.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/_permits.py
@@ -1,8 +1,8 @@
-"""Permits for a rate that several nodes share, such as a weight store's.
+"""Permits for a rate limit shared by several nodes, such as that of a weight store.
 
-One row counts the permits given out and names those in use.  Nobody compares wall
-clocks: a node spaces permits by its own clock from when it saw the row change,
-which is never earlier than the change itself.
+One row counts the permits granted and lists those in use.  Nodes do not compare wall
+clocks: each node spaces permits by its own clock from the moment when it saw the row
+change, which is never earlier than the change itself.
 """
 
 from collections.abc import Sequence
@@ -26,19 +26,19 @@
 
 PERMIT_PARTITION = "permit"
 BURST = timedelta(seconds=1)
-"""How long unused permits are kept for later."""
+"""Period over which unused permits accumulate."""
 
 
 @dataclass(frozen=True, slots=True)
 class PermitRecord:
-    """Body of a permit row: who uses a permit now, and for what."""
+    """Body of a permit row: the number of permits granted and their current users."""
 
     given: int
     in_use: tuple[str, ...]
 
 
 class SharedPermits:
-    """At most ``at_once`` permits in use and ``per_second`` given out.
+    """Limits permits to ``at_once`` in use and ``per_second`` granted over all nodes.
 
     .. versionadded:: 0.1
     """
@@ -55,75 +55,77 @@
         self._clock = clock
         self._key = Key(PERMIT_PARTITION, name)
         self._interval = timedelta(seconds=1 / per_second)
-        self._at_once = at_once
-        self._given: StoreVersion | None = None
-        """Permits given out, in the era in which the row was read."""
-        self._seen_at = timedelta()
+        self._max_in_use = at_once
+        self._granted_version: StoreVersion | None = None
+        """Number of permits granted, with the era in which the row was read."""
+        self._changed_at = timedelta()
 
     def acquire(self, users: Sequence[str]) -> frozenset[str]:
-        """Take permits for ``users``, the first ones first, as far as they go.
+        """Acquire permits for ``users``, in order, as far as permits are available.
 
-        Returns those who have one now.  Asking again for a permit in use succeeds
-        and changes nothing.  What was not taken for up to a second may be taken
-        at once.
+        Return the users that hold a permit now, including those that already held
+        one.  Permits unused for up to ``BURST`` may be acquired together.
         """
-        loaded = self._load()
+        loaded = self._load_record()
         if loaded is None:
             return frozenset()
         version, record = loaded
         held = frozenset(users).intersection(record.in_use)
-        fresh = [user for user in users if user not in held]
-        granted = tuple(fresh[: self._open_now(record)])
+        waiting = [user for user in users if user not in held]
+        granted = tuple(waiting[: self._count_available(record)])
         if not granted:
             return held
-        taken = PermitRecord(record.given + len(granted), (*record.in_use, *granted))
-        return held.union(granted) if self._store(version, taken) else held
+        updated = PermitRecord(record.given + len(granted), (*record.in_use, *granted))
+        return held.union(granted) if self._store_record(version, updated) else held
 
     def release(self, users: frozenset[str]) -> bool:
-        """Give back the permits of ``users``; those not in use are passed over."""
-        loaded = self._load()
+        """Release the permits of ``users``, ignoring users without one.
+
+        Return false if the table was not updated; the permits may still be in use.
+        """
+        loaded = self._load_record()
         if loaded is None:
             return False
         version, record = loaded
-        kept = tuple(user for user in record.in_use if user not in users)
-        if len(kept) == len(record.in_use):
+        remaining = tuple(user for user in record.in_use if user not in users)
+        if len(remaining) == len(record.in_use):
             return True
-        return self._store(version, PermitRecord(record.given, kept))
+        return self._store_record(version, PermitRecord(record.given, remaining))
 
     def in_use(self) -> tuple[str, ...]:
-        """Return the users of permits, empty if the table is unreachable."""
-        loaded = self._load()
+        """Return the users of permits; empty if the table is unreachable."""
+        loaded = self._load_record()
         return () if loaded is None else loaded[1].in_use
 
-    def _open_now(self, record: PermitRecord) -> int:
-        """Return how many permits may be given out at this moment."""
-        spared = (self._clock.elapsed() - self._seen_at) // self._interval
+    def _count_available(self, record: PermitRecord) -> int:
+        """Return the number of permits that may be granted now."""
+        accrued = (self._clock.elapsed() - self._changed_at) // self._interval
         burst = max(1, BURST // self._interval)
-        return max(0, min(spared, burst, self._at_once - len(record.in_use)))
+        return max(0, min(accrued, burst, self._max_in_use - len(record.in_use)))
 
-    def _load(self) -> tuple[int, PermitRecord] | None:
+    def _load_record(self) -> tuple[int, PermitRecord] | None:
         found = self._table.get(self._key)
         if isinstance(found, Unavailable):
             return None
         if isinstance(found, Missing):
-            self._observe(0, ABSENT)
+            self._record_change(0, ABSENT)
             return ABSENT, PermitRecord(0, ())
         record = msgspec.json.decode(found.body, type=PermitRecord)
-        self._observe(record.given, found.version)
+        self._record_change(record.given, found.version)
         return found.version, record
 
-    def _observe(self, given: int, version: int) -> None:
-        position = store_version(era_of(StoreVersion(version)), given)
-        if position != self._given:
-            # The first sight of the row counts as a change just made.
-            self._seen_at = self._clock.elapsed() if given else -self._interval
-            self._given = position
+    def _record_change(self, count: int, version: int) -> None:
+        granted_version = store_version(era_of(StoreVersion(version)), count)
+        if granted_version != self._granted_version:
+            # A row read for the first time counts as changed just now.
+            self._changed_at = self._clock.elapsed() if count else -self._interval
+            self._granted_version = granted_version
 
-    def _store(self, version: int, record: PermitRecord) -> bool:
+    def _store_record(self, version: int, record: PermitRecord) -> bool:
         body = msgspec.json.encode(record)
-        done = isinstance(
+        committed = isinstance(
             commit(self._table, [Put(self._key, body, version)]), Committed
         )
-        if done:
-            self._observe(record.given, version)
-        return done
+        if committed:
+            self._record_change(record.given, version)
+        return committed
