--- a/packages/runhatch-coordination/src/runhatch_coordination/_lease_records.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/_lease_records.py
@@ -1,4 +1,4 @@
-"""What a lease's row holds, and what is told of its changes."""
+"""Records of a lease: its stored row, its epoch and how it changed hands."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -9,10 +9,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseRecord:
-    """Body of a lease row; an empty ``holder`` means that it was given up.
+    """Body of a lease row; an empty ``holder`` means that it was released.
 
-    ``free_ms`` is for how many milliseconds no node but the holder had any right when
-    this was written, ``None`` if none ever had.  Rows of earlier versions lack it.
+    ``free_ms`` is the time in milliseconds, up to this write, during which only the
+    holder could have held the lease; ``None`` if no other node ever held it.  Rows
+    written by earlier versions lack the field.
     """
 
     holder: str
@@ -24,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Epoch:
-    """Proof of holding: the fence, which only rises, and a condition for writes."""
+    """Proof of holding a lease: an increasing fence and a condition for writes."""
 
     number: int
     guard: Check
@@ -39,7 +40,7 @@
     RESIGNED = "resigned"
     LAPSED = "lapsed"
     RESTORED = "lapsed since the table came back"
-    """Nobody knows who held it: the row may be the one of an older copy."""
+    """The last holder is unknown because the row may come from an older copy."""
     KEPT = "held by this process last"
 
 
@@ -47,10 +48,10 @@
 class Takeover:
     """How a lease was acquired.
 
-    ``holder`` and ``epoch`` stand in the row that was read for it: no holder if it
-    was given up, ``None`` if there was no row.  ``free_since`` is when the right of
-    any other node had surely ended, on the clock's elapsed time, ``None`` if no other
-    ever held it.
+    ``holder`` and ``epoch`` come from the row read before the acquisition: ``holder``
+    is empty if the lease was released and ``None`` if there was no row.
+    ``free_since`` is the elapsed time of the clock by which the lease had certainly
+    expired on every other node, ``None`` if no other node ever held it.
     """
 
     vacancy: Vacancy
@@ -61,22 +62,22 @@
 
     @property
     def is_from_another(self) -> bool:
-        """Whether other nodes may have acted since this process did."""
+        """Whether another node may have held the lease since this process did."""
         return self.vacancy is not Vacancy.KEPT and self.free_since is not None
 
     @property
     def predecessor(self) -> int:
-        """Epoch of the last holder, 0 if there was none or it is not known."""
-        is_unknown = self.vacancy in (Vacancy.RESTORED, Vacancy.KEPT)
-        return 0 if is_unknown else self.epoch
+        """Epoch of the previous holder, 0 if there was none or it is unknown."""
+        is_holder_unknown = self.vacancy in (Vacancy.RESTORED, Vacancy.KEPT)
+        return 0 if is_holder_unknown else self.epoch
 
 
 class LeaseChange(Enum):
-    """What one step did to the caller's own standing."""
+    """Effect of one step on this node's hold of the lease."""
 
     NONE = "none"
     ACQUIRED = "acquired"
     LOST = "lost"
     STORE_DOWN = "store_down"
     BEHIND = "behind"
-    """Not acquired: a newer epoch was heard of than the table's answers allow for."""
+    """Not acquired: an observed epoch is newer than those stored in the table."""
--- a/packages/runhatch-coordination/src/runhatch_coordination/_leases.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/_leases.py
@@ -1,14 +1,14 @@
-"""Leases with epochs, kept in two rows of the table.
+"""Leases with epochs, stored in two rows of the table.
 
-The lease row changes with each renewal; a challenger times it by its own clock
-from when it saw the row change.  The epoch row changes only when the holder does,
-so a holder's writes carry a cheap condition on it (:attr:`Epoch.guard`).
+The lease row changes with each renewal.  A challenger measures by its own clock how
+long the row has been unchanged.  The epoch row changes only when the holder changes,
+so a holder's writes can include a cheap condition on it (:attr:`Epoch.guard`).
 
-When the table comes back from an older copy, its rows name an earlier holder, and
-epochs are counted again.  Then every holder loses the lease, and fences go on in a new
-era.  A row whose fence is of an earlier era than the table says nothing of who held
-the lease last: nobody acquires it before the time to live of any holder is over, but
-for one whose own right still lasts.
+A table restored from an older copy names a previous holder and repeats epoch numbers.
+Every holder then loses the lease, and fences continue in a new era.  A row whose fence
+is from an era before that of the table does not identify the last holder.  No node
+acquires such a lease before the time to live of any holder has passed, except a node
+whose own lease is still valid.
 """
 
 import threading
@@ -47,21 +47,21 @@
 LEASE_PARTITION = "lease"
 EPOCH_PARTITION = "epoch"
 RENEW_SHARE = 3
-"""A holder renews when this fraction (one in N) of the time to live is gone."""
+"""A holder renews after one Nth of the time to live."""
 CHALLENGE_FACTOR = 1.2
-"""A challenger waits this many times to live; clocks of VMs drift apart by far less
-than a tenth."""
+"""Multiple of the time to live that a challenger waits; it exceeds 1 by more than the
+drift between the clocks of two VMs, which is far below a tenth."""
 MILLISECOND = timedelta(milliseconds=1)
 ERAS_A_STEP = 3
-"""Times that one step starts anew because an answer tells another era."""
+"""Maximum number of attempts in one step when answers reveal a new era."""
 
 
 class Lease:
-    """One lease as seen by one node; a single task calls :meth:`step`.
+    """One lease as seen by one node; a single thread calls :meth:`step`.
 
-    ``held`` may be read from any thread.  ``eager`` nodes challenge a free lease
-    at once, others after one time to live, so that the preferred node wins
-    without a race.
+    :meth:`held` may be called from any thread.  Nodes that pass ``eager`` challenge a
+    free lease at once, others after one time to live, so that the preferred node
+    acquires it without contention.
 
     .. versionadded:: 0.1
     """
@@ -84,34 +84,34 @@
         self._epoch_key = Key(EPOCH_PARTITION, name)
         self._lock = threading.Lock()
         self._era = table.era
-        """Era of the table that the row was read in, ``None`` if it was not known."""
-        self._kept_until = timedelta()
-        """Until when this node's right of an earlier era lasts; others wait for it."""
+        """Era of the table in which the row was read, ``None`` if unknown."""
+        self._previous_valid_until = timedelta()
+        """Expiry of this node's lease from the previous era; other nodes await it."""
         self._epoch = 0
         self._epoch_version = ABSENT
-        self._newest = 0
-        """The newest epoch that was heard of."""
+        self._newest_epoch = 0
+        """Newest epoch reported by any holder."""
         self._valid_until = timedelta()
         self._renew_at = timedelta()
         self._record: LeaseRecord | None = None
         self._version = ABSENT
-        self._seen_at: timedelta | None = None
+        self._unchanged_since: timedelta | None = None
         self._takeover: Takeover | None = None
-        self._renewal = -1
-        """Number of the last attempt to write the row: no two have the same body."""
-        self._last_epoch = 0
-        """The last epoch by which this process held the lease."""
-        self._resigned = 0
-        self._observed: tuple[int, int, timedelta] | None = None
+        self._last_renewal = -1
+        """Number of the last attempt to write the row; makes each body unique."""
+        self._last_held_epoch = 0
+        """Epoch in which this process last held the lease, 0 if it never did."""
+        self._resigned_epoch = 0
+        self._last_observed: tuple[int, int, timedelta] | None = None
 
     @property
     def record(self) -> LeaseRecord | None:
-        """The lease row as last read, for showing who holds it."""
+        """The lease row as last read or written; ``None`` if there was no row."""
         return self._record
 
     @property
     def takeover(self) -> Takeover | None:
-        """How this node acquired the lease the last time, ``None`` if it never did."""
+        """How this process last acquired the lease, ``None`` if it never did."""
         return self._takeover
 
     @property
@@ -119,107 +119,107 @@
         return None if self._takeover is None else self._takeover.free_since
 
     def left(self) -> timedelta:
-        """Return for how long this node holds the lease if it renews no more."""
+        """Return the time until this node's lease expires unless it is renewed."""
         with self._lock:
-            return self._left()
+            return self._remaining()
 
     def held(self) -> Epoch | None:
-        """Return the epoch if the lease is held by this node right now."""
+        """Return the current epoch if this node holds the lease, otherwise ``None``."""
         with self._lock:
-            if self._left() == timedelta():
+            if self._remaining() == timedelta():
                 return None
             guard = Check(self._epoch_key, self._epoch_version)
             return Epoch(self._epoch, guard)
 
-    def _left(self) -> timedelta:
-        if self._epoch < max(1, self._newest):
+    def _remaining(self) -> timedelta:
+        if self._epoch < max(1, self._newest_epoch):
             return timedelta()
         return max(timedelta(), self._valid_until - self._clock.elapsed())
 
     def observe(self, epoch: int, renewal: int) -> None:
-        """Take in from the holder itself that it has renewed the lease.
+        """Record a renewal of the lease that its holder reported.
 
-        A challenger that heard so need not watch the table: it times the holder
-        from the newest renewal that it heard of.  A holder of an earlier epoch
-        holds the lease no longer.
+        A challenger that receives such reports need not poll the table: it measures
+        the lease's age from the newest reported renewal.  If this node holds the
+        lease in an earlier epoch, it holds the lease no longer.
         """
         with self._lock:
-            self._newest = max(self._newest, epoch)
-        known = self._observed
-        if known is None or known[:2] < (epoch, renewal):
-            self._observed = (epoch, renewal, self._clock.elapsed())
+            self._newest_epoch = max(self._newest_epoch, epoch)
+        last_observed = self._last_observed
+        if last_observed is None or last_observed[:2] < (epoch, renewal):
+            self._last_observed = (epoch, renewal, self._clock.elapsed())
 
     def observe_resigned(self, epoch: int) -> None:
-        """Take in from the holder of ``epoch`` itself that it acts no longer."""
-        self._resigned = max(self._resigned, epoch)
+        """Record that the holder of ``epoch`` reported that it no longer acts."""
+        self._resigned_epoch = max(self._resigned_epoch, epoch)
 
     def step(self, eager: bool = True) -> LeaseChange:
-        """Renew, acquire or watch, whichever is due."""
-        held = self._epoch != 0
+        """Renew or acquire the lease if that is due, and return what changed."""
+        was_held = self._epoch != 0
         change = LeaseChange.NONE
         for _ in range(ERAS_A_STEP):
-            if self._is_restored():
-                self._start_anew()
+            if self._has_era_changed():
+                self._reset_for_new_era()
             change = self._step(eager)
-            if not self._is_restored():
+            if not self._has_era_changed():
                 break
-        lost = held and self._epoch == 0
-        return LeaseChange.LOST if lost else change
+        is_lost = was_held and self._epoch == 0
+        return LeaseChange.LOST if is_lost else change
 
-    def _is_restored(self) -> bool:
-        """Tell whether the table is in another era than what was read of it."""
+    def _has_era_changed(self) -> bool:
+        """Return whether the table's era differs from that of the rows read."""
         return self._table.era != self._era
 
-    def _start_anew(self) -> None:
-        """Forget what was read of the table's earlier era."""
-        kept_until = self._kept_until
+    def _reset_for_new_era(self) -> None:
+        """Discard what was read in the table's previous era."""
+        valid_until = self._previous_valid_until
         if self.held() is not None:
-            kept_until = self._valid_until
-        self._drop()
-        self._kept_until = kept_until
+            valid_until = self._valid_until
+        self._clear_hold()
+        self._previous_valid_until = valid_until
         self._record = None
         self._era = self._table.era
         self._version = ABSENT
 
     def _step(self, eager: bool) -> LeaseChange:
         if self._epoch and self.held() is None:
-            self._drop()
+            self._clear_hold()
             return LeaseChange.LOST
         if self._epoch:
             return self._renew()
         return self._challenge(eager)
 
     def abandon(self) -> None:
-        """Hold the lease no longer, without a word to the table."""
-        self._drop()
+        """Stop holding the lease without writing to the table."""
+        self._clear_hold()
 
     def release(self) -> None:
-        """Give the lease up at once, so that another node need not wait."""
+        """Release the lease in the table, so that another node can acquire it."""
         if self.held() is not None and self._record is not None:
-            freed = LeaseRecord("", self._epoch, self._next_renewal())
-            self._write(freed)
-        self._drop()
+            released = LeaseRecord("", self._epoch, self._next_renewal())
+            self._write_record(released)
+        self._clear_hold()
 
     def _renew(self) -> LeaseChange:
         started = self._clock.elapsed()
         if started < self._renew_at or self._record is None:
             return LeaseChange.NONE
-        renewed = self._own_record(self._epoch, self._free_since)
-        outcome = self._write(renewed)
+        renewed = self._make_record(self._epoch, self._free_since)
+        outcome = self._write_record(renewed)
         if isinstance(outcome, Committed):
-            self._extend(started)
+            self._extend_validity(started)
             return LeaseChange.NONE
         if isinstance(outcome, Unavailable | Unknown):
             return LeaseChange.STORE_DOWN
-        return self._recognise()
+        return self._resolve_conflict()
 
     def _next_renewal(self) -> int:
         if self._record is not None:
-            self._renewal = max(self._renewal, self._record.renewal)
-        self._renewal += 1
-        return self._renewal
+            self._last_renewal = max(self._last_renewal, self._record.renewal)
+        self._last_renewal += 1
+        return self._last_renewal
 
-    def _own_record(self, epoch: int, free_since: timedelta | None) -> LeaseRecord:
+    def _make_record(self, epoch: int, free_since: timedelta | None) -> LeaseRecord:
         free_ms = None
         if free_since is not None:
             free_ms = (self._clock.elapsed() - free_since) // MILLISECOND
@@ -227,8 +227,8 @@
             self._holder, epoch, self._next_renewal(), self._address, free_ms
         )
 
-    def _recognise(self) -> LeaseChange:
-        """Keep the lease if the newer row is an own renewal whose answer was lost."""
+    def _resolve_conflict(self) -> LeaseChange:
+        """Keep the lease if the row is this node's own renewal with a lost answer."""
         found = self._table.get(self._lease_key)
         if isinstance(found, Unavailable):
             return LeaseChange.STORE_DOWN
@@ -238,7 +238,7 @@
                 self._version = found.version
                 self._record = record
                 return LeaseChange.NONE
-        self._drop()
+        self._clear_hold()
         return LeaseChange.LOST
 
     def _challenge(self, eager: bool) -> LeaseChange:
@@ -246,52 +246,56 @@
         now = self._clock.elapsed()
         if isinstance(found, Unavailable):
             return LeaseChange.STORE_DOWN
-        if self._era is None or self._is_restored():
-            # The answer has told the era only now.
+        if self._era is None or self._has_era_changed():
+            # The answer revealed the era only now; the next attempt uses it.
             return LeaseChange.NONE
         version = found.version if isinstance(found, Row) else ABSENT
-        if self._seen_at is None or version != self._version:
-            self._seen_at = now
+        if self._unchanged_since is None or version != self._version:
+            self._unchanged_since = now
             self._version = version
         self._record = None
         if isinstance(found, Row):
             self._record = msgspec.json.decode(found.body, type=LeaseRecord)
-            if not self._may_be_of_copy(self._record):
-                self._seen_at = self._first_seen(self._record, self._seen_at)
-        vacancy = self._vacancy(now)
-        if now - self._seen_at < self._patience(vacancy, eager):
+            if not self._may_predate_restore(self._record):
+                self._unchanged_since = self._find_first_observation(
+                    self._record, self._unchanged_since
+                )
+        vacancy = self._determine_vacancy(now)
+        if now - self._unchanged_since < self._required_wait(vacancy, eager):
             return LeaseChange.NONE
         return self._acquire(vacancy, now)
 
-    def _first_seen(self, record: LeaseRecord, seen_at: timedelta) -> timedelta:
-        """Return when this renewal was first heard of, from whichever source."""
-        observed = self._observed
+    def _find_first_observation(
+        self, record: LeaseRecord, seen_at: timedelta
+    ) -> timedelta:
+        """Return when this renewal was first observed, in the table or in a report."""
+        observed = self._last_observed
         if observed is None or observed[:2] != (record.epoch, record.renewal):
             return seen_at
         return min(seen_at, observed[2])
 
-    def _may_be_of_copy(self, record: LeaseRecord | None) -> bool:
-        """Tell whether what another wrote after ``record`` may have been lost."""
-        written_in = 0 if record is None else era_of_fence(record.epoch)
-        return self._era is not None and written_in < self._era
+    def _may_predate_restore(self, record: LeaseRecord | None) -> bool:
+        """Return whether a restore may have lost writes made after ``record``."""
+        record_era = 0 if record is None else era_of_fence(record.epoch)
+        return self._era is not None and record_era < self._era
 
-    def _vacancy(self, now: timedelta) -> Vacancy:
-        """Return why the lease is free, or will be if nobody renews it."""
+    def _determine_vacancy(self, now: timedelta) -> Vacancy:
+        """Return why the lease is free, or will be unless it is renewed."""
         record = self._record
-        if self._may_be_of_copy(record):
-            is_kept = now < self._kept_until
-            return Vacancy.KEPT if is_kept else Vacancy.RESTORED
+        if self._may_predate_restore(record):
+            was_held_here = now < self._previous_valid_until
+            return Vacancy.KEPT if was_held_here else Vacancy.RESTORED
         if record is None:
             return Vacancy.NEVER_HELD
         if record.holder == self._holder:
-            is_kept = record.epoch == self._last_epoch
-            return Vacancy.KEPT if is_kept else Vacancy.OWN
-        if record.epoch <= self._resigned:
+            was_held_here = record.epoch == self._last_held_epoch
+            return Vacancy.KEPT if was_held_here else Vacancy.OWN
+        if record.epoch <= self._resigned_epoch:
             return Vacancy.RESIGNED
         return Vacancy.LAPSED if record.holder else Vacancy.GIVEN_UP
 
-    def _patience(self, vacancy: Vacancy, eager: bool) -> timedelta:
-        """Return how long the row must have stood unchanged."""
+    def _required_wait(self, vacancy: Vacancy, eager: bool) -> timedelta:
+        """Return how long the row must be unchanged before this node acquires."""
         match vacancy:
             case Vacancy.KEPT | Vacancy.OWN | Vacancy.RESIGNED:
                 return timedelta()
@@ -299,9 +303,11 @@
                 return timedelta() if eager else self._ttl
         return self._ttl * CHALLENGE_FACTOR
 
-    def _free_from(self, vacancy: Vacancy, now: timedelta) -> timedelta | None:
-        """Return when the right of any other node had surely ended."""
-        seen_at = now if self._seen_at is None else self._seen_at
+    def _compute_free_since(self, vacancy: Vacancy, now: timedelta) -> timedelta | None:
+        """Return when the lease had certainly expired on every other node."""
+        unchanged_since = (
+            now if self._unchanged_since is None else self._unchanged_since
+        )
         match vacancy:
             case Vacancy.NEVER_HELD:
                 return None
@@ -311,33 +317,33 @@
                 free_ms = None if self._record is None else self._record.free_ms
                 return None if free_ms is None else now - MILLISECOND * free_ms
             case Vacancy.GIVEN_UP:
-                return seen_at
+                return unchanged_since
             case Vacancy.RESIGNED:
                 return now
-        return min(now, seen_at + self._ttl)
+        return min(now, unchanged_since + self._ttl)
 
     def _acquire(self, vacancy: Vacancy, started: timedelta) -> LeaseChange:
         epoch_row = self._table.get(self._epoch_key)
         if isinstance(epoch_row, Unavailable):
             return LeaseChange.STORE_DOWN
-        last = ABSENT if isinstance(epoch_row, Missing) else epoch_row.version
+        epoch_version = ABSENT if isinstance(epoch_row, Missing) else epoch_row.version
         found = self._record
-        if self._era is None or self._is_restored():
+        if self._era is None or self._has_era_changed():
             return LeaseChange.NONE
-        epoch = fence_of(self._era, number_of(StoreVersion(last)) + 1)
-        if epoch <= self._newest:
-            self._seen_at = None
+        epoch = fence_of(self._era, number_of(StoreVersion(epoch_version)) + 1)
+        if epoch <= self._newest_epoch:
+            self._unchanged_since = None
             return LeaseChange.BEHIND
-        free_since = self._free_from(vacancy, started)
-        taken = self._own_record(epoch, free_since)
-        mark = Put(self._epoch_key, self._holder.encode(), last)
-        committed = isinstance(self._write(taken, mark), Committed)
-        if not committed or self._is_restored():
-            self._seen_at = None
+        free_since = self._compute_free_since(vacancy, started)
+        acquired = self._make_record(epoch, free_since)
+        epoch_put = Put(self._epoch_key, self._holder.encode(), epoch_version)
+        committed = isinstance(self._write_record(acquired, epoch_put), Committed)
+        if not committed or self._has_era_changed():
+            self._unchanged_since = None
             return LeaseChange.NONE
         with self._lock:
             self._epoch = epoch
-            self._epoch_version = last + 1
+            self._epoch_version = epoch_version + 1
         self._takeover = Takeover(
             vacancy,
             None if found is None else found.holder,
@@ -345,26 +351,26 @@
             free_since,
             self._era,
         )
-        self._last_epoch = epoch
-        self._extend(started)
+        self._last_held_epoch = epoch
+        self._extend_validity(started)
         return LeaseChange.ACQUIRED
 
-    def _write(self, record: LeaseRecord, *more: Put) -> object:
+    def _write_record(self, record: LeaseRecord, *other_puts: Put) -> object:
         body = msgspec.json.encode(record)
-        writes = [Put(self._lease_key, body, self._version), *more]
+        writes = [Put(self._lease_key, body, self._version), *other_puts]
         outcome = commit(self._table, writes)
         if isinstance(outcome, Committed):
             self._version += 1
             self._record = record
         return outcome
 
-    def _extend(self, started: timedelta) -> None:
+    def _extend_validity(self, started: timedelta) -> None:
         with self._lock:
             self._valid_until = started + self._ttl
             self._renew_at = started + self._ttl / RENEW_SHARE
 
-    def _drop(self) -> None:
-        self._kept_until = timedelta()
+    def _clear_hold(self) -> None:
+        self._previous_valid_until = timedelta()
         with self._lock:
             self._epoch = 0
-        self._seen_at = None
+        self._unchanged_since = None
