--- a/packages/runhatch-coordination/src/runhatch_coordination/_members.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/_members.py
@@ -1,14 +1,15 @@
-"""Who is there: a lagging list of VMs, corrected by heartbeats and gossip.
-
-The list says which VMs exist; only heartbeats say that one answers.  A node whose
-heartbeats stop at a peer is suspected, the suspicion travels with its incarnation
-number, and a node that hears of its own suspicion refutes it with the next one.
-
-Three rules keep false suspicions few and short-lived.  A node that was itself
-stopped starts its timers anew (the local health of Lifeguard, Dadgar and others,
-2017).  A node that gets a VM's heartbeats does not believe others who do not.  And a
-suspected VM is told so, again and again, until it refutes: after a parted network
-heals nobody else would speak to it.
+"""Membership: a lagging list of VMs, corrected by heartbeats and gossip.
+
+The platform's list says which VMs exist; only heartbeats show that a VM responds.  A
+peer that stops receiving a node's heartbeats suspects that node and spreads the
+suspicion with the node's incarnation number.  A node that receives a suspicion of
+itself refutes it with the next incarnation number.
+
+Three rules keep false suspicions rare and short.  A node that was itself paused
+restarts its timers (local health in Lifeguard, Dadgar et al., 2017).  A node that
+receives a VM's heartbeats ignores suspicions of that VM from other nodes.  A suspected
+VM is notified repeatedly until it refutes the suspicion, because after a network
+partition heals no other node would contact it.
 """
 
 import threading
@@ -21,15 +22,15 @@
 from runhatch_coordination._peers import Vm
 
 SUSPECT_AFTER = timedelta(seconds=3)
-"""Silence after which a linked peer is suspected: three heartbeats lost."""
+"""Time without a heartbeat after which a linked peer is suspected: three are lost."""
 STALLED_SHARE = 0.7
-"""A node whose rounds lie further apart than this share was stopped itself."""
+"""Share of the suspicion timeout; a node that checks less often was itself paused."""
 LISTED_INCARNATION = 0
-"""Incarnation of a VM known from the platform's list alone."""
+"""Incarnation of a VM that is known only from the platform's list."""
 
 
 class Standing(Enum):
-    """What is believed of a VM."""
+    """Believed state of a VM."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -38,14 +39,14 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberFact:
-    """One statement about a VM, as it travels between peers."""
+    """Believed state of one VM, as exchanged between peers."""
 
     vm: Vm
     standing: Standing
 
 
 class Membership:
-    """The members as one node sees them; safe for many threads.
+    """The members of the system as seen by one node; thread-safe.
 
     .. versionadded:: 0.1
     """
@@ -61,10 +62,10 @@
         self._suspect_after = suspect_after
         self._lock = threading.Lock()
         self._facts: dict[str, MemberFact] = {own.name: MemberFact(own, Standing.ALIVE)}
-        self._heard: dict[str, timedelta] = {}
-        self._suspected: dict[str, timedelta] = {}
-        self._looked: timedelta | None = None
-        self._news: dict[str, MemberFact] = {}
+        self._last_heartbeats: dict[str, timedelta] = {}
+        self._suspected_since: dict[str, timedelta] = {}
+        self._last_check: timedelta | None = None
+        self._pending_facts: dict[str, MemberFact] = {}
 
     @property
     def own(self) -> Vm:
@@ -72,189 +73,203 @@
         return self._own
 
     def facts(self) -> list[MemberFact]:
-        """Return what is believed of every known VM, by name."""
+        """Return the facts on all known VMs, sorted by name."""
         with self._lock:
             return [self._facts[name] for name in sorted(self._facts)]
 
     def standing(self, name: str) -> Standing | None:
-        """Return what is believed of one VM, ``None`` if it is not known."""
+        """Return the believed state of one VM, ``None`` if the VM is unknown."""
         with self._lock:
             fact = self._facts.get(name)
             return None if fact is None else fact.standing
 
     def alive(self) -> list[Vm]:
-        """Return the VMs believed alive, this one included."""
+        """Return the VMs believed alive, including this one."""
         return [fact.vm for fact in self.facts() if fact.standing is Standing.ALIVE]
 
     def listed(self, vms: Iterable[Vm], leaving: frozenset[str]) -> None:
-        """Take in the platform's list.
+        """Apply the platform's list of VMs and of those that are leaving.
 
-        It lags, so it neither clears a suspicion nor removes a VM still heard.
+        The list lags, so it neither clears a suspicion nor removes a VM whose
+        heartbeats still arrive.
         """
         listed = {vm.name: vm for vm in vms}
         with self._lock:
             for name in set(self._facts) - set(listed) - {self._own.name}:
-                if not self._recently_heard(name):
+                if not self._has_recent_heartbeat(name):
                     del self._facts[name]
-                    self._heard.pop(name, None)
+                    self._last_heartbeats.pop(name, None)
             for name, vm in listed.items():
                 known = self._facts.get(name)
                 if known is None:
                     self._facts[name] = MemberFact(vm, Standing.ALIVE)
                 elif name in leaving and known.standing is Standing.ALIVE:
-                    self._set(replace(known, standing=Standing.LEAVING))
+                    self._store_and_queue(replace(known, standing=Standing.LEAVING))
 
     def suspects(self) -> list[Vm]:
-        """Return the VMs suspected now, by name."""
+        """Return the VMs currently suspected, sorted by name."""
         return [fact.vm for fact in self.facts() if fact.standing is Standing.SUSPECT]
 
     def lost_within(self, period: timedelta) -> int:
-        """Return how many VMs are suspected, and for no longer than ``period``."""
-        earliest = self._clock.elapsed() - period
+        """Return the number of VMs that became suspect within ``period``."""
+        cutoff = self._clock.elapsed() - period
         with self._lock:
-            names = [name for name, at in self._suspected.items() if at > earliest]
+            names = [
+                name for name, since in self._suspected_since.items() if since > cutoff
+            ]
             facts = [self._facts[name] for name in names if name in self._facts]
         return sum(fact.standing is Standing.SUSPECT for fact in facts)
 
     def heartbeat(self, fact: MemberFact, linked: bool = True) -> MemberFact | None:
-        """Take in what a VM says of itself; ``linked`` if it will go on doing so.
+        """Record a VM's report of itself; ``linked`` if more heartbeats will follow.
 
-        Returns what was believed instead, if that contradicts it: the VM should be
-        told, so that it can refute it everywhere.
+        Return the fact believed so far if it contradicts the report: the caller
+        should send it to the VM, which can then refute it on all nodes.
         """
         with self._lock:
             name = fact.vm.name
             if linked:
-                self._heard[name] = self._clock.elapsed()
+                self._last_heartbeats[name] = self._clock.elapsed()
             known = self._facts.get(name)
             if known is None or known.vm.incarnation < fact.vm.incarnation:
-                self._meet(known, fact)
+                self._store_new_incarnation(known, fact)
                 return None
             if fact.standing is not Standing.ALIVE:
-                self._merge(fact)
+                self._merge_fact(fact)
                 return None
             if known.standing is Standing.ALIVE:
                 return None
             if known.standing is Standing.SUSPECT:
-                # Cleared here at once; elsewhere by the VM's own refutation.
+                # Other nodes clear the suspicion when the VM refutes it.
                 self._facts[name] = replace(known, standing=Standing.ALIVE)
                 return known
-            # That a VM is leaving is the platform's word, unless an earlier life's.
-            earlier = known.vm.incarnation > fact.vm.incarnation
-            return known if earlier else None
+            # LEAVING normally comes from the platform's list, which the VM does not
+            # refute.  With a higher incarnation it comes from a previous process.
+            is_from_previous = known.vm.incarnation > fact.vm.incarnation
+            return known if is_from_previous else None
 
     def learn(self, facts: Iterable[MemberFact]) -> bool:
-        """Take in facts from a peer; the higher incarnation wins.
+        """Merge facts received from a peer; the higher incarnation wins.
 
-        Returns whether one of them denied that this node is alive, in which case
-        whoever said so should be told this node's present incarnation.
+        Return whether one of them contradicts this node's own state.  The caller
+        should then send this node's current incarnation to that peer.
         """
-        denied = False
+        is_denied = False
         with self._lock:
             for fact in facts:
                 if fact.vm.name == self._own.name:
-                    denied = self._refute(fact) or denied
+                    is_denied = self._refute_fact(fact) or is_denied
                 elif not self._contradicts_own_heartbeats(fact):
-                    self._merge(fact)
-        return denied
+                    self._merge_fact(fact)
+        return is_denied
 
     def suspect_silent(self) -> list[str]:
-        """Suspect peers not heard of for too long; returns the new ones.
+        """Suspect peers whose heartbeats stopped, and return the new suspects.
 
-        To be called more often than ``STALLED_SHARE`` of the silence allowed.  After
-        a longer pause it was this node that did not listen, and nobody is suspected.
+        Must be called at shorter intervals than ``STALLED_SHARE`` of the suspicion
+        timeout.  After a longer interval this node itself was paused, so it restarts
+        its timers and suspects no peer.
         """
         now = self._clock.elapsed()
         suspected = []
         with self._lock:
-            if self._was_stalled(now):
-                self._heard = dict.fromkeys(self._heard, now)
-            for name, heard in self._heard.items():
+            if self._record_check(now):
+                self._last_heartbeats = dict.fromkeys(self._last_heartbeats, now)
+            for name, last_heartbeat in self._last_heartbeats.items():
                 fact = self._facts.get(name)
                 if fact is None or fact.standing is not Standing.ALIVE:
                     continue
-                if now - heard >= self._suspect_after:
-                    self._set(replace(fact, standing=Standing.SUSPECT))
+                if now - last_heartbeat >= self._suspect_after:
+                    self._store_and_queue(replace(fact, standing=Standing.SUSPECT))
                     suspected.append(name)
         return suspected
 
     def forget(self, name: str) -> None:
-        """Stop timing a VM to which there is no link any more."""
+        """Stop timing the heartbeats of a VM whose link was closed."""
         with self._lock:
-            self._heard.pop(name, None)
+            self._last_heartbeats.pop(name, None)
 
     def leave(self) -> None:
-        """Tell peers that this node is leaving."""
+        """Mark this node as leaving and queue the fact for its peers."""
         with self._lock:
-            self._set(MemberFact(self._own, Standing.LEAVING))
+            self._store_and_queue(MemberFact(self._own, Standing.LEAVING))
 
     def take_news(self) -> list[MemberFact]:
-        """Return and clear the facts that peers have yet to hear."""
+        """Return and clear the facts not yet sent to peers."""
         with self._lock:
-            news = list(self._news.values())
-            self._news.clear()
-            return news
-
-    def _was_stalled(self, now: timedelta) -> bool:
-        """Note a round, and tell whether too long has passed since the last."""
-        last, self._looked = self._looked, now
-        return last is not None and now - last > STALLED_SHARE * self._suspect_after
-
-    def _recently_heard(self, name: str) -> bool:
-        heard = self._heard.get(name)
-        if heard is None:
+            pending = list(self._pending_facts.values())
+            self._pending_facts.clear()
+            return pending
+
+    def _record_check(self, now: timedelta) -> bool:
+        """Record a check, and return whether this node was paused before it."""
+        previous, self._last_check = self._last_check, now
+        return (
+            previous is not None
+            and now - previous > STALLED_SHARE * self._suspect_after
+        )
+
+    def _has_recent_heartbeat(self, name: str) -> bool:
+        last_heartbeat = self._last_heartbeats.get(name)
+        if last_heartbeat is None:
             return False
-        return self._clock.elapsed() - heard < self._suspect_after
+        return self._clock.elapsed() - last_heartbeat < self._suspect_after
 
     def _contradicts_own_heartbeats(self, fact: MemberFact) -> bool:
-        """Tell whether others suspect a VM that this node hears by itself."""
+        """Return whether ``fact`` suspects a VM whose heartbeats reach this node."""
         if fact.standing is not Standing.SUSPECT:
             return False
         known = self._facts.get(fact.vm.name)
         if known is None or known.vm.incarnation < fact.vm.incarnation:
             return False
-        return self._recently_heard(fact.vm.name)
+        return self._has_recent_heartbeat(fact.vm.name)
 
-    def _meet(self, known: MemberFact | None, fact: MemberFact) -> None:
-        """Take in a VM's new incarnation from itself, and pass it on.
+    def _store_new_incarnation(
+        self, known: MemberFact | None, fact: MemberFact
+    ) -> None:
+        """Store a VM's new incarnation reported by itself, and queue it for peers.
 
-        Not if only the list told of it so far: others have the same list.
+        The fact is not queued if the VM was known only from the platform's list,
+        which all nodes have.
         """
         listed = known is not None and known.vm.incarnation == LISTED_INCARNATION
         if listed and fact.standing is Standing.ALIVE:
             self._facts[fact.vm.name] = fact
         else:
-            self._set(fact)
+            self._store_and_queue(fact)
 
-    def _merge(self, fact: MemberFact) -> None:
+    def _merge_fact(self, fact: MemberFact) -> None:
         known = self._facts.get(fact.vm.name)
         if known is None or fact.vm.incarnation > known.vm.incarnation:
             if known is not None and known.standing is Standing.SUSPECT:
-                # Others hear it.  Only its own heartbeats start the timer again.
-                self._heard.pop(fact.vm.name, None)
-            self._set(fact)
+                # Other nodes receive its heartbeats.  Only heartbeats received here
+                # restart the timer.
+                self._last_heartbeats.pop(fact.vm.name, None)
+            self._store_and_queue(fact)
             return
         if fact.vm.incarnation < known.vm.incarnation:
             return
-        worse = known.standing is Standing.ALIVE and fact.standing is not Standing.ALIVE
-        if worse:
-            self._set(fact)
-
-    def _refute(self, fact: MemberFact) -> bool:
-        """Take in what others believe of this node; tells whether they err."""
+        is_worse = (
+            known.standing is Standing.ALIVE and fact.standing is not Standing.ALIVE
+        )
+        if is_worse:
+            self._store_and_queue(fact)
+
+    def _refute_fact(self, fact: MemberFact) -> bool:
+        """Refute a wrong fact about this node; return whether it was wrong."""
         current = self._facts[self._own.name]
-        earlier_life = fact.vm.incarnation > self._own.incarnation
-        leaving = fact.standing is Standing.LEAVING and not earlier_life
-        if fact.standing is current.standing or leaving:
+        is_previous_process = fact.vm.incarnation > self._own.incarnation
+        is_leaving = fact.standing is Standing.LEAVING and not is_previous_process
+        if fact.standing is current.standing or is_leaving:
             return False
         if fact.vm.incarnation >= self._own.incarnation:
             incarnation = fact.vm.incarnation + 1
             self._own = replace(self._own, incarnation=incarnation)
-            self._set(MemberFact(self._own, current.standing))
+            self._store_and_queue(MemberFact(self._own, current.standing))
         return True
 
-    def _set(self, fact: MemberFact) -> None:
+    def _store_and_queue(self, fact: MemberFact) -> None:
         if fact.standing is Standing.SUSPECT:
-            self._suspected[fact.vm.name] = self._clock.elapsed()
+            self._suspected_since[fact.vm.name] = self._clock.elapsed()
         self._facts[fact.vm.name] = fact
-        self._news[fact.vm.name] = fact
+        self._pending_facts[fact.vm.name] = fact
--- a/packages/runhatch-coordination/src/runhatch_coordination/_peers.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/_peers.py
@@ -1,4 +1,4 @@
-"""Choosing peers, readers of the store and preferred nodes, by rendezvous hash."""
+"""Rendezvous hashing to choose peers, readers of the store and preferred nodes."""
 
 import hashlib
 from collections import defaultdict
@@ -8,40 +8,42 @@
 from functools import lru_cache
 
 FULL_MESH = 9
-"""Up to this many nodes everybody links to everybody."""
+"""Largest number of nodes that are linked in a full mesh."""
 MIN_DEGREE = 6
-"""Links each node opens above that; about as many come in."""
+"""Links opened by each node of a larger system; about as many are incoming."""
 WEIGHTS_KEPT = 8_192
-"""Weights computed once: a node ranks all others several times a second, and each takes
-1.5 microseconds."""
+"""Number of cached weights: a node ranks all others several times a second, and each
+weight takes 1.5 microseconds to compute."""
 READERS = "readers"
 READERS_PER_DOMAIN = 2
-"""Nodes of a failure domain that read the store for the others.  Each node listens to
-both, so that one may end, freeze or be cut off without anybody being told later."""
+"""Nodes of a failure domain that read the store for the others.  Each node receives
+updates from both, so that updates are not delayed if one of them exits, freezes or is
+partitioned."""
 RESERVES_PER_DOMAIN = 2
-"""Nodes that read the store as well while no reader of their domain reaches it."""
+"""Nodes of a failure domain that read the store while none of its readers can."""
 
 
 class Role(Enum):
-    """What a node does about watched tables."""
+    """How a node obtains the updates of watched tables."""
 
     READER = "reader"
-    """It reads the store and tells the others of its failure domain."""
+    """Reads the store and sends updates to the other nodes of its failure domain."""
     WITNESS = "witness"
-    """It reads the store as well, in a system of one failure domain, and is not relied
-    on.  Of two readers whose links to the store fall silent nobody else would know:
-    they heard of a change after 24 s, and with a witness all have it within 2 s."""
+    """Also reads the store, in a system of one failure domain; no node depends on it.
+    If the links of both readers to the store silently stall, no other node notices:
+    updates then arrived after 24 s, but with a witness within 2 s."""
     RESERVE = "reserve"
-    """It is told, and reads the store when its readers say they cannot."""
+    """Receives updates, and reads the store when its readers report a failure."""
     FOLLOWER = "follower"
-    """It is told."""
+    """Receives updates."""
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Vm:
     """One VM of the system: its name, failure domain and peer address.
 
-    On ``broadcast_port`` of the same host it tells whoever listens; 0 if it does not.
+    ``broadcast_port`` is the port of the same host on which the VM publishes updates
+    to any subscriber, 0 if it does not.
     """
 
     name: str
@@ -63,9 +65,9 @@
 
 
 def rank(subject: str, names: Iterable[str]) -> list[str]:
-    """Return ``names`` from the most to the least preferred for ``subject``.
+    """Return ``names`` ordered from the most to the least preferred for ``subject``.
 
-    Removing a name never changes the order of the others.
+    Removing a name does not change the order of the others.
     """
     return sorted(names, key=lambda name: weight(subject, name), reverse=True)
 
@@ -73,9 +75,9 @@
 def choose_peers(own: Vm, vms: Iterable[Vm], degree: int = MIN_DEGREE) -> list[Vm]:
     """Return the VMs that ``own`` opens links to.
 
-    A full mesh while small.  Above that, one link goes to the next VM in name
-    order, which makes the graph one ring and so connected whatever the hash says;
-    the others go round the failure domains, the best-ranked VM of each first.
+    Small systems form a full mesh.  In larger ones, one link goes to the next VM in
+    name order, which forms a ring and so keeps the graph connected for any hash.  The
+    others rotate through the failure domains, taking the best-ranked VM of each first.
 
     >>> few = [Vm(f"n{i}", f"d{i % 3}", "") for i in range(4)]
     >>> [vm.name for vm in choose_peers(few[0], few)]
@@ -86,7 +88,7 @@
         return others
     following = [vm for vm in others if vm.name > own.name]
     chosen = [following[0] if following else others[0]]
-    queues = _by_domain(own, [vm for vm in others if vm != chosen[0]])
+    queues = _group_by_domain(own, [vm for vm in others if vm != chosen[0]])
     while len(chosen) < degree and queues:
         for domain in list(queues):
             if len(chosen) == degree:
@@ -97,7 +99,7 @@
     return chosen
 
 
-def _by_domain(own: Vm, vms: list[Vm]) -> dict[str, list[Vm]]:
+def _group_by_domain(own: Vm, vms: list[Vm]) -> dict[str, list[Vm]]:
     by_name = {vm.name: vm for vm in vms}
     queues: dict[str, list[Vm]] = defaultdict(list)
     for name in rank(own.name, by_name):
@@ -113,24 +115,27 @@
     >>> [vm.failure_domain for vm in choose_readers("d1", vms)]
     ['d1', 'd1']
     """
-    return _ranked_readers(domain, vms)[:READERS_PER_DOMAIN]
+    return _rank_reader_candidates(domain, vms)[:READERS_PER_DOMAIN]
 
 
 def role_of(own: Vm, vms: Iterable[Vm]) -> Role:
-    """Return what ``own`` does about watched tables among ``vms``."""
+    """Return the role of ``own`` in reading watched tables among ``vms``."""
     known = list(vms)
-    ranked = [vm.name for vm in _ranked_readers(own.failure_domain, known)]
+    ranked = [vm.name for vm in _rank_reader_candidates(own.failure_domain, known)]
     if own.name in ranked[:READERS_PER_DOMAIN]:
         return Role.READER
-    # Elsewhere the readers of other domains are witnesses.
-    alone = all(vm.failure_domain == own.failure_domain for vm in known)
-    if alone and own.name in ranked[READERS_PER_DOMAIN : READERS_PER_DOMAIN + 1]:
+    # With several failure domains, the readers of the others serve as witnesses.
+    is_only_domain = all(vm.failure_domain == own.failure_domain for vm in known)
+    if (
+        is_only_domain
+        and own.name in ranked[READERS_PER_DOMAIN : READERS_PER_DOMAIN + 1]
+    ):
         return Role.WITNESS
     if own.name in ranked[: READERS_PER_DOMAIN + RESERVES_PER_DOMAIN]:
         return Role.RESERVE
     return Role.FOLLOWER
 
 
-def _ranked_readers(domain: str, vms: Iterable[Vm]) -> list[Vm]:
+def _rank_reader_candidates(domain: str, vms: Iterable[Vm]) -> list[Vm]:
     names = {vm.name: vm for vm in vms if vm.failure_domain == domain}
     return [names[name] for name in rank(READERS, names)]
