--- a/packages/runhatch-coordination/tests/lease_cases.py
+++ b/packages/runhatch-coordination/tests/lease_cases.py
@@ -1,4 +1,4 @@
-"""Two nodes that contend for one lease, for tests."""
+"""Test helpers: two nodes that contend for one lease."""
 
 from datetime import timedelta
 
@@ -9,27 +9,27 @@
 
 
 class SlowTable(FaultyTable):
-    """Each call takes its time, after which the table may have come back."""
+    """Advances the clock in each call and runs a callback after each write."""
 
     def __init__(self, table, clock):
         super().__init__(table)
         self._clock = clock
-        self.takes = timedelta()
+        self.call_duration = timedelta()
         self.after_write = lambda: None
 
     def get(self, key):
-        self._clock.advance(self.takes)
+        self._clock.advance(self.call_duration)
         return super().get(key)
 
     def transact(self, writes):
-        self._clock.advance(self.takes)
+        self._clock.advance(self.call_duration)
         outcome = super().transact(writes)
         self.after_write()
         return outcome
 
 
-class Contest:
-    """Two nodes, each with its own clock and its own way to one table."""
+class Contenders:
+    """Two nodes that share a table, each with its own clock and connection."""
 
     def __init__(self):
         self.memory = MemoryTable()
@@ -47,17 +47,17 @@
     def step(self, name):
         return self.leases[name].step()
 
-    def start(self, name):
-        """Start the node's process anew: it has asked nothing of the table yet."""
+    def restart(self, name):
+        """Restart the node's process, which has not read the table yet."""
         self.tables[name] = FaultyTable(self.memory)
         self.leases[name] = Lease(
             self.tables[name], self.clocks[name], "shard", name, TTL
         )
 
-    def restore(self, *told):
-        """The table comes back from its copy, and ``told`` nodes know that at once."""
+    def restore(self, *informed):
+        """Restore the table from its copy; ``informed`` nodes learn the new era."""
         self.memory.restore()
-        for name in told:
+        for name in informed:
             self.tables[name].learn_era()
 
     def acquire(self, name):
@@ -68,6 +68,6 @@
         return [name for name in "ab" if self.leases[name].held() is not None]
 
 
-def guarded_write(contest, name, epoch):
+def write_guarded(contenders, name, epoch):
     put = Put(Key("data", "row"), name.encode(), 0)
-    return contest.memory.transact([put, epoch.guard])
+    return contenders.memory.transact([put, epoch.guard])
--- a/packages/runhatch-coordination/tests/test_leases.py
+++ b/packages/runhatch-coordination/tests/test_leases.py
@@ -1,9 +1,9 @@
-"""Leases under pauses, outages, lost answers and rivals."""
+"""Tests of leases under pauses, outages, lost answers and contention."""
 
 from datetime import timedelta
 
 import pytest
-from lease_cases import TTL, Contest, SlowTable, guarded_write
+from lease_cases import TTL, Contenders, SlowTable, write_guarded
 
 from runhatch_coordination import (
     Committed,
@@ -17,155 +17,161 @@
 
 
 @pytest.fixture
-def contest():
-    return Contest()
+def contenders():
+    return Contenders()
 
 
 class TestLease:
-    """At most one holder can change anything."""
+    """At most one node can write under the lease."""
 
-    def test_first_to_ask_holds(self, contest):
-        """A free lease goes to the first, the other waits."""
-        assert contest.step("a") is LeaseChange.ACQUIRED
-        assert contest.step("b") is LeaseChange.NONE
-        assert contest.holders() == ["a"]
+    def test_first_challenger_acquires_a_free_lease(self, contenders):
+        """The first challenger acquires a free lease and the other waits."""
+        assert contenders.step("a") is LeaseChange.ACQUIRED
+        assert contenders.step("b") is LeaseChange.NONE
+        assert contenders.holders() == ["a"]
 
-    def test_renewing_holder_is_left_alone(self, contest):
-        """A challenger that sees renewals never takes over."""
-        contest.step("a")
+    def test_renewed_lease_is_not_taken_over(self, contenders):
+        """A challenger that sees renewals does not acquire the lease."""
+        contenders.step("a")
         for _ in range(40):
-            contest.advance(1)
-            contest.step("a")
-            contest.step("b")
-        assert contest.holders() == ["a"]
-
-    def test_silent_holder_is_replaced(self, contest):
-        """A holder that stops renewing loses the lease after its time."""
-        contest.step("a")
-        contest.step("b")
-        contest.advance(TTL.total_seconds() * 1.6)
-        assert contest.step("b") is LeaseChange.ACQUIRED
-        assert contest.holders() == ["b"]
-
-    def test_paused_holder_changes_nothing(self, contest):
-        """A holder that wakes after its lease lapsed writes nothing more."""
-        contest.step("a")
-        old = contest.leases["a"].held()
-        contest.step("b")
-        contest.advance(TTL.total_seconds() * 1.6, "b")
-        contest.step("b")
-        # The paused node's clock stood still: it still believes that it holds.
-        assert contest.leases["a"].held() is not None
-        assert guarded_write(contest, "a", old) != Committed()
-        assert guarded_write(contest, "b", contest.leases["b"].held()) == Committed()
-        contest.advance(3, "a")
-        assert contest.step("a") is LeaseChange.LOST
+            contenders.advance(1)
+            contenders.step("a")
+            contenders.step("b")
+        assert contenders.holders() == ["a"]
+
+    def test_lease_that_is_not_renewed_is_taken_over(self, contenders):
+        """A holder that stops renewing loses the lease after its time to live."""
+        contenders.step("a")
+        contenders.step("b")
+        contenders.advance(TTL.total_seconds() * 1.6)
+        assert contenders.step("b") is LeaseChange.ACQUIRED
+        assert contenders.holders() == ["b"]
+
+    def test_paused_holder_cannot_write_after_expiry(self, contenders):
+        """The guard rejects writes of a holder that resumes after its lease expired."""
+        contenders.step("a")
+        old = contenders.leases["a"].held()
+        contenders.step("b")
+        contenders.advance(TTL.total_seconds() * 1.6, "b")
+        contenders.step("b")
+        # The paused node's clock stopped, so the node still considers itself holder.
+        assert contenders.leases["a"].held() is not None
+        assert write_guarded(contenders, "a", old) != Committed()
+        assert (
+            write_guarded(contenders, "b", contenders.leases["b"].held()) == Committed()
+        )
+        contenders.advance(3, "a")
+        assert contenders.step("a") is LeaseChange.LOST
 
     @pytest.mark.parametrize("jumping", ["a", "b"])
     @pytest.mark.parametrize("days", [-400, -1, 1, 400])
-    def test_wall_clock_jumps_decide_nothing(self, contest, jumping, days):
-        """A jump of either side's wall clock neither ends nor frees a lease."""
-        contest.step("a")
-        contest.step("b")
-        contest.clocks[jumping].jump(timedelta(days=days))
+    def test_wall_clock_jumps_do_not_affect_the_lease(self, contenders, jumping, days):
+        """A jump of either node's wall clock neither ends nor frees a lease."""
+        contenders.step("a")
+        contenders.step("b")
+        contenders.clocks[jumping].jump(timedelta(days=days))
         for _ in range(20):
-            contest.advance(1)
-            contest.step("a")
-            contest.step("b")
-        assert contest.holders() == ["a"]
-
-    def test_holder_is_short_and_challenger_long(self, contest):
-        """A holder stops before a challenger with the same clock may start."""
-        contest.step("a")
-        contest.step("b")
-        contest.advance(TTL.total_seconds())
-        assert contest.holders() == []
-        assert contest.step("b") is LeaseChange.NONE
+            contenders.advance(1)
+            contenders.step("a")
+            contenders.step("b")
+        assert contenders.holders() == ["a"]
+
+    def test_holder_expires_before_a_challenger_may_acquire(self, contenders):
+        """With equal clocks, the lease expires at its holder before a takeover."""
+        contenders.step("a")
+        contenders.step("b")
+        contenders.advance(TTL.total_seconds())
+        assert contenders.holders() == []
+        assert contenders.step("b") is LeaseChange.NONE
 
     @pytest.mark.parametrize("fault", [TableFault.LOSE_ANSWER, TableFault.LOSE_REQUEST])
-    def test_renewal_survives_a_lost_answer(self, contest, fault):
-        """A renewal whose answers were all lost does not lose the lease."""
-        contest.step("a")
-        contest.advance(2.5)
-        contest.tables["a"].inject(fault, 3)
-        contest.step("a")
-        contest.tables["a"].inject(TableFault.NONE, 0)
-        contest.advance(0.5)
-        contest.step("a")
-        contest.step("a")
-        assert contest.holders() == ["a"]
-        contest.advance(4)
-        assert contest.holders() == ["a"]
-
-    def test_a_renewal_carried_out_before_is_not_taken_for_a_later_one(self, contest):
-        """Its answer was lost; others time the holder from it."""
-        contest.step("a")
-        contest.advance(2.5)
-        contest.tables["a"].inject(TableFault.LOSE_ANSWER, 3)
-        contest.step("a")
-        contest.step("b")
-        contest.advance(3)
-        contest.tables["a"].inject(TableFault.LOSE_ANSWER, 1)
-        contest.step("a")
-
-        contest.advance(TTL.total_seconds() * 1.2 - 3)
-
-        assert contest.step("b") is LeaseChange.ACQUIRED
-        assert contest.holders() == ["b"]
-
-    def test_a_renewal_found_in_the_row_does_not_lengthen_the_right(self, contest):
-        """It was carried out some time ago; others time the holder from then."""
-        contest.step("a")
-        contest.advance(2.5)
-        contest.tables["a"].inject(TableFault.LOSE_ANSWER, 3)
-        assert contest.step("a") is LeaseChange.STORE_DOWN
-        contest.advance(0.5)
-        contest.step("a")
-
-        contest.advance(TTL.total_seconds() - 3)
-        assert contest.holders() == []
-
-    def test_the_right_counts_from_before_the_call(self, contest):
-        """Others may see the row change as soon as it is sent."""
-        table = SlowTable(contest.memory, contest.clocks["a"])
-        lease = Lease(table, contest.clocks["a"], "shard", "a", TTL)
-        table.takes = timedelta(seconds=1)
+    def test_lease_survives_lost_answers_to_a_renewal(self, contenders, fault):
+        """The holder keeps the lease when all answers to one renewal are lost."""
+        contenders.step("a")
+        contenders.advance(2.5)
+        contenders.tables["a"].inject(fault, 3)
+        contenders.step("a")
+        contenders.tables["a"].inject(TableFault.NONE, 0)
+        contenders.advance(0.5)
+        contenders.step("a")
+        contenders.step("a")
+        assert contenders.holders() == ["a"]
+        contenders.advance(4)
+        assert contenders.holders() == ["a"]
+
+    def test_earlier_renewal_does_not_confirm_a_later_one(self, contenders):
+        """Two nodes would hold the lease if an earlier renewal confirmed a later one.
+
+        The earlier one took effect although its answer was lost, and the challenger
+        measures expiry from it.
+        """
+        contenders.step("a")
+        contenders.advance(2.5)
+        contenders.tables["a"].inject(TableFault.LOSE_ANSWER, 3)
+        contenders.step("a")
+        contenders.step("b")
+        contenders.advance(3)
+        contenders.tables["a"].inject(TableFault.LOSE_ANSWER, 1)
+        contenders.step("a")
+
+        contenders.advance(TTL.total_seconds() * 1.2 - 3)
+
+        assert contenders.step("b") is LeaseChange.ACQUIRED
+        assert contenders.holders() == ["b"]
+
+    def test_renewal_read_back_does_not_extend_the_lease(self, contenders):
+        """It took effect some time ago, and challengers measure expiry from then."""
+        contenders.step("a")
+        contenders.advance(2.5)
+        contenders.tables["a"].inject(TableFault.LOSE_ANSWER, 3)
+        assert contenders.step("a") is LeaseChange.STORE_DOWN
+        contenders.advance(0.5)
+        contenders.step("a")
+
+        contenders.advance(TTL.total_seconds() - 3)
+        assert contenders.holders() == []
+
+    def test_validity_is_measured_from_before_the_call(self, contenders):
+        """Challengers may see the row change as soon as the write is sent."""
+        table = SlowTable(contenders.memory, contenders.clocks["a"])
+        lease = Lease(table, contenders.clocks["a"], "shard", "a", TTL)
+        table.call_duration = timedelta(seconds=1)
         lease.step()
-        assert lease.left() == TTL - 2 * table.takes
+        assert lease.left() == TTL - 2 * table.call_duration
 
-        contest.clocks["a"].advance(TTL / 2)
+        contenders.clocks["a"].advance(TTL / 2)
         lease.step()
-        assert lease.left() == TTL - table.takes
-
-    def test_outage_ends_holding(self, contest):
-        """With the store down the holder stops when its time is over."""
-        contest.step("a")
-        contest.tables["a"].inject(TableFault.DOWN)
-        contest.advance(2.5)
-        assert contest.step("a") is LeaseChange.STORE_DOWN
-        contest.advance(4)
-        assert contest.step("a") is LeaseChange.LOST
-        assert contest.holders() == []
-
-    def test_release_frees_at_once(self, contest):
-        """A lease given up is taken without waiting for its end."""
-        contest.step("a")
-        contest.leases["a"].release()
-        assert contest.step("b") is LeaseChange.ACQUIRED
-
-    def test_epochs_rise(self, contest):
-        """Each holder has a higher epoch than the last."""
+        assert lease.left() == TTL - table.call_duration
+
+    def test_lease_expires_at_its_holder_in_an_outage(self, contenders):
+        """A holder that cannot reach the table stops after the time to live."""
+        contenders.step("a")
+        contenders.tables["a"].inject(TableFault.DOWN)
+        contenders.advance(2.5)
+        assert contenders.step("a") is LeaseChange.STORE_DOWN
+        contenders.advance(4)
+        assert contenders.step("a") is LeaseChange.LOST
+        assert contenders.holders() == []
+
+    def test_released_lease_is_acquired_at_once(self, contenders):
+        """A challenger need not wait for the expiry of a released lease."""
+        contenders.step("a")
+        contenders.leases["a"].release()
+        assert contenders.step("b") is LeaseChange.ACQUIRED
+
+    def test_each_holder_has_a_higher_epoch(self, contenders):
+        """Each acquisition gets the next epoch."""
         epochs = []
         for name in "abab":
-            while contest.step(name) is not LeaseChange.ACQUIRED:
-                contest.advance(1)
-            epochs.append(contest.leases[name].held().number)
-            contest.leases[name].release()
+            while contenders.step(name) is not LeaseChange.ACQUIRED:
+                contenders.advance(1)
+            epochs.append(contenders.leases[name].held().number)
+            contenders.leases[name].release()
         assert epochs == [1, 2, 3, 4]
 
 
-class TestHeardElsewhere:
-    """What a challenger hears of the holder past the table."""
+class TestObservedReports:
+    """A challenger receives reports of the holder outside the table."""
 
     def challenger(self, table, clock):
         return Lease(table, clock, "plan", "b", TTL)
@@ -175,7 +181,7 @@
         assert lease.step() is LeaseChange.ACQUIRED
         return lease
 
-    def test_times_the_holder_from_the_renewal_it_heard_of(self):
+    def test_expiry_is_measured_from_a_reported_renewal(self):
         table, clock = MemoryTable(), ManualClock()
         holder = self.holder(table, clock)
         challenger = self.challenger(table, clock)
@@ -186,7 +192,7 @@
         assert challenger.step() is LeaseChange.ACQUIRED
         assert challenger.takeover.free_since == TTL
 
-    def test_waits_for_a_renewal_it_did_not_hear_of(self):
+    def test_challenger_waits_after_an_unreported_renewal(self):
         table, clock = MemoryTable(), ManualClock()
         holder = self.holder(table, clock)
         challenger = self.challenger(table, clock)
@@ -197,7 +203,7 @@
 
         assert challenger.step() is LeaseChange.NONE
 
-    def test_takes_over_at_once_from_a_holder_that_resigned(self):
+    def test_lease_of_a_resigned_holder_is_acquired_at_once(self):
         table, clock = MemoryTable(), ManualClock()
         holder = self.holder(table, clock)
         challenger = self.challenger(table, clock)
@@ -208,7 +214,7 @@
         assert challenger.takeover.holder == "a"
         assert challenger.takeover.vacancy is Vacancy.RESIGNED
 
-    def test_an_old_resignation_says_nothing_of_a_later_epoch(self):
+    def test_resignation_does_not_apply_to_a_later_epoch(self):
         table, clock = MemoryTable(), ManualClock()
         holder = self.holder(table, clock)
         challenger = self.challenger(table, clock)
@@ -217,7 +223,7 @@
 
         assert challenger.step() is LeaseChange.NONE
 
-    def test_a_restarted_holder_takes_its_own_lease_back_at_once(self):
+    def test_restarted_holder_reacquires_its_lease_at_once(self):
         table, clock = MemoryTable(), ManualClock()
         first = self.holder(table, clock)
         restarted = Lease(table, clock, "plan", "a", TTL)
@@ -226,8 +232,11 @@
         assert restarted.held().number == first.record.epoch + 1
 
     @pytest.mark.parametrize("from_another", [True, False])
-    def test_a_restarted_holder_knows_when_others_had_stopped(self, from_another):
-        """Its earlier process may have acquired the lease only just before."""
+    def test_restarted_holder_knows_when_other_holders_expired(self, from_another):
+        """The expiry of another holder is read from the row of the previous process.
+
+        That process may have acquired the lease just before it ended.
+        """
         table, clock = MemoryTable(), ManualClock()
         if from_another:
             self.holder(table, clock)
@@ -246,7 +255,7 @@
         assert free_since == (TTL if from_another else None)
         assert restarted.takeover.is_from_another is from_another
 
-    def test_a_row_of_an_earlier_version_does_not_tell_when_others_stopped(self):
+    def test_row_without_free_ms_counts_as_free_since_now(self):
         table, clock = MemoryTable(), ManualClock()
         body = b'{"holder":"a","epoch":1,"renewal":4}'
         table.transact([Put(Key("lease", "plan"), body, 0)])
@@ -255,7 +264,7 @@
         assert lease.step() is LeaseChange.ACQUIRED
         assert lease.takeover.free_since == clock.elapsed()
 
-    def test_a_holder_that_gave_up_for_a_moment_is_no_other(self):
+    def test_reacquisition_after_abandon_is_not_from_another_node(self):
         table, clock = MemoryTable(), ManualClock()
         lease = self.holder(table, clock)
         lease.abandon()
--- a/packages/runhatch-coordination/tests/test_leases_world.py
+++ b/packages/runhatch-coordination/tests/test_leases_world.py
@@ -1,4 +1,4 @@
-"""Nodes that contend for one lease, whose table comes back from older copies."""
+"""Stateful tests of nodes contending for a lease of a table that is restored."""
 
 import random
 from datetime import timedelta
@@ -20,14 +20,14 @@
 NAMES = "abcde"
 TTL = timedelta(seconds=2)
 TICK = timedelta(seconds=0.3)
-SILENT = timedelta(seconds=1.5)
-"""Time without a renewal after which the others look at the lease."""
+POLL_AFTER = timedelta(seconds=1.5)
+"""Time without a reported renewal after which other nodes poll the lease."""
 FASTEST, SLOWEST = 1.02, 0.98
-"""Clocks drift apart."""
+"""Rates of the fastest and slowest clock, to simulate drift."""
 
 
 class Node:
-    """One node's processes, one after the other; ``start`` begins the next."""
+    """One node and its successive processes."""
 
     def __init__(self, name, memory, rate):
         self.name = name
@@ -35,40 +35,40 @@
         self.rate = rate
         self.clock = ManualClock()
         self.tables = []
-        self.start()
+        self.start_process()
 
-    def start(self):
-        """Start its process anew; what the former one sent may still arrive."""
+    def start_process(self):
+        """Start a new process; delayed writes of the previous one may still arrive."""
         self.frozen = False
         self.table = FaultyTable(self.memory)
         self.tables.append(self.table)
         self.lease = Lease(self.table, self.clock, "orders", self.name, TTL)
-        self.heard = (0, -1)
-        self.heard_at = timedelta(days=-1)
+        self.last_report = (0, -1)
+        self.reported_at = timedelta(days=-1)
 
     @property
     def fence(self):
-        """The fence under which it acts right now."""
+        """Fence under which the node currently acts, ``None`` if it holds no lease."""
         epoch = None if self.frozen else self.lease.held()
         return None if epoch is None else epoch.number
 
-    def hear(self, epoch, renewal):
-        if (epoch, renewal) > self.heard:
-            self.heard = (epoch, renewal)
-            self.heard_at = self.clock.elapsed()
+    def receive_renewal(self, epoch, renewal):
+        if (epoch, renewal) > self.last_report:
+            self.last_report = (epoch, renewal)
+            self.reported_at = self.clock.elapsed()
             self.lease.observe(epoch, renewal)
 
-    def turn(self):
-        """Look at the lease unless its holder is heard."""
+    def run_step(self):
+        """Renew or poll the lease; skip polling while reports of its holder arrive."""
         if self.frozen:
             return
-        heard = self.clock.elapsed() - self.heard_at < SILENT
-        if self.fence is not None or not heard:
+        is_report_recent = self.clock.elapsed() - self.reported_at < POLL_AFTER
+        if self.fence is not None or not is_report_recent:
             self.lease.step(eager=self.name == NAMES[0])
 
 
-class World(RuleBasedStateMachine):
-    """Nodes that are frozen, cut off and started again, and a table that steps back."""
+class LeaseContentionMachine(RuleBasedStateMachine):
+    """Nodes freeze, lose messages and restart, and the table is restored."""
 
     def __init__(self):
         super().__init__()
@@ -78,138 +78,140 @@
             Node(name, self.memory, rate)
             for name, rate in zip(NAMES, rates, strict=True)
         ]
-        self.deaf = set()
-        self.highest = 0
-        self.acted_by = None
+        self.isolated = set()
+        self.highest_fence = 0
+        self.last_actor = None
 
-    def tell(self):
-        """Every holder tells the others of its last renewal."""
+    def send_renewals(self):
+        """Send the last renewal of every holder to the other nodes."""
         for node in self.nodes:
             if node.fence is None:
                 continue
             for other in self.nodes:
-                if not other.frozen and other.name not in self.deaf:
-                    other.hear(node.fence, node.lease.record.renewal)
+                if not other.frozen and other.name not in self.isolated:
+                    other.receive_renewal(node.fence, node.lease.record.renewal)
 
     @rule(ticks=st.sampled_from([1, 1, 3, 8]))
     def wait(self, ticks):
         for _ in range(ticks):
             for node in self.nodes:
                 node.clock.advance(TICK * node.rate)
-                node.turn()
-                self.act()
-            self.tell()
+                node.run_step()
+                self.check_fences()
+            self.send_renewals()
 
     @rule()
     def copy(self):
         self.memory.copy()
 
-    @rule(told=st.sets(st.integers(0, 4)))
-    def restore(self, told):
-        """The table comes back, which some nodes learn by other calls at once."""
+    @rule(informed=st.sets(st.integers(0, 4)))
+    def restore(self, informed):
+        """Restore the table; ``informed`` nodes learn the new era at once."""
         self.memory.restore()
-        for place in told:
-            self.nodes[place].table.learn_era()
+        for index in informed:
+            self.nodes[index].table.learn_era()
 
-    @rule(place=st.integers(0, 4), frozen=st.booleans())
-    def freeze(self, place, frozen):
-        self.nodes[place].frozen = frozen
+    @rule(index=st.integers(0, 4), frozen=st.booleans())
+    def freeze(self, index, frozen):
+        self.nodes[index].frozen = frozen
 
     @rule(
-        place=st.integers(0, 4),
+        index=st.integers(0, 4),
         fault=st.sampled_from(TableFault),
         count=st.sampled_from([1, 3, 4, 100]),
     )
-    def disturb(self, place, fault, count):
-        self.nodes[place].table.inject(fault, count)
+    def inject_fault(self, index, fault, count):
+        self.nodes[index].table.inject(fault, count)
 
-    @rule(place=st.integers(0, 4))
-    def deliver(self, place):
-        """Writes that were delayed reach the table."""
-        for table in self.nodes[place].tables:
+    @rule(index=st.integers(0, 4))
+    def deliver(self, index):
+        """Deliver delayed writes to the table."""
+        for table in self.nodes[index].tables:
             table.deliver()
 
-    @rule(place=st.integers(0, 4), deaf=st.booleans())
-    def deafen(self, place, deaf):
-        (self.deaf.add if deaf else self.deaf.discard)(NAMES[place])
+    @rule(index=st.integers(0, 4), isolated=st.booleans())
+    def set_isolated(self, index, isolated):
+        (self.isolated.add if isolated else self.isolated.discard)(NAMES[index])
 
-    @rule(place=st.integers(0, 4))
-    def start(self, place):
-        self.nodes[place].start()
+    @rule(index=st.integers(0, 4))
+    def restart(self, index):
+        self.nodes[index].start_process()
 
-    @rule(place=st.integers(0, 4), told=st.booleans())
-    def stop_acting(self, place, told):
-        """A holder gives the lease up; the others hear of it, or do not."""
-        node = self.nodes[place]
+    @rule(index=st.integers(0, 4), informed=st.booleans())
+    def give_up_lease(self, index, informed):
+        """Abandon the lease and inform the others, or release it in the table."""
+        node = self.nodes[index]
         fence = node.fence
         if fence is None:
             return
-        if told:
+        if informed:
             node.lease.abandon()
             for other in self.nodes:
-                if other is not node and other.name not in self.deaf:
+                if other is not node and other.name not in self.isolated:
                     other.lease.observe_resigned(fence)
-                    other.heard_at = timedelta(days=-1)
+                    other.reported_at = timedelta(days=-1)
         else:
             node.lease.release()
 
     @invariant()
-    def act(self):
-        """Whoever holds the lease acts, by a fence that is not below an earlier one."""
+    def check_fences(self):
+        """Check that no holder acts under a fence below a previous one."""
         for node in self.nodes:
             fence = node.fence
             if fence is None:
                 continue
             actor = (node.name, id(node.lease))
-            assert fence >= self.highest, f"{node.name}: {fence} after {self.highest}"
-            if fence == self.highest:
-                assert actor == self.acted_by
-            self.highest, self.acted_by = fence, actor
+            assert fence >= self.highest_fence, (
+                f"{node.name}: {fence} after {self.highest_fence}"
+            )
+            if fence == self.highest_fence:
+                assert actor == self.last_actor
+            self.highest_fence, self.last_actor = fence, actor
 
     def teardown(self):
-        """Once all is well, somebody holds the lease."""
+        """Check that some node holds the lease after all faults end."""
         for node in self.nodes:
             node.frozen = False
             node.table.inject(TableFault.NONE, 0)
-        self.deaf.clear()
+        self.isolated.clear()
         for _ in range(30):
             self.wait(1)
         assert any(node.fence is not None for node in self.nodes)
 
 
-World.TestCase.settings = settings(
+LeaseContentionMachine.TestCase.settings = settings(
     max_examples=100, stateful_step_count=80, deadline=None, derandomize=True
 )
-TestWorld = World.TestCase
+TestLeaseContention = LeaseContentionMachine.TestCase
 
 
-def long_run(seed, steps=150):
-    """Take steps by chance; longer runs than a search for short ones makes."""
-    source = random.Random(seed)
-    world = World()
+def run_random_steps(seed, steps=150):
+    """Run random steps, in longer sequences than Hypothesis generates."""
+    rng = random.Random(seed)
+    machine = LeaseContentionMachine()
     for _ in range(steps):
-        place, often = source.randrange(5), source.random() < 0.4
-        fault, count = source.choice([*TableFault]), source.choice([1, 3, 4, 100])
-        told = {number for number in range(5) if source.random() < 0.4}
-        step = source.choice(
+        index, flag = rng.randrange(5), rng.random() < 0.4
+        fault, count = rng.choice([*TableFault]), rng.choice([1, 3, 4, 100])
+        informed = {number for number in range(5) if rng.random() < 0.4}
+        step = rng.choice(
             [
-                *[lambda: world.wait(source.choice([1, 1, 3, 8]))] * 4,
-                world.copy,
-                partial(world.restore, told),
-                partial(world.freeze, place, often),
-                partial(world.disturb, place, fault, count),
-                partial(world.deliver, place),
-                partial(world.deafen, place, often),
-                partial(world.start, place),
-                partial(world.stop_acting, place, often),
+                *[lambda: machine.wait(rng.choice([1, 1, 3, 8]))] * 4,
+                machine.copy,
+                partial(machine.restore, informed),
+                partial(machine.freeze, index, flag),
+                partial(machine.inject_fault, index, fault, count),
+                partial(machine.deliver, index),
+                partial(machine.set_isolated, index, flag),
+                partial(machine.restart, index),
+                partial(machine.give_up_lease, index, flag),
             ]
         )
         step()
-        world.act()
-    world.teardown()
+        machine.check_fences()
+    machine.teardown()
 
 
 @pytest.mark.parametrize("first_seed", [0, 100])
-def test_no_fence_is_below_an_earlier_one_in_long_runs(first_seed):
+def test_fences_do_not_decrease_in_long_runs(first_seed):
     for seed in range(first_seed, first_seed + 100):
-        long_run(seed)
+        run_random_steps(seed)
