--- a/packages/runhatch-coordination/tests/test_claims.py
+++ b/packages/runhatch-coordination/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""At-most-once claims: a state machine over nodes, faults and repeats."""
+"""Tests of at-most-once claims under faults, restarts and repeated requests."""
 
 import hypothesis.strategies as st
 from hypothesis import settings
@@ -25,7 +25,7 @@
 
 
 class ClaimMachine(RuleBasedStateMachine):
-    """Nodes claim, act, finish, release and die while the table misbehaves."""
+    """Nodes claim, finish, release and restart while the table has faults."""
 
     @initialize()
     def start(self):
@@ -100,7 +100,7 @@
 
 
 class TestClaims:
-    """Single steps of a claim."""
+    """Single operations on a claim."""
 
     def setup_method(self):
         self.memory = MemoryTable()
@@ -110,28 +110,28 @@
             self.memory, GroupCommitter(self.memory), "b", ManualClock()
         )
 
-    def test_second_node_finds_it_pending(self):
-        """While one node holds the claim another does not act."""
+    def test_claim_of_another_node_is_pending(self):
+        """A node does not act while another node holds the claim."""
         self.claims.take("k", "d")
         outcome = self.other.take("k", "d")
         assert isinstance(outcome, Pending)
         assert outcome.node == "a"
 
-    def test_another_body_is_told(self):
-        """The same key with another request is a mismatch."""
+    def test_another_request_with_the_same_key_is_a_mismatch(self):
+        """A key cannot be reused for a different request."""
         self.claims.take("k", "d")
         assert self.other.take("k", "e") == Mismatch()
 
-    def test_unsettled_insertion_is_taken_over_by_its_node(self):
-        """A claim whose insertion was never settled is free for its own node."""
+    def test_insertion_with_unknown_outcome_can_be_claimed_by_its_node(self):
+        """Lost answers to an insertion must not block the key for its own node."""
         self.table.inject(TableFault.LOSE_ANSWER, 3)
         first = self.claims.take("k", "d")
         assert not isinstance(first, Taken)
         assert isinstance(self.other.take("k", "d"), Pending)
         assert isinstance(self.claims.take("k", "d"), Taken)
 
-    def test_release_in_an_outage_is_remembered(self):
-        """A release that the store did not take frees the claim for its node."""
+    def test_release_in_an_outage_frees_the_claim_for_its_node(self):
+        """A release that did not reach the table must not block the key."""
         taken = self.claims.take("k", "d")
         self.table.inject(TableFault.DOWN)
         self.claims.release(taken)
--- a/packages/runhatch-coordination/tests/test_commit.py
+++ b/packages/runhatch-coordination/tests/test_commit.py
@@ -1,4 +1,4 @@
-"""Committing while answers are lost."""
+"""Tests of commits with lost answers."""
 
 import pytest
 
@@ -23,7 +23,7 @@
 
 
 class TestCommit:
-    """One writer and a table that loses things."""
+    """One writer and a table that loses requests and answers."""
 
     @pytest.mark.parametrize(
         ("fault", "count", "outcome"),
@@ -36,27 +36,27 @@
             (TableFault.DOWN, 9, Unavailable),
         ],
     )
-    def test_settles_lost_answers(self, table, fault, count, outcome):
-        """A lost answer is settled by sending again and reading back."""
+    def test_lost_answer_is_resolved(self, table, fault, count, outcome):
+        """A lost answer is resolved by resending and reading back."""
         table.inject(fault, count)
         assert isinstance(commit(table, [Put(KEY, b"mine", 0)]), outcome)
 
-    def test_sees_another_writer(self, table):
-        """A conflict with somebody else's row is not taken for one's own write."""
+    def test_row_of_another_writer_is_a_conflict(self, table):
+        """A row of another writer must not be mistaken for this write."""
         commit(table, [Put(KEY, b"theirs", 0)])
         table.inject(TableFault.LOSE_ANSWER, 1)
         assert commit(table, [Put(KEY, b"mine", 0)]) == Conflict((0,))
 
-    def test_does_not_guess_once_overwritten(self, table):
-        """If the evidence was overwritten the outcome stays unknown."""
+    def test_outcome_is_unknown_after_an_overwrite(self, table):
+        """The outcome cannot be read back once the row was overwritten."""
         inner = table._table
         commit(table, [Put(KEY, b"mine", 0)])
         inner.transact([Put(KEY, b"later", 1)])
         outcome = commit(table, [Put(KEY, b"mine", 0)], lost=True)
         assert isinstance(outcome, Unknown)
 
-    def test_writes_once(self, table):
-        """A write sent again after a lost answer does not take effect twice."""
+    def test_resent_write_takes_effect_once(self, table):
+        """Resending a write after a lost answer must not apply it twice."""
         table.inject(TableFault.LOSE_ANSWER, 2)
         commit(table, [Put(KEY, b"mine", 0)])
         found = table.get(KEY)
--- a/packages/runhatch-coordination/tests/test_group.py
+++ b/packages/runhatch-coordination/tests/test_group.py
@@ -1,4 +1,4 @@
-"""Many threads committing through one committer."""
+"""Tests of many threads that commit through one group committer."""
 
 from concurrent.futures import ThreadPoolExecutor
 
@@ -16,7 +16,7 @@
 from runhatch_coordination.testing import FaultyTable, MemoryTable, TableFault
 
 
-class ForgetfulTable(FaultyTable):
+class AnswerLosingTable(FaultyTable):
     """Loses the answer of every ``every``-th call."""
 
     def __init__(self, every: int) -> None:
@@ -32,12 +32,12 @@
 
 
 class TestGroupCommitter:
-    """Members share calls and keep their own outcomes."""
+    """Transactions share calls and get their own outcomes."""
 
     @pytest.mark.parametrize("every", [10**9, 3, 2])
-    def test_one_winner_for_each_row(self, every):
-        """Of many writers of one row one commits, whoever shares its group."""
-        table = ForgetfulTable(every)
+    def test_one_writer_of_each_row_commits(self, every):
+        """Of several writers of a row exactly one commits, also with lost answers."""
+        table = AnswerLosingTable(every)
         committer = GroupCommitter(table)
         rows = range(40)
 
@@ -58,8 +58,8 @@
             assert [found.body] == [f"{row}-{w}".encode() for w in winners]
             assert losers == [Conflict((0,))] * 3
 
-    def test_shares_calls(self):
-        """Transactions that queue while a call is under way go together."""
+    def test_queued_transactions_share_calls(self):
+        """Transactions queued during a call are sent together in the next."""
         table = MemoryTable()
         committer = GroupCommitter(table)
         futures = [
