--- a/packages/runhatch-coordination/tests/test_members.py
+++ b/packages/runhatch-coordination/tests/test_members.py
@@ -1,4 +1,4 @@
-"""Membership: silence, gossip, refutation and a lagging list."""
+"""Tests of membership: heartbeats, gossip, refutation and a lagging list."""
 
 from collections import deque
 from datetime import timedelta
@@ -34,10 +34,10 @@
 
 
 class TestMembership:
-    """What one node believes."""
+    """Facts as believed by one node."""
 
-    def test_silent_peer_is_suspected_once(self, members, clock):
-        """A peer whose heartbeats stop is suspected, and told of once."""
+    def test_peer_without_heartbeats_is_suspected_once(self, members, clock):
+        """A peer whose heartbeats stop is reported as a new suspect once."""
         members.heartbeat(alive("b"))
         clock.advance(timedelta(seconds=4))
         assert members.suspect_silent() == ["b"]
@@ -45,15 +45,15 @@
         assert members.standing("b") is Standing.SUSPECT
 
     def test_heartbeat_clears_suspicion(self, members, clock):
-        """A suspected peer that is heard again is alive."""
+        """A suspected peer whose heartbeats resume is alive."""
         members.heartbeat(alive("b"))
         clock.advance(timedelta(seconds=4))
         members.suspect_silent()
         members.heartbeat(alive("b"))
         assert members.standing("b") is Standing.ALIVE
 
-    def test_lost_peers_are_counted_for_a_while(self, members, clock):
-        """A suspected peer counts as lost until it is heard or long gone."""
+    def test_suspects_are_counted_within_a_period(self, members, clock):
+        """A suspect counts until a heartbeat arrives or the period passes."""
         members.learn([suspect("b"), suspect("c")])
         assert members.lost_within(timedelta(seconds=10)) == 2
         members.heartbeat(alive("b"))
@@ -62,13 +62,13 @@
         assert members.lost_within(timedelta(seconds=10)) == 0
 
     def test_own_suspicion_is_refuted(self, members):
-        """A node that hears that it is suspected answers with a higher number."""
+        """A suspected node refutes the suspicion with a higher incarnation."""
         members.learn([MemberFact(vm("a"), Standing.SUSPECT)])
         assert members.own.incarnation == 2
         assert members.take_news() == [MemberFact(vm("a", 2), Standing.ALIVE)]
 
-    def test_lagging_list_neither_clears_nor_removes(self, members, clock):
-        """The list does not clear a suspicion or drop a node that is heard."""
+    def test_list_neither_clears_suspicions_nor_removes_live_vms(self, members, clock):
+        """The list lags, so heartbeats take precedence over it."""
         members.heartbeat(alive("b"))
         members.heartbeat(alive("new"))
         clock.advance(timedelta(seconds=4))
@@ -89,17 +89,17 @@
         ],
     )
     def test_higher_incarnation_wins(self, members, first, second, result):
-        """Facts merge the same way in whatever order they come."""
+        """The merged fact is the same for any order of arrival."""
         for incarnation, standing in (first, second):
             members.learn([MemberFact(vm("b", incarnation), Standing(standing))])
         assert members.standing("b") is Standing(result)
 
 
 class TestFalseSuspicions:
-    """What keeps a living VM from being held for dead."""
+    """Live VMs must not be suspected, and suspicions of them must be refuted."""
 
-    def test_stopped_node_starts_its_timers_anew(self, members, clock):
-        """After a pause of its own a node gives everybody their time again."""
+    def test_paused_node_restarts_its_timers(self, members, clock):
+        """A node that was itself paused would otherwise suspect all its peers."""
         members.heartbeat(alive("b"))
         members.suspect_silent()
         clock.advance(timedelta(seconds=60))
@@ -111,30 +111,30 @@
         assert suspected == ["b"]
 
     @pytest.mark.parametrize(
-        ("silence", "incarnation", "believed"),
+        ("elapsed_seconds", "incarnation", "believed"),
         [
             (1, 1, Standing.ALIVE),
             (4, 1, Standing.SUSPECT),
             (1, 2, Standing.SUSPECT),
         ],
     )
-    def test_own_heartbeats_go_before_gossip(
-        self, members, clock, silence, incarnation, believed
+    def test_own_heartbeats_take_precedence_over_gossip(
+        self, members, clock, elapsed_seconds, incarnation, believed
     ):
-        """Who hears a VM itself does not believe that it is silent."""
+        """A node that receives a VM's heartbeats ignores suspicions of it by others."""
         members.heartbeat(alive("b"))
-        clock.advance(timedelta(seconds=silence))
+        clock.advance(timedelta(seconds=elapsed_seconds))
         members.learn([suspect("b", incarnation)])
         assert members.standing("b") is believed
 
-    def test_one_message_starts_no_timer(self, members, clock):
-        """A message without a link promises no more of them."""
+    def test_message_without_a_link_starts_no_timer(self, members, clock):
+        """A sender without a link is not expected to send further heartbeats."""
         members.heartbeat(alive("b"), linked=False)
         clock.advance(timedelta(seconds=4))
         assert members.suspect_silent() == []
 
-    def test_refutation_heard_from_others_stops_the_timer(self, members, clock):
-        """A VM that others hear is not suspected again for the same silence."""
+    def test_refutation_by_gossip_stops_the_timer(self, members, clock):
+        """The same missing heartbeats must not cause a second suspicion."""
         members.heartbeat(alive("b"))
         clock.advance(timedelta(seconds=4))
         assert members.suspect_silent() == ["b"]
@@ -143,28 +143,30 @@
         assert members.standing("b") is Standing.ALIVE
 
     @pytest.mark.parametrize(
-        ("standing", "incarnation", "told"),
+        ("standing", "incarnation", "is_returned"),
         [
             (Standing.SUSPECT, 1, True),
             (Standing.LEAVING, 1, False),
             (Standing.LEAVING, 7, True),
         ],
     )
-    def test_contradiction_is_returned(self, members, standing, incarnation, told):
-        """A VM is to be told of a suspicion, and of what its earlier life said."""
+    def test_contradiction_is_returned(
+        self, members, standing, incarnation, is_returned
+    ):
+        """A VM can refute only the suspicions and old facts that are sent to it."""
         believed = MemberFact(vm("b", incarnation), standing)
         members.learn([believed])
-        assert members.heartbeat(alive("b")) == (believed if told else None)
+        assert members.heartbeat(alive("b")) == (believed if is_returned else None)
 
-    def test_refutation_goes_on(self, members):
-        """A refutation heard from the VM itself is news for others."""
+    def test_refutation_is_forwarded(self, members):
+        """A refutation received from the VM itself is sent to other peers."""
         members.heartbeat(alive("b"))
         members.take_news()
         members.heartbeat(alive("b", 2))
         assert members.take_news() == [alive("b", 2)]
 
     @pytest.mark.parametrize(
-        ("heard", "denied"),
+        ("received", "is_denied"),
         [
             (suspect("a"), True),
             (suspect("a", 0), True),
@@ -173,32 +175,32 @@
             (MemberFact(vm("a", 7), Standing.LEAVING), True),
         ],
     )
-    def test_denial_is_told(self, members, heard, denied):
-        """Whoever takes this node for dead or leaving is to be told otherwise."""
-        assert members.learn([heard]) is denied
-        assert members.own.incarnation >= heard.vm.incarnation
+    def test_wrong_fact_about_this_node_is_reported(self, members, received, is_denied):
+        """A peer that believes this node suspect or leaving must be corrected."""
+        assert members.learn([received]) is is_denied
+        assert members.own.incarnation >= received.vm.incarnation
 
 
 class TestChoosePeers:
-    """The graph of links."""
+    """The graph of links between nodes."""
 
     @pytest.mark.parametrize("count", [1, 3, 9, 20, 60, 390])
-    def test_everybody_is_reached(self, count):
-        """From any node news reaches all, with a bounded number of links each."""
+    def test_graph_is_connected(self, count):
+        """Updates from one node reach all others over a bounded number of links."""
         vms = [Vm(f"n{i:03d}", f"d{i % 10}", "") for i in range(count)]
         links = {v.name: [p.name for p in choose_peers(v, vms)] for v in vms}
         assert max(len(peers) for peers in links.values()) <= 8
         reached = {"n000"}
-        waiting = deque(reached)
-        while waiting:
-            for peer in links[waiting.popleft()]:
+        pending = deque(reached)
+        while pending:
+            for peer in links[pending.popleft()]:
                 if peer not in reached:
                     reached.add(peer)
-                    waiting.append(peer)
+                    pending.append(peer)
         assert len(reached) == count
 
     def test_links_span_failure_domains(self):
-        """A node's links do not all end in one failure domain."""
+        """The links of a node must not all end in one failure domain."""
         vms = [Vm(f"n{i:03d}", f"d{i % 10}", "") for i in range(390)]
         for own in vms[:30]:
             assert len({p.failure_domain for p in choose_peers(own, vms)}) >= 5
--- a/packages/runhatch-coordination/tests/test_permits.py
+++ b/packages/runhatch-coordination/tests/test_permits.py
@@ -1,4 +1,4 @@
-"""Permits for a shared rate."""
+"""Tests of permits for a shared rate."""
 
 from datetime import timedelta
 
@@ -20,45 +20,49 @@
 
 
 class TestSharedPermits:
-    """Three nodes, two permits a second, three at once."""
+    """Three nodes share two permits per second, with three in use at most."""
 
     def test_rate_is_shared(self, nodes, clock):
-        """However many nodes ask, permits come no faster than the rate."""
-        given = 0
+        """Several nodes together are granted permits no faster than the rate."""
+        granted = 0
         for step in range(100):
             for number, node in enumerate(nodes):
                 user = f"{number}-{step}"
                 if node.acquire([user]):
-                    given += 1
+                    granted += 1
                     node.release(frozenset([user]))
             clock.advance(timedelta(seconds=0.1))
-        assert 15 <= given <= 21
+        assert 15 <= granted <= 21
 
-    def test_at_once_is_shared(self, nodes, clock):
-        """No more permits are in use than allowed, over all nodes."""
+    def test_limit_of_permits_in_use_is_shared(self, nodes, clock):
+        """The number of permits in use is limited over all nodes."""
         for step in range(10):
             for number, node in enumerate(nodes):
                 node.acquire([f"{number}-{step}"])
             clock.advance(timedelta(seconds=1))
         assert len(nodes[0].in_use()) == 3
 
-    def test_first_come_first(self, nodes, clock):
-        """Where permits are short the first users named get them."""
+    def test_permits_are_granted_in_order(self, nodes, clock):
+        """If permits are scarce, the first users in the request get them."""
         clock.advance(timedelta(seconds=5))
         assert nodes[0].acquire(["a", "b", "c", "d"]) == {"a", "b"}
 
-    def test_asking_again_is_harmless(self, nodes):
-        """A permit in use is not taken twice by its user."""
+    def test_repeated_acquire_grants_no_second_permit(self, nodes):
+        """A user that holds a permit does not take another."""
         assert nodes[0].acquire(["u"]) == {"u"}
         assert nodes[0].acquire(["u"]) == {"u"}
         assert nodes[0].in_use() == ("u",)
 
 
 class TestRestored:
-    """Permits are counted again when the table comes back from an older copy."""
+    """Permit counts may repeat after the table is restored from a copy."""
 
-    def test_the_same_count_of_another_era_is_a_change(self):
-        """It was taken for no change, and permits of a whole second were given out."""
+    def test_equal_count_in_another_era_is_a_change(self):
+        """If it counted as no change, a full burst would be granted at once.
+
+        After a restore, another node's grant can bring the count to the value seen
+        before.
+        """
         memory, clock = MemoryTable(), ManualClock()
         first, second = (SharedPermits(memory, clock, "w", 4.0, 9) for _ in "ab")
         memory.copy()
