--- a/packages/runhatch-server/src/runhatch_server/targets/__init__.py
+++ b/packages/runhatch-server/src/runhatch_server/targets/__init__.py
@@ -1,4 +1,4 @@
-"""Clients of the targets: typed outcomes of requests, and engine orders."""
+"""HTTP clients for targets: requests with typed outcomes, and engine orders."""
 
 from runhatch_server.targets._answers import Answer, OpenAnswer
 from runhatch_server.targets._cache_events import (
--- a/packages/runhatch-server/src/runhatch_server/targets/_answers.py
+++ b/packages/runhatch-server/src/runhatch_server/targets/_answers.py
@@ -1,4 +1,4 @@
-"""Answers of targets: one read whole, or one still arriving."""
+"""Responses of targets: read completely, or with the body still to be read."""
 
 import http.client
 from collections.abc import Mapping
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """A whole answer, checked for length; header names are lower case."""
+    """A complete response, checked for length; header names are lower case."""
 
     status: int
     headers: Mapping[str, str]
@@ -19,7 +19,7 @@
 
 
 class OpenAnswer:
-    """The head of an answer whose body is still to be read."""
+    """A response whose head has been read and whose body has not."""
 
     def __init__(
         self,
@@ -33,16 +33,16 @@
 
     @property
     def load(self) -> ReportedLoad | None:
-        """The load that the target reported with this answer."""
+        """The load that the target reported in this response, if any."""
         return parse_load(self.headers.get(LOAD_HEADER))
 
     @property
     def is_framed(self) -> bool:
-        """Whether the body's end can be told from a cut connection."""
+        """Whether a complete body can be distinguished from a truncated one."""
         return self._response.chunked or self._response.length is not None
 
     def read_some(self) -> bytes:
-        """Return the next bytes as they come, empty at the end.
+        """Return the next available bytes, or ``b""`` at the end of the body.
 
         Raises ``OSError`` or ``HTTPException`` if the connection breaks.
         """
@@ -50,16 +50,19 @@
         return chunk
 
     def read_whole(self) -> Answer:
-        """Read the rest; the same errors as :meth:`read_some` if it is short."""
+        """Read the rest of the body.
+
+        Raises the errors of :meth:`read_some` if the body is incomplete.
+        """
         body = self._response.read()
         return Answer(self.status, self.headers, body)
 
     def set_timeout(self, seconds: float) -> None:
-        """Limit how long each further read may wait."""
+        """Set the timeout of each further read."""
         if self._connection.sock is not None:
             self._connection.sock.settimeout(seconds)
 
     def close(self) -> None:
-        """Close the connection; it is never used again."""
+        """Close the response and its connection, which is not reused."""
         self._connection.close()
         self._response.close()
--- a/packages/runhatch-server/src/runhatch_server/targets/_cache_events.py
+++ b/packages/runhatch-server/src/runhatch_server/targets/_cache_events.py
@@ -1,8 +1,8 @@
-"""What an engine tells of its prefix cache.
+"""Changes of an engine's prefix cache, and names of its blocks.
 
-Events are numbered from 0 by each engine; they come late, and some never.  A block
-is named by the hash of the model's name and all text up to the block's end, see
-:func:`block_name`.
+Each engine numbers its events from 0; events arrive late, and some are lost.  The
+name of a block is a hash of the model's name and of all text up to the end of the
+block, see :func:`block_names`.
 """
 
 import hashlib
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheEvent:
-    """A block was stored in an engine's prefix cache, or dropped from it."""
+    """A block was stored in an engine's prefix cache, or evicted from it."""
 
     sequence: int
     block: str
@@ -24,14 +24,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheEvents:
-    """Events in their order; ``last`` is the newest number given out so far."""
+    """Events in order; ``last`` is the highest number that the engine assigned."""
 
     events: tuple[CacheEvent, ...]
     last: int
 
 
 def block_names(model: str, text: str, most: int) -> Iterator[str]:
-    """Yield the names of the whole blocks of ``text``, at most ``most``.
+    """Yield the names of the first ``most`` complete blocks of ``text``.
 
     >>> long = list(block_names("m", "x" * 600, 16))
     >>> len(long), long[:1] == list(block_names("m", "x" * 300, 16))
--- a/packages/runhatch-server/src/runhatch_server/targets/_client.py
+++ b/packages/runhatch-server/src/runhatch_server/targets/_client.py
@@ -1,4 +1,4 @@
-"""Sending one request to one target, on a connection of its own."""
+"""Sends a request to a target, on a new connection for each attempt."""
 
 import http.client
 import select
@@ -21,7 +21,7 @@
 REQUEST_ID = "X-Request-Id"
 CONNECT_TIMEOUT = timedelta(seconds=1)
 WATCH_SLICE = timedelta(milliseconds=250)
-"""How often a wait for an answer looks whether the caller is still there."""
+"""Interval at which a wait for a response checks that the caller is connected."""
 UNRUN_REASONS: Mapping[int, AttemptReason] = {
     404: AttemptReason.MODEL_NOT_THERE,
     409: AttemptReason.MODEL_NOT_THERE,
@@ -32,11 +32,11 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetRequest:
-    """One attempt: what to send and what answers prove.
+    """An attempt to send a request, and how to interpret its response.
 
-    ``deadline`` is on the clock's elapsed time.  ``unrun_statuses`` are those by
-    which this target says that it did not run the request.  With
-    ``must_echo_id`` an answer without this request's id is not taken.
+    ``deadline`` is a value of the clock's elapsed time.  A response with one of
+    ``unrun_statuses`` proves that the target did not run the request.  With
+    ``must_echo_id``, a response that lacks this request's id is rejected.
     """
 
     url: str
@@ -50,12 +50,12 @@
     must_echo_id: bool = True
 
 
-def _never_gone() -> bool:
+def _never_disconnected() -> bool:
     return False
 
 
 class TargetClient:
-    """Makes attempts; never reuses a connection, so answers cannot mix."""
+    """Sends requests; never reuses a connection, so responses cannot be mixed up."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -63,11 +63,12 @@
     def send(
         self,
         request: TargetRequest,
-        caller_gone: Callable[[], bool] = _never_gone,
+        caller_gone: Callable[[], bool] = _never_disconnected,
     ) -> AttemptOutcome:
-        """Send ``request`` and return the open answer, or how it failed.
+        """Send ``request`` and return the open response, or how the attempt failed.
 
-        ``caller_gone`` is asked while waiting; once true the attempt is given up.
+        ``caller_gone`` is polled while waiting; the attempt is aborted once it is
+        true.
         """
         connection = self._connect(request)
         if isinstance(connection, NotSent):
@@ -83,8 +84,10 @@
         if timeout <= timedelta():
             return NotSent(AttemptReason.TIMED_OUT)
         secure = parts.scheme == "https"
-        kind = http.client.HTTPSConnection if secure else http.client.HTTPConnection
-        connection = kind(
+        connection_type = (
+            http.client.HTTPSConnection if secure else http.client.HTTPConnection
+        )
+        connection = connection_type(
             parts.hostname or "", parts.port, timeout=timeout.total_seconds()
         )
         try:
@@ -110,7 +113,7 @@
             return UnknownResult(AttemptReason.TIMED_OUT)
         except (OSError, http.client.HTTPException):
             return UnknownResult(AttemptReason.BROKEN)
-        return self._judge(OpenAnswer(connection, response), request)
+        return self._classify_response(OpenAnswer(connection, response), request)
 
     def _await_head(
         self,
@@ -118,7 +121,10 @@
         request: TargetRequest,
         caller_gone: Callable[[], bool],
     ) -> AttemptReason | None:
-        """Wait until the answer begins; nothing is buffered before its head."""
+        """Wait for the first bytes of the response; return why none arrived, if so.
+
+        Polling the socket is sufficient, since nothing is buffered before the head.
+        """
         poller = select.poll()
         poller.register(connection.sock, select.POLLIN)
         while True:
@@ -132,14 +138,16 @@
             if caller_gone():
                 return AttemptReason.CALLER_GONE
 
-    def _judge(self, answer: OpenAnswer, request: TargetRequest) -> AttemptOutcome:
+    def _classify_response(
+        self, answer: OpenAnswer, request: TargetRequest
+    ) -> AttemptOutcome:
         if answer.status in request.unrun_statuses:
             answer.close()
             reason = UNRUN_REASONS.get(answer.status, AttemptReason.TARGET_BUSY)
             return RefusedUnrun(reason, rest_asked(answer.headers.get("retry-after")))
-        echoed = answer.headers.get(REQUEST_ID.lower())
-        expected = request.request_id
-        if echoed != expected and (echoed is not None or request.must_echo_id):
+        echoed_id = answer.headers.get(REQUEST_ID.lower())
+        expected_id = request.request_id
+        if echoed_id != expected_id and (echoed_id is not None or request.must_echo_id):
             answer.close()
             return UnknownResult(AttemptReason.WRONG_ANSWER)
         if not answer.is_framed:
--- a/packages/runhatch-server/src/runhatch_server/targets/_engine.py
+++ b/packages/runhatch-server/src/runhatch_server/targets/_engine.py
@@ -1,7 +1,7 @@
-"""Orders to model engines, and their reports.
+"""Sends orders to model engines and reads their reports.
 
-The order interface is a JSON document sent to ``POST /v1/orders``; the report is
-read from ``GET /v1/state``.
+An order is a JSON document sent to ``POST /v1/orders``; a report is read from
+``GET /v1/state``.
 """
 
 from dataclasses import dataclass
@@ -20,7 +20,7 @@
 
 
 class OrderKind(Enum):
-    """What an order asks of an engine."""
+    """Operation that an order requests of an engine."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """One order; ``number`` is its fencing number, rising for each engine."""
+    """An order; ``number`` is its fencing number, which increases per engine."""
 
     kind: OrderKind
     unit: str
@@ -41,15 +41,15 @@
 
 
 class OrderOutcome(Enum):
-    """What became of sending an order."""
+    """Result of sending an order."""
 
     ACCEPTED = "accepted"
     ALREADY = "already"
-    """What it asks for holds already."""
+    """The engine is already in the requested state."""
     CONFLICT = "conflict"
-    """Another order is being carried out, or was since the one it follows."""
+    """Another order is running, or has run since the one that this order follows."""
     GONE = "gone"
-    """Another target has the address."""
+    """The address now belongs to another target."""
     REFUSED_OLD = "refused_old"
     REFUSED = "refused"
     NOT_SENT = "not_sent"
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadedUnit:
-    """A model version or adapter that the engine holds and serves."""
+    """A model version or adapter that the engine has loaded and serves."""
 
     unit: str
     memory_mb: int
@@ -66,10 +66,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineReport:
-    """What an engine says of itself; it may lag.
+    """State that an engine reports of itself; it may be out of date.
 
-    ``incarnation`` changes when the engine restarts and so has lost its memory;
-    ``fence`` is the highest order number it has taken.
+    ``incarnation`` changes when the engine restarts, which empties its memory;
+    ``fence`` is the highest order number that the engine has accepted.
     """
 
     incarnation: str
@@ -81,18 +81,18 @@
     loading: tuple[str, ...] = ()
 
     def holds(self, unit: str) -> bool:
-        """Tell whether ``unit`` is loaded."""
+        """Return whether ``unit`` is loaded."""
         return any(loaded.unit == unit for loaded in self.units)
 
 
 class EngineClient:
-    """Gives orders to one engine and reads its reports."""
+    """Sends orders to one engine and reads its reports."""
 
     def __init__(self, url: str, timeout: timedelta = ENGINE_TIMEOUT) -> None:
         self._http = HttpClient(url, timeout)
 
     def give(self, order: Order) -> OrderOutcome:
-        """Send ``order`` once."""
+        """Send ``order`` once, without retries."""
         body = msgspec.json.encode(order)
         headers = {"Content-Type": "application/json"}
         reply = self._http.call("POST", "/v1/orders", body, headers)
@@ -116,19 +116,21 @@
         return self._read(f"/v1/cache_events?after={after}&limit={limit}", CacheEvents)
 
     def cancel(self, request_id: str) -> None:
-        """Ask the engine to stop a request; a failure is of no consequence."""
+        """Request the engine to stop a request; failures are ignored."""
         self._http.call("DELETE", f"/v1/requests/{request_id}", b"", {})
 
-    def _read(self, path: str, kind: type[DocumentT]) -> DocumentT | Unavailable:
-        """Read one document; asked for again if its answer was lost."""
+    def _read(
+        self, path: str, document_type: type[DocumentT]
+    ) -> DocumentT | Unavailable:
+        """Read and decode a document; retry once if the response was lost."""
         reply = self._http.call("GET", path, b"", {})
         if isinstance(reply, Unknown):
             reply = self._http.call("GET", path, b"", {})
         if not isinstance(reply, Reply):
             return Unavailable(reply.reason)
         if reply.status != 200:
-            return Unavailable(f"the engine answered {reply.status}")
+            return Unavailable(f"the engine returned status {reply.status}")
         try:
-            return msgspec.json.decode(reply.body, type=kind)
+            return msgspec.json.decode(reply.body, type=document_type)
         except msgspec.MsgspecError as error:
-            return Unavailable(f"the engine's answer cannot be read: {error}")
+            return Unavailable(f"the engine's response cannot be decoded: {error}")
--- a/packages/runhatch-server/src/runhatch_server/targets/_load.py
+++ b/packages/runhatch-server/src/runhatch_server/targets/_load.py
@@ -1,4 +1,4 @@
-"""Load reports on answers, in the ORCA JSON header format.
+"""Decodes load reports in response headers, in the ORCA JSON format.
 
 Source: the Open Request Cost Aggregation header ``endpoint-load-metrics``, which
 model engines and proxies use.
@@ -14,23 +14,23 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportedLoad:
-    """What a target said of itself: requests running and waiting there."""
+    """Numbers of running and waiting requests that a target reported."""
 
     running: int
     waiting: int
 
 
-class _Named(msgspec.Struct):
+class _NamedMetrics(msgspec.Struct):
     num_requests_running: float = 0
     num_requests_waiting: float = 0
 
 
-class _Orca(msgspec.Struct):
-    named_metrics: _Named = msgspec.field(default_factory=_Named)
+class _OrcaReport(msgspec.Struct):
+    named_metrics: _NamedMetrics = msgspec.field(default_factory=_NamedMetrics)
 
 
 def parse_load(header: str | None) -> ReportedLoad | None:
-    """Return the load in a header value, ``None`` if there is none to read.
+    """Decode a header value; return ``None`` if it is absent or not valid.
 
     >>> parse_load('JSON {"named_metrics": {"num_requests_running": 3}}')
     ReportedLoad(running=3, waiting=0)
@@ -40,10 +40,10 @@
     if header is None or not header.startswith(FORMAT_PREFIX):
         return None
     try:
-        orca = msgspec.json.decode(header[len(FORMAT_PREFIX) :], type=_Orca)
+        report = msgspec.json.decode(header[len(FORMAT_PREFIX) :], type=_OrcaReport)
     except msgspec.MsgspecError:
         return None
-    named = orca.named_metrics
+    metrics = report.named_metrics
     return ReportedLoad(
-        int(named.num_requests_running), int(named.num_requests_waiting)
+        int(metrics.num_requests_running), int(metrics.num_requests_waiting)
     )
--- a/packages/runhatch-server/src/runhatch_server/targets/_outcomes.py
+++ b/packages/runhatch-server/src/runhatch_server/targets/_outcomes.py
@@ -1,6 +1,6 @@
-"""How an attempt at a target may end, apart from an answer.
+"""Outcomes of an attempt to send a request to a target.
 
-Only ``NotSent`` and ``RefusedUnrun`` prove that nothing ran.
+Only ``NotSent`` and ``RefusedUnrun`` prove that the target did not run the request.
 """
 
 import re
@@ -11,17 +11,19 @@
 from runhatch_server.targets._answers import OpenAnswer
 
 LONGEST_REST = timedelta(hours=1)
-"""Bounds what a mistaken header does; a rest ends with the target's incarnation."""
+"""Limits the effect of a wrong header; a backoff ends with the target's
+incarnation."""
 SECONDS = re.compile(r"\d{1,9}(\.\d{1,9})?")
 RATE = re.compile(r"\d{1,15}(\.\d{0,15})?|\.\d{1,15}", re.ASCII)
 LONGEST_LOGGED = 40
-"""Characters of an unreadable value that are logged."""
+"""Characters of an invalid value that are logged."""
 
 
 def rest_asked(retry_after: str | None) -> timedelta | None:
-    """Decode what a target that turns a request away says in ``Retry-After``.
+    """Decode the ``Retry-After`` header of a target that refuses a request.
 
-    Seconds, perhaps with a fraction; a value of another shape asks nothing.
+    The value is a number of seconds, with an optional fraction; ``None`` for any
+    other value.  At most ``LONGEST_REST`` is returned.
 
     >>> rest_asked("2.5"), rest_asked("Wed, 21 Oct 2026 07:28:00 GMT")
     (datetime.timedelta(seconds=2, microseconds=500000), None)
@@ -33,15 +35,16 @@
 
 @dataclass(frozen=True, slots=True)
 class UnreadableLimit:
-    """A rate limit that cannot be read, cut to what a log line bears."""
+    """An invalid rate limit, truncated for logging."""
 
     found: str
 
 
 def limit_named(value: str | None) -> float | UnreadableLimit | None:
-    """Decode the requests a second that a target takes from all nodes together.
+    """Decode the requests per second that a target accepts from all nodes together.
 
-    A decimal number of 0 or more, the least one of a list; ``None`` if none is named.
+    The value is a decimal number of at least 0, or a list, of which the least number
+    is returned; ``None`` if ``value`` is ``None``.
 
     >>> limit_named("0.25"), limit_named("4, 2.5"), limit_named(None)
     (0.25, 2.5, None)
@@ -57,7 +60,7 @@
 
 
 class AttemptReason(Enum):
-    """Why an attempt ended without an answer; each has a counter."""
+    """Why an attempt ended without a response; each reason has a counter."""
 
     CONNECT_FAILED = "connect_failed"
     TARGET_BUSY = "target_busy"
@@ -73,18 +76,19 @@
 
 @dataclass(frozen=True, slots=True)
 class NotSent:
-    """No byte of the request left this node."""
+    """This node sent no byte of the request."""
 
     reason: AttemptReason
 
 
 @dataclass(frozen=True, slots=True)
 class RefusedUnrun:
-    """The target said that it did not run the request.
+    """The target stated that it did not run the request.
 
-    ``idle`` is how long its connection may be kept, ``None`` if not at all;
-    ``retry_after`` how long it wants nothing more, ``leaving`` that it wants nothing
-    at all any more, and ``rate_limit`` what :func:`limit_named` found.
+    ``idle`` is how long its connection may stay open, ``None`` if not at all.
+    ``retry_after`` is how long the target accepts no requests.  ``leaving`` is
+    whether it drains and accepts no further ones.  ``rate_limit`` is the result of
+    :func:`limit_named`.
     """
 
     reason: AttemptReason
--- a/packages/runhatch-server/src/runhatch_server/targets/_probe.py
+++ b/packages/runhatch-server/src/runhatch_server/targets/_probe.py
@@ -1,17 +1,17 @@
-"""Whether anything listens at the address of a target."""
+"""Checks whether a process listens at the address of a target."""
 
 import socket
 from datetime import timedelta
 
 REFUSED_WITHIN = timedelta(milliseconds=200)
-"""Longest wait for a target to accept or refuse a connection: one whose process has
-ended refuses within the way there and back."""
+"""Longest wait for a target to accept or refuse a connection: the host of a process
+that has ended refuses within one round trip."""
 
 
 def refuses_connections(host: str, port: int) -> bool:
-    """Tell whether nothing listens there any more.
+    """Return whether ``host`` refuses connections to ``port``.
 
-    Silence is no answer: the way there may be cut.
+    A timeout is no refusal, since the network path may be interrupted.
     """
     try:
         with socket.create_connection((host, port), REFUSED_WITHIN.total_seconds()):
--- a/packages/runhatch-server/src/runhatch_server/targets/_stream.py
+++ b/packages/runhatch-server/src/runhatch_server/targets/_stream.py
@@ -1,4 +1,4 @@
-"""Server-sent events of an engine, cut into events without decoding them."""
+"""Splits a stream of server-sent events into events without decoding them."""
 
 from collections.abc import Iterator
 
@@ -9,11 +9,11 @@
 
 
 class EventTooLongError(ValueError):
-    """An event exceeds ``MAX_EVENT`` bytes."""
+    """Raised for an event of more than ``MAX_EVENT`` bytes."""
 
 
 class EventSplitter:
-    r"""Collects bytes and yields whole events, their blank line included.
+    r"""Collects bytes and yields complete events, including their blank line.
 
     >>> splitter = EventSplitter()
     >>> list(splitter.feed(b"data: a\n\ndata"))
@@ -27,21 +27,24 @@
 
     @property
     def rest(self) -> bytes:
-        """What has come of an event that is not whole yet."""
+        """The received bytes of an incomplete event."""
         return self._buffer
 
     def feed(self, chunk: bytes) -> Iterator[bytes]:
-        """Yield the events that ``chunk`` completes."""
+        """Yield the events that ``chunk`` completes.
+
+        Raises :class:`EventTooLongError` if the remaining event is too long.
+        """
         self._buffer += chunk
         *events, self._buffer = self._buffer.split(EVENT_END)
         for event in events:
             yield event + EVENT_END
         if len(self._buffer) > MAX_EVENT:
-            raise EventTooLongError(f"an event of more than {MAX_EVENT} bytes")
+            raise EventTooLongError(f"event exceeds {MAX_EVENT} bytes")
 
 
 def is_terminal(event: bytes) -> bool:
-    """Tell whether ``event`` ends a complete stream.
+    """Return whether ``event`` ends a complete stream.
 
     >>> is_terminal(b"id: 7\\ndata: [DONE]\\n\\n")
     True
@@ -52,7 +55,7 @@
 
 
 def event_id(event: bytes) -> bytes | None:
-    r"""Return the event's id, if it has one.
+    r"""Return the event's id, ``None`` if it has none.
 
     >>> event_id(b"event: x\nid: 7\ndata: y\n\n")
     b'7'
@@ -64,7 +67,7 @@
 
 
 def event_data(event: bytes) -> bytes:
-    """Return the event's data, lines joined."""
+    """Return the event's data lines, joined by newlines."""
     prefix = b"data: "
     lines = [line for line in event.split(b"\n") if line.startswith(prefix)]
     return b"\n".join(line[len(prefix) :] for line in lines)
