--- a/tests/adapter/test_platform_decoding.py
+++ b/tests/adapter/test_platform_decoding.py
@@ -1,4 +1,4 @@
-"""What the platform says, decoded once; what it does not say, refused by name."""
+"""Decoding of the platform's documents and headers; invalid ones are rejected."""
 
 import json
 from datetime import timedelta
@@ -62,17 +62,17 @@
 """
 
 
-def document(routes=(ROUTE,), **changes):
+def encode_document(routes=(ROUTE,), **changes):
     service = {"name": "s", "max_conns": 360, "engine": ENGINE}
-    whole = {"version": 7, "routes": list(routes), "services": [service], **changes}
-    return json.dumps(whole).encode()
+    fields = {"version": 7, "routes": list(routes), "services": [service], **changes}
+    return json.dumps(fields).encode()
 
 
 class TestConfiguration:
     """Routes, services and models."""
 
-    def test_a_route(self):
-        route = decode_configuration(document()).routes[0]
+    def test_fields_of_a_route(self):
+        route = decode_configuration(encode_document()).routes[0]
 
         assert route.kind is RequestKind.STREAM
         assert (route.goal, route.timeout) == (800 * MS, 5_000 * MS)
@@ -88,12 +88,12 @@
         ],
     )
     def test_shares_of_a_route(self, changes, shares):
-        route = decode_configuration(document([{**ROUTE, **changes}])).routes[0]
+        route = decode_configuration(encode_document([{**ROUTE, **changes}])).routes[0]
 
         assert [(share.service, share.weight) for share in route.shares] == shares
 
-    def test_a_model(self):
-        service = decode_configuration(document()).services[0]
+    def test_fields_of_a_model(self):
+        service = decode_configuration(encode_document()).services[0]
         model = service.engine.models[0]
 
         assert service.engine.memory_mb == 220_000
@@ -104,12 +104,12 @@
         ("body", "names"),
         [
             (b"{", "truncated"),
-            (document([{**ROUTE, "timeout_ms": "5 s"}]), "timeout_ms"),
-            (document([{**ROUTE, "kind": "sometimes"}]), "sometimes"),
+            (encode_document([{**ROUTE, "timeout_ms": "5 s"}]), "timeout_ms"),
+            (encode_document([{**ROUTE, "kind": "sometimes"}]), "sometimes"),
             (b'{"version": 1}', "routes"),
         ],
     )
-    def test_another_shape_is_refused_whole_and_named(self, body, names):
+    def test_invalid_document_is_rejected_with_the_name_of_its_fault(self, body, names):
         with pytest.raises(ValueError, match=names):
             decode_configuration(body)
 
@@ -126,7 +126,7 @@
 }
 
 
-def entry_of(without=(), **changes):
+def encode_entry(without=(), **changes):
     fields = {**ENTRY, **changes}
     return json.dumps({k: v for k, v in fields.items() if k not in without}).encode()
 
@@ -135,16 +135,16 @@
     """Entries of targets."""
 
     @pytest.mark.parametrize(
-        ("word", "state"),
+        ("value", "state"),
         [("ready", TargetState.READY), ("draining", TargetState.DRAINING)],
     )
-    def test_a_state(self, word, state):
-        assert decode_target("i-1", entry_of(state=word)).state is state
+    def test_states_of_a_target(self, value, state):
+        assert decode_target("i-1", encode_entry(state=value)).state is state
 
-    def test_what_it_holds(self):
+    def test_models_copies_and_remaining_time(self):
         target = decode_target(
             "i-1",
-            entry_of(
+            encode_entry(
                 models=[{"name": "m", "version": 1, "adapters": ["a1"]}],
                 available={"in_memory": ["m"], "on_disk": ["m", "n"]},
                 remaining_ms=2000,
@@ -155,26 +155,26 @@
         assert target.copies.on_disk == {"m", "n"}
         assert target.leaves_in == timedelta(seconds=2)
 
-    def test_a_start_makes_another_incarnation_of_the_same_name(self):
-        first = decode_target("i-1", entry_of(born=1_790_867_255_463))
-        again = decode_target("i-1", entry_of(born=1_790_867_259_001))
+    def test_restart_creates_a_new_incarnation_of_the_same_name(self):
+        first = decode_target("i-1", encode_entry(born=1_790_867_255_463))
+        again = decode_target("i-1", encode_entry(born=1_790_867_259_001))
 
         assert first.name == again.name == "i-1"
         assert first.incarnation != again.incarnation
         assert first.is_older_than(again)
 
-    def test_one_that_does_not_tell_its_start_goes_by_its_name(self):
-        assert decode_target("i-1", entry_of()).incarnation == "i-1"
+    def test_incarnation_without_a_start_time_is_the_name(self):
+        assert decode_target("i-1", encode_entry()).incarnation == "i-1"
 
     @pytest.mark.parametrize(
         "body",
         [
             *(
-                pytest.param(entry_of(without=[name]), id=f"no-{name}")
+                pytest.param(encode_entry(without=[name]), id=f"no-{name}")
                 for name in ENTRY
             ),
             *(
-                pytest.param(entry_of(**{name: value}), id=f"{name}-{value!r:.12}")
+                pytest.param(encode_entry(**{name: value}), id=f"{name}-{value!r:.12}")
                 for name, value in [
                     ("service", ""),
                     ("service", 3),
@@ -218,7 +218,7 @@
             pytest.param(b"[" * 100_000, id="deep"),
         ],
     )
-    def test_an_entry_that_somebody_else_wrote_names_no_target(self, body):
+    def test_entry_of_another_writer_is_rejected(self, body):
         with pytest.raises(ValueError, match=r"."):
             decode_target("i-1", body)
 
@@ -226,7 +226,7 @@
 class TestSettings:
     """The settings file of a process."""
 
-    def test_fields(self):
+    def test_endpoints_and_store_url(self):
         settings = decode_settings(SETTINGS.encode())
 
         assert settings.gateway.callers.port == 8149
@@ -237,7 +237,7 @@
         ("bounds", "drain"),
         [("grace_s: 8", 2.0), ("grace_s: 8, drain_ms: 3000", 3.0)],
     )
-    def test_how_soon_leaving_targets_are_left_alone(self, bounds, drain):
+    def test_drain_time_of_targets_has_a_default(self, bounds, drain):
         settings = decode_settings(SETTINGS.replace("grace_s: 8", bounds).encode())
 
         assert settings.gateway.drain == timedelta(seconds=drain)
@@ -258,7 +258,7 @@
         assert fault in str(caught.value)
 
 
-def request(**changes):
+def create_request(**changes):
     route = RouteSpec(
         "r", "a", "/", RequestKind.STREAM, (), 5_000 * MS, 800 * MS, priority=1
     )
@@ -281,7 +281,7 @@
 
 
 class TestCallerHeaders:
-    """What callers say."""
+    """Headers of callers."""
 
     HEADERS = {  # noqa: RUF012
         "x-runhatch-attempt-id": "id",
@@ -293,7 +293,7 @@
         "host": "a.example",
     }
 
-    def test_decoded(self):
+    def test_model_prompt_output_and_deadline_are_decoded(self):
         caller = PlatformHeaders().read_caller(self.HEADERS)
 
         assert (caller.work.model, caller.work.adapter) == ("m", "a3")
@@ -312,12 +312,12 @@
             "kv-from",
         ],
     )
-    def test_what_only_the_system_may_say_is_not_passed_on(self, name):
+    def test_headers_reserved_for_the_system_are_not_forwarded(self, name):
         caller = PlatformHeaders().read_caller({**self.HEADERS, name: "x"})
 
         assert name not in dict(caller.passed)
 
-    def test_what_belongs_to_the_request_is_passed_on(self):
+    def test_other_headers_are_forwarded(self):
         caller = PlatformHeaders().read_caller({**self.HEADERS, "x-own": "1"})
         passed = dict(caller.passed)
 
@@ -333,29 +333,29 @@
             ("x-runhatch-prompt-prefix", "5c"),
         ],
     )
-    def test_one_that_cannot_be_read_is_a_fault(self, name, value):
+    def test_invalid_header_is_a_fault(self, name, value):
         found = PlatformHeaders().read_caller({**self.HEADERS, name: value})
 
         assert isinstance(found, HeaderFault)
 
 
 class TestTargetHeaders:
-    """What targets are told, and what they answer."""
+    """Headers sent to targets, and those of their responses."""
 
-    def test_a_target_is_told_who_is_meant_and_the_time_left(self):
+    def test_request_names_the_expected_target_and_the_time_left(self):
         headers = dict(
-            PlatformHeaders().for_target(request(), TARGET, 1_234.7 * MS, tier=3)
+            PlatformHeaders().for_target(create_request(), TARGET, 1_234.7 * MS, tier=3)
         )
 
         assert headers["X-Runhatch-Expect-Instance"] == "i-1"
         assert headers["X-Runhatch-Deadline-Ms"] == "1234"
 
-    def test_a_stream_goes_on_after_the_newest_event_only(self):
+    def test_resumed_request_names_only_the_latest_event(self):
         codec = PlatformHeaders()
-        first = codec.for_target(request(last_event="3"), TARGET, 1_000 * MS, 0)
-        again = codec.resumed_after(first, "9")
+        first = codec.for_target(create_request(last_event="3"), TARGET, 1_000 * MS, 0)
+        resumed = codec.resumed_after(first, "9")
 
-        assert [v for n, v in again if n == "Last-Event-Id"] == ["9"]
+        assert [value for name, value in resumed if name == "Last-Event-Id"] == ["9"]
 
     @pytest.mark.parametrize(
         ("status", "headers", "closes", "not_run", "idle"),
@@ -369,7 +369,9 @@
             (500, {}, False, False, 400 * MS),
         ],
     )
-    def test_an_answers_head(self, status, headers, closes, not_run, idle):
+    def test_not_run_and_idle_time_of_a_response(
+        self, status, headers, closes, not_run, idle
+    ):
         head = PlatformHeaders().read_answer(status, "", headers, closes)
 
         assert (head.not_run, head.idle) == (not_run, idle)
--- a/tests/adapter/test_platform_restored.py
+++ b/tests/adapter/test_platform_restored.py
@@ -1,4 +1,4 @@
-"""A store that comes back from an older copy, as its only client sees it."""
+"""The store's client when the store is restored from an older copy."""
 
 import threading
 from datetime import timedelta
@@ -61,15 +61,15 @@
     return StoreFeed(store, "watched", lambda key, body: body)
 
 
-def copy(platform):
+def copy_store(platform):
     call(platform.url, "POST", "/copy", {})
 
 
-def restore(platform):
+def restore_store(platform):
     call(platform.url, "POST", "/restore", {})
 
 
-def write(platform, key):
+def write_row(platform, key):
     row = {"table": "watched", "key": key, "document": key}
     call(platform.url, "PUT", "/rows", {"puts": [row]})
 
@@ -77,12 +77,12 @@
 class TestFeed:
     """Versions of a watched table."""
 
-    def test_they_rise_though_numbers_go_back(self, platform, feed):
-        copy(platform)
+    def test_versions_increase_when_the_store_numbers_decrease(self, platform, feed):
+        copy_store(platform)
         for key in "abc":
-            write(platform, key)
+            write_row(platform, key)
         before = feed.read().version
-        restore(platform)
+        restore_store(platform)
 
         after = feed.read()
 
@@ -90,48 +90,52 @@
         assert era_of(after.version) == 1
         assert after.entries == ()
 
-    def test_one_that_was_given_out_again_is_not_gone_on_from(self, platform, feed):
-        copy(platform)
-        write(platform, "a")
+    def test_changes_are_not_continued_from_a_reused_version(self, platform, feed):
+        copy_store(platform)
+        write_row(platform, "a")
         before = feed.read().version
-        restore(platform)
-        write(platform, "b")
+        restore_store(platform)
+        write_row(platform, "b")
 
         found = feed.changes(before, timedelta())
 
-        # Either says that what lies between is not known.
+        # Both results show that changes may have been missed.
         assert found == HistoryLost() or era_of(found.version) == 1
 
-    def test_a_wait_ends_when_another_call_shows_a_newer_era(self, platform, feed):
+    def test_wait_ends_when_another_call_returns_a_newer_era(self, platform, feed):
         version = feed.read().version
-        # The store itself would answer it; this one never arrives.
+        # A restore would answer the pending call; this answer never arrives.
         call(platform.url, "POST", "/faults", {"silent": True})
-        ended = []
+        outcomes = []
         waiting = threading.Thread(
-            target=lambda: ended.append(feed.changes(version, WAIT))
+            target=lambda: outcomes.append(feed.changes(version, WAIT))
         )
         waiting.start()
         waiting.join(0.3)
         call(platform.url, "POST", "/faults", {})
-        restore(platform)
+        restore_store(platform)
         feed.read()
         waiting.join(2)
 
-        assert ended == [WaitEnded()]
+        assert outcomes == [WaitEnded()]
 
-    def test_an_era_told_by_peers_counts(self, feed, store):
+    def test_era_of_a_version_from_peers_is_adopted(self, feed, store):
         feed.changes(store_version(3, 1), timedelta())
         assert store.era == 3
 
-    def test_the_first_era_seen_is_no_step_back(self, platform, store):
-        restore(platform)
+    def test_first_era_received_is_not_treated_as_a_restore(self, platform, store):
+        restore_store(platform)
         assert StoreTable(store).transact([Put(KEY, b"a", ABSENT)]) == Committed()
         assert store.era == 1
 
     @pytest.mark.parametrize("header", [None, "", "x", "-1"])
-    def test_an_answer_that_names_no_era_says_nothing(self, feed, store, header):
+    def test_response_without_a_valid_era_keeps_the_known_era(
+        self, feed, store, header
+    ):
         feed.changes(store_version(2, 1), timedelta())
-        store._note(Reply(200, b"", {} if header is None else {"store-era": header}))
+        store._record_reply(
+            Reply(200, b"", {} if header is None else {"store-era": header})
+        )
         assert store.era == 2
 
     @pytest.mark.parametrize(
@@ -146,28 +150,30 @@
             (503, {}, None),
         ],
     )
-    def test_only_a_good_answer_that_names_no_era_is_of_the_first(
+    def test_only_a_successful_response_without_an_era_means_the_first_era(
         self, store, status, headers, era
     ):
-        """A node minted versions of the first era before any answer."""
-        store._note(Reply(status, b"", headers))
+        """Assuming the first era after an error creates versions of a wrong era."""
+        store._record_reply(Reply(status, b"", headers))
         assert store.era == era
 
-    def test_an_answer_of_an_earlier_era_is_passed_over(self, feed, store):
+    def test_response_of_a_previous_era_is_rejected(self, feed, store):
         feed.changes(store_version(2, 1), timedelta())
-        # The stand-in is in its first era.
+        # The stand-in responds with its first era.
         assert not hasattr(feed.read(), "entries")
 
 
 class TestTable:
     """Conditional writes."""
 
-    def test_none_succeeds_on_the_row_of_another(self, platform, store):
+    def test_stale_write_conflicts_with_the_row_of_another_writer(
+        self, platform, store
+    ):
         mine, theirs = StoreTable(store), StoreTable(Store(platform.url))
-        copy(platform)
+        copy_store(platform)
         assert mine.transact([Put(KEY, b"mine", ABSENT)]) == Committed()
-        restore(platform)
-        # It gets the number that the lost row had.
+        restore_store(platform)
+        # The store gives it the version number of the lost row.
         assert theirs.transact([Put(KEY, b"theirs", ABSENT)]) == Committed()
         assert mine.get(OTHER) == Missing()
 
@@ -180,28 +186,31 @@
         again = Put(KEY, b"theirs again", 1)
         assert theirs.transact([again]) == Conflict((0,))
 
-    def test_none_succeeds_at_the_same_count_of_another_era(self, platform, store):
-        """The count led to the row of another, whatever was read meanwhile."""
+    def test_write_conflicts_at_the_same_count_of_another_era(self, platform, store):
+        """A restore lets another writer's row reach the count that a write expects.
+
+        Reading that row in between must not let the write overwrite it.
+        """
         mine, theirs = StoreTable(store), StoreTable(Store(platform.url))
         assert mine.transact([Put(KEY, b"first", ABSENT)]) == Committed()
-        copy(platform)
+        copy_store(platform)
         read = mine.get(KEY).version
         assert mine.transact([Put(KEY, b"mine", read)]) == Committed()
-        restore(platform)
-        formed = Put(KEY, b"mine again", read + 1)
+        restore_store(platform)
+        stale_write = Put(KEY, b"mine again", read + 1)
         theirs_read = theirs.get(KEY).version
         assert theirs.transact([Put(KEY, b"theirs", theirs_read)]) == Committed()
 
         found = mine.get(KEY)
 
-        assert mine.transact([formed]) == Conflict((0,))
+        assert mine.transact([stale_write]) == Conflict((0,))
         assert found.version > read + 1
 
-    def test_versions_count_on_from_any_era(self, platform, store):
-        restore(platform)
+    def test_versions_increase_by_one_in_a_later_era(self, platform, store):
+        restore_store(platform)
         table = StoreTable(store)
         assert table.transact([Put(KEY, b"a", ABSENT)]) == Committed()
-        # As one counts on that has not read its row.
+        # A writer that has not read the row expects a count without an era.
         assert table.transact([Put(KEY, b"b", 1)]) == Committed()
         assert table.transact([Put(KEY, b"c", 2)]) == Committed()
         found = table.get(KEY).version
@@ -210,113 +219,114 @@
         assert table.transact([Put(KEY, b"e", found + 1)]) == Committed()
         assert table.get(KEY).version == found + 2
 
-    def test_one_that_first_sees_the_new_era_is_not_known_to_hold(
-        self, platform, store
-    ):
+    def test_write_that_first_receives_a_new_era_is_unknown(self, platform, store):
         table = StoreTable(store)
-        copy(platform)
+        copy_store(platform)
         assert table.transact([Put(KEY, b"a", ABSENT)]) == Committed()
-        restore(platform)
+        restore_store(platform)
 
         assert isinstance(table.transact([Put(KEY, b"b", 1)]), Unknown)
         assert table.era == 1
         assert table.transact([Put(KEY, b"b", 1)]) == Conflict((0,))
 
-    def test_a_first_write_that_looked_in_an_earlier_era_is_not_known_to_hold(
+    def test_first_write_across_a_restore_is_unknown(
         self, platform, store, monkeypatch
     ):
-        """The table had learned no era when the write began, and took any."""
+        """A table without a known era reads its row before a restore and writes after.
+
+        Accepting the result would confirm a write to another writer's row.
+        """
         other = StoreTable(Store(platform.url))
         assert other.transact([Put(OTHER, b"o", ABSENT)]) == Committed()
-        copy(platform)
+        copy_store(platform)
         assert other.transact([Put(KEY, b"a", ABSENT)]) == Committed()
         write_to_store = store.write
 
-        def write_later(transaction):
-            restore(platform)
-            # It gets the number that the lost row had.
+        def write_after_restore(transaction):
+            restore_store(platform)
+            # The store gives it the version number of the lost row.
             theirs = StoreTable(Store(platform.url))
             assert theirs.transact([Put(KEY, b"theirs", ABSENT)]) == Committed()
             return write_to_store(transaction)
 
-        monkeypatch.setattr(store, "write", write_later)
+        monkeypatch.setattr(store, "write", write_after_restore)
 
         assert isinstance(StoreTable(store).transact([Put(KEY, b"b", 1)]), Unknown)
 
-    def test_a_claim_that_the_copy_has_is_finished(self, platform, store):
-        claims, taken = self.claim(store)
-        copy(platform)
-        restore(platform)
+    def test_claim_in_the_copy_can_be_finished(self, platform, store):
+        claims, taken = self.take_claim(store)
+        copy_store(platform)
+        restore_store(platform)
         assert claims.read("k", "other") == Mismatch()
 
         assert claims.finish(taken, "answer") == Committed()
         assert claims.read("k", "digest") == Done("answer")
 
-    def test_the_claim_of_another_is_not_finished(self, platform, store):
-        """Its row has the count that the lost claim's had."""
-        copy(platform)
-        claims, taken = self.claim(store)
-        restore(platform)
-        others, _ = self.claim(Store(platform.url))
+    def test_claim_of_another_node_is_not_finished(self, platform, store):
+        """After a restore, another node's claim has the version of the lost claim."""
+        copy_store(platform)
+        claims, taken = self.take_claim(store)
+        restore_store(platform)
+        others, _ = self.take_claim(Store(platform.url))
         assert isinstance(claims.read("k", "digest"), Pending)
 
         assert claims.finish(taken, "answer") == Conflict((0,))
         claims.release(taken)
         assert isinstance(others.read("k", "digest"), Pending)
 
-    def claim(self, store):
+    def take_claim(self, store):
         table = StoreTable(store)
         claims = Claims(table, GroupCommitter(table), "n", SystemClock())
         taken = claims.take("k", "digest")
         assert isinstance(taken, Taken)
         return claims, taken
 
-    def test_a_head_that_the_copy_has_is_published_on(self, platform, store):
+    def test_revisions_continue_from_the_head_in_the_copy(self, platform, store):
         log = RevisionLog(StoreTable(store), MemoryObjects(), "configuration")
         assert isinstance(log.publish(0, b"one", "x", "", ""), Revision)
-        copy(platform)
+        copy_store(platform)
         assert isinstance(log.publish(1, b"lost", "x", "", ""), Revision)
-        restore(platform)
+        restore_store(platform)
         assert log.head() == 1
 
         assert isinstance(log.publish(1, b"two", "x", "", ""), Revision)
         assert log.read(2).body == b"two"
 
-    def test_versions_are_of_their_type(self):
+    def test_store_version_returns_a_store_version(self):
         assert store_version(0, 7) == StoreVersion(7)
 
 
 class TestLease:
-    """A lease whose nodes have asked the store nothing before."""
+    """Leases of nodes that have not called the store before."""
 
-    def lease(self, platform, name):
+    def create_lease(self, platform, name):
         table = StoreTable(Store(platform.url, timedelta(seconds=2)))
         return Lease(table, SystemClock(), "orders", name, TTL)
 
-    def test_a_first_look_counts_no_fence_of_an_earlier_era(self, platform):
-        copy(platform)
-        restore(platform)
-        first = self.lease(platform, "a")
+    def test_first_lease_after_a_restore_has_a_fence_of_the_new_era(self, platform):
+        copy_store(platform)
+        restore_store(platform)
+        first = self.create_lease(platform, "a")
         assert wait_until(lambda: first.step() is LeaseChange.ACQUIRED)
-        before = first.held().number
+        previous_fence = first.held().number
         first.release()
-        second = self.lease(platform, "b")
+        second = self.create_lease(platform, "b")
 
         assert second.step() is LeaseChange.ACQUIRED
-        assert second.held().number > before
-        assert before >= fence_of(1, 1)
-
-    def test_its_own_name_in_a_copy_is_no_reason_to_acquire(self, platform):
-        """Another process holds the lease by a row that the copy lacks."""
-        former = self.lease(platform, "a")
-        assert former.step() is LeaseChange.ACQUIRED
-        copy(platform)
-        former.release()
-        holder = self.lease(platform, "b")
+        assert second.held().number > previous_fence
+        assert previous_fence >= fence_of(1, 1)
+
+    def test_own_name_in_a_restored_row_does_not_acquire_the_lease(self, platform):
+        """Another process holds the lease by a row that is missing in the copy."""
+        previous = self.create_lease(platform, "a")
+        assert previous.step() is LeaseChange.ACQUIRED
+        copy_store(platform)
+        previous.release()
+        holder = self.create_lease(platform, "b")
         assert holder.step() is LeaseChange.ACQUIRED
-        restore(platform)
+        restore_store(platform)
 
-        again = self.lease(platform, "a")
+        again = self.create_lease(platform, "a")
 
         assert again.step() is LeaseChange.NONE
         assert holder.held() is not None
--- a/tests/adapter/test_platform_store.py
+++ b/tests/adapter/test_platform_store.py
@@ -1,4 +1,4 @@
-"""The store's client against the stand-in: conditions, feeds, and faults."""
+"""The store's client against the stand-in: conditional writes, feeds and faults."""
 
 import threading
 import time
@@ -56,14 +56,14 @@
     return StoreTable(store)
 
 
-def fault(platform, **faults):
+def inject_faults(platform, **faults):
     call(platform.url, "POST", "/faults", faults)
 
 
 class TestTable:
-    """The library's table over the store's rows."""
+    """The coordination library's table, backed by the store's rows."""
 
-    def test_versions_count_from_one_whatever_the_store_counts(self, table):
+    def test_versions_of_a_row_count_from_one(self, table):
         for version in range(3):
             put = Put(KEY, f"{version}".encode(), expect=version)
             assert table.transact([put]) == Committed()
@@ -80,7 +80,7 @@
             Check(KEY, ABSENT),
         ],
     )
-    def test_a_condition_that_fails_writes_nothing(self, table, write):
+    def test_failed_condition_writes_nothing(self, table, write):
         table.transact([Put(KEY, b"a", ABSENT)])
 
         outcome = table.transact([Put(OTHER, b"b", ABSENT), write])
@@ -88,13 +88,13 @@
         assert outcome == Conflict((1,))
         assert table.get(OTHER) == Missing()
 
-    def test_a_reader_that_has_not_read_yet_may_write_all_the_same(self, store, table):
+    def test_row_can_be_written_without_reading_it_first(self, store, table):
         table.transact([Put(KEY, b"a", ABSENT)])
 
         assert StoreTable(store).transact([Put(KEY, b"b", 1)]) == Committed()
         assert table.transact([Put(KEY, b"c", 1)]) == Conflict((0,))
 
-    def test_a_partition_is_read_alone_and_in_order(self, table):
+    def test_query_returns_only_rows_of_its_partition(self, table):
         table.transact([Put(KEY, b"a", ABSENT), Put(OTHER, b"b", ABSENT)])
 
         assert [row.key for row in table.query("things/x")] == [KEY]
@@ -111,14 +111,14 @@
             ({"slow_seconds": 1.0}, Unknown),
         ],
     )
-    def test_faults_say_whether_something_was_done(
+    def test_outcome_of_each_fault_states_whether_a_write_is_possible(
         self, platform, table, faults, outcome
     ):
-        fault(platform, **faults)
+        inject_faults(platform, **faults)
 
         assert isinstance(table.transact([Put(KEY, b"a", ABSENT)]), outcome)
 
-    def test_expired_rows_are_swept_and_no_others(self, table):
+    def test_sweep_deletes_only_expired_rows(self, table):
         now = datetime(2026, 12, 2, tzinfo=UTC)
         table.transact(
             [Put(KEY, b"a", ABSENT, now - DAY), Put(OTHER, b"b", ABSENT, now + DAY)]
@@ -132,7 +132,7 @@
 
 def decode(key, body):
     if body == b'"bad"':
-        raise ValueError("not of our shape")
+        raise ValueError("invalid document")
     return body
 
 
@@ -147,7 +147,7 @@
         row = {"table": "watched", "key": key, "document": document}
         call(platform.url, "PUT", "/rows", {"puts": [row]})
 
-    def test_a_change_ends_the_wait(self, platform, feed):
+    def test_change_ends_the_wait(self, platform, feed):
         version = feed.read().version
         later = threading.Timer(0.1, self.write, (platform, "a", 1))
         later.start()
@@ -157,7 +157,7 @@
         assert changes.entries == (Entry("a", b"1"),)
         assert changes.version > version
 
-    def test_a_row_that_cannot_be_read_is_passed_over(self, platform, feed):
+    def test_undecodable_row_is_skipped(self, platform, feed):
         version = feed.read().version
         self.write(platform, "a", "bad")
         self.write(platform, "b", 2)
@@ -167,8 +167,10 @@
         assert [entry.key for entry in changes.entries] == ["b"]
 
     @pytest.mark.parametrize("listed", [True, False])
-    def test_where_rows_name_targets_such_a_row_is_gone(self, platform, store, listed):
-        """Somebody else may write over a target's entry; the others hold."""
+    def test_undecodable_row_is_reported_as_removed_if_requested(
+        self, platform, store, listed
+    ):
+        """An entry overwritten by another writer removes its target and no other."""
         feed = StoreFeed(store, "watched", decode, unreadable_is_gone=True)
         self.write(platform, "a", 1)
         self.write(platform, "b", 2)
@@ -180,7 +182,7 @@
         assert Entry("a", None) in found.entries
         assert not listed or Entry("b", b"2") in found.entries
 
-    def test_a_removed_row_has_no_value(self, platform, feed):
+    def test_removed_row_has_no_value(self, platform, feed):
         self.write(platform, "a", 1)
         version = feed.read().version
         row = {"table": "watched", "key": "a"}
@@ -190,14 +192,14 @@
 
         assert changes.entries == (Entry("a", None),)
 
-    def test_lost_history_is_told(self, platform, feed):
+    def test_changes_after_lost_history_return_history_lost(self, platform, feed):
         version = feed.read().version
         self.write(platform, "a", 3)
         call(platform.url, "POST", "/forget", {})
 
         assert feed.changes(version, timedelta()) == HistoryLost()
 
-    def test_a_wait_is_broken_off_when_told(self, feed):
+    def test_hurry_ends_a_wait(self, feed):
         version = feed.read().version
         threading.Timer(0.1, feed.hurry).start()
 
@@ -205,14 +207,14 @@
 
         assert outcome == WaitEnded()
 
-    def test_a_wait_is_broken_off_when_another_call_fails(self, platform, feed, table):
+    def test_failure_of_another_call_ends_a_wait(self, platform, feed, table):
         version = feed.read().version
         outcomes = []
         waiting = threading.Thread(
             target=lambda: outcomes.append(feed.changes(version, timedelta(seconds=8)))
         )
         waiting.start()
-        fault(platform, silent=True)
+        inject_faults(platform, silent=True)
         table.get(KEY)
         waiting.join(3)
 
@@ -224,10 +226,10 @@
 
 
 class TestSlowLink:
-    """A large row takes a second over a link of some Mbit/s.
+    """A large row takes about a second over a link of a few Mbit/s.
 
-    While it arrived, news of its version from elsewhere or another call that failed
-    had it sent again from the first byte.
+    Interrupting the transfer, because of an update from a peer or a failure of
+    another call, would restart it from the first byte.
     """
 
     @pytest.fixture
@@ -239,37 +241,39 @@
         relay.close()
 
     @pytest.fixture
-    def far(self, relay):
+    def slow_store(self, relay):
         return Store(f"http://127.0.0.1:{relay.port}", timedelta(seconds=0.5))
 
-    def change(self, platform, far):
-        feed = StoreFeed(far, "grown", decode)
+    def write_large_row(self, platform, slow_store):
+        feed = StoreFeed(slow_store, "grown", decode)
         version = feed.read().version
         row = {"table": "grown", "key": "a", "document": LARGE}
         call(platform.url, "PUT", "/rows", {"puts": [row]})
         return feed, version
 
-    def in_midst(self, relay, act):
-        """Do something once half of the next answer has arrived."""
+    def run_halfway(self, relay, action):
+        """Call ``action`` once half of the next response has arrived."""
         half = relay.answered + len(LARGE) // 2
 
         def run():
             if wait_until(lambda: relay.answered >= half):
-                act()
+                action()
 
         threading.Thread(target=run, daemon=True).start()
 
-    def test_an_answer_that_arrives_is_not_broken_off(self, platform, far, relay):
-        feed, version = self.change(platform, far)
-        self.in_midst(relay, feed.hurry)
+    def test_response_in_transfer_is_not_interrupted(self, platform, slow_store, relay):
+        feed, version = self.write_large_row(platform, slow_store)
+        self.run_halfway(relay, feed.hurry)
 
         outcome = feed.changes(version, timedelta(seconds=8))
 
         assert [len(entry.value) for entry in outcome.entries] == [len(LARGE) + 2]
 
-    def test_one_that_stops_arriving_is_given_up_soon(self, platform, far, relay):
-        feed, version = self.change(platform, far)
-        self.in_midst(relay, lambda: relay.inject(LinkFault.FREEZE))
+    def test_stalled_response_times_out_within_two_seconds(
+        self, platform, slow_store, relay
+    ):
+        feed, version = self.write_large_row(platform, slow_store)
+        self.run_halfway(relay, lambda: relay.inject(LinkFault.FREEZE))
         began = time.monotonic()
 
         outcome = feed.changes(version, timedelta(seconds=8))
@@ -279,17 +283,17 @@
 
 
 class TestObjects:
-    """Raw objects."""
+    """Objects of raw bytes."""
 
-    def test_are_read_as_they_were_written(self, store):
+    def test_object_is_read_as_written(self, store):
         objects = StoreObjects(store)
 
         assert objects.put("a/b c", b"body")
         assert objects.get("a/b c") == b"body"
         assert objects.get("absent") is None
 
-    def test_a_store_that_is_down_says_so(self, platform, store):
-        fault(platform, down=True)
+    def test_calls_fail_while_the_store_is_down(self, platform, store):
+        inject_faults(platform, down=True)
 
         assert not StoreObjects(store).put("x", b"")
         assert StoreObjects(store).get("x") is None
--- a/tests/adapter/test_platform_wishes.py
+++ b/tests/adapter/test_platform_wishes.py
@@ -1,4 +1,4 @@
-"""What targets ask of nodes in the headers of their answers, decoded."""
+"""Decoding of flow-control headers in the responses of targets."""
 
 from datetime import timedelta
 
@@ -8,8 +8,8 @@
 from runhatch_server.targets import UnreadableLimit
 
 
-class TestWishes:
-    """Each header, and what stands for no wish."""
+class TestFlowControlHeaders:
+    """Each header, with valid, invalid and missing values."""
 
     @pytest.mark.parametrize(
         ("status", "value", "rest"),
@@ -26,7 +26,7 @@
             (200, "3", None),
         ],
     )
-    def test_rest(self, status, value, rest):
+    def test_retry_after_is_decoded_only_for_status_503(self, status, value, rest):
         headers = {} if value is None else {"retry-after": value}
         found = PlatformHeaders().read_answer(status, "", headers, False).rest
 
@@ -40,7 +40,7 @@
             ({}, False),
         ],
     )
-    def test_leaving(self, headers, leaving):
+    def test_only_the_value_1_means_that_the_target_drains(self, headers, leaving):
         head = PlatformHeaders().read_answer(200, "", headers, False)
 
         assert head.leaving is leaving
@@ -55,7 +55,7 @@
         ],
     )
     @pytest.mark.parametrize("status", [200, 421, 503])
-    def test_rate_limit(self, status, headers, limit):
+    def test_rate_limit_is_decoded_for_any_status(self, status, headers, limit):
         head = PlatformHeaders().read_answer(status, "", headers, False)
 
         assert head.rate_limit == limit
