--- a/tests/adapter/test_platform_restored.py
+++ b/tests/adapter/test_platform_restored.py
@@ -104,7 +104,7 @@
 
     def test_wait_ends_when_another_call_returns_a_newer_era(self, platform, feed):
         version = feed.read().version
-        # A restore would answer the pending call; this answer never arrives.
+        # A real store answers the waiting call after a restore; the fault prevents it.
         call(platform.url, "POST", "/faults", {"silent": True})
         outcomes = []
         waiting = threading.Thread(
@@ -183,8 +183,8 @@
         assert mine.transact([Put(KEY, b"again", 1)]) == Conflict((0,))
         assert mine.transact([Put(KEY, b"again", found.version)]) == Committed()
 
-        again = Put(KEY, b"theirs again", 1)
-        assert theirs.transact([again]) == Conflict((0,))
+        stale_write = Put(KEY, b"theirs again", 1)
+        assert theirs.transact([stale_write]) == Conflict((0,))
 
     def test_write_conflicts_at_the_same_count_of_another_era(self, platform, store):
         """A restore lets another writer's row reach the count that a write expects.
@@ -326,7 +326,7 @@
         assert holder.step() is LeaseChange.ACQUIRED
         restore_store(platform)
 
-        again = self.create_lease(platform, "a")
+        restarted = self.create_lease(platform, "a")
 
-        assert again.step() is LeaseChange.NONE
+        assert restarted.step() is LeaseChange.NONE
         assert holder.held() is not None
--- a/tests/adapter/test_platform_store.py
+++ b/tests/adapter/test_platform_store.py
@@ -111,7 +111,7 @@
             ({"slow_seconds": 1.0}, Unknown),
         ],
     )
-    def test_outcome_of_each_fault_states_whether_a_write_is_possible(
+    def test_fault_is_unavailable_only_if_nothing_was_written(
         self, platform, table, faults, outcome
     ):
         inject_faults(platform, **faults)
