--- a/packages/runhatch-server/src/runhatch_server/_demand_reports.py
+++ b/packages/runhatch-server/src/runhatch_server/_demand_reports.py
@@ -1,4 +1,4 @@
-"""Sending this node's demand counts to the planners of their pools."""
+"""Sends this node's demand counts to the planner of each pool."""
 
 from collections import Counter, defaultdict
 from collections.abc import Callable, Mapping
@@ -10,15 +10,16 @@
 
 SHORTEST_PERIOD = timedelta(seconds=1)
 MESSAGES_A_SECOND = 20
-"""What a planner takes in; nodes space their counts so as to keep to it."""
+"""Load limit of a planner; all nodes together send it at most this many counts."""
 
 Counts = dict[str, int]
 
 
 class DemandReporter:
-    """Collects counts and sends them at a pace that the system's size sets.
+    """Collects demand counts and sends them at a rate that depends on the node count.
 
-    ``on_own`` takes counts for pools planned here, ``send`` those for an address.
+    ``on_own`` receives all counts of this node; pools planned elsewhere are ignored
+    there.  ``send`` sends the counts for one planner to its address.
     """
 
     def __init__(
@@ -31,46 +32,48 @@
     ) -> None:
         self._demand = demand
         self._clock = clock
-        self._own = own
+        self._own_name = own
         self._on_own = on_own
         self._send = send
         self._counts: Counter[str] = Counter()
-        self._sent = timedelta()
+        self._last_sent_at = timedelta()
 
     def report(
         self, deployment: Deployment, leases: Mapping[str, LeaseRecord], nodes: int
     ) -> None:
-        """Send what has been counted, if it is time."""
+        """Send the collected counts if the period since the last report has passed."""
         self._counts.update(self._demand.take())
         now = self._clock.elapsed()
-        if not self._counts or now - self._sent < demand_period(nodes):
+        if not self._counts or now - self._last_sent_at < demand_period(nodes):
             return
-        self._sent = now
+        self._last_sent_at = now
         counts = dict(self._counts)
         self._counts.clear()
         self._on_own(counts)
-        for address, part in self._by_planner(counts, deployment, leases).items():
-            self._send(address, part)
+        for address, planner_counts in self._group_by_planner(
+            counts, deployment, leases
+        ).items():
+            self._send(address, planner_counts)
 
-    def _by_planner(
+    def _group_by_planner(
         self,
         counts: Counts,
         deployment: Deployment,
         leases: Mapping[str, LeaseRecord],
     ) -> dict[str, Counts]:
-        """Return the counts for each planner elsewhere, by its address."""
+        """Return the counts for planners on other nodes, by planner address."""
         pools = deployment.pool_by_callable
         by_address: defaultdict[str, Counts] = defaultdict(dict)
         for name, count in counts.items():
             record = leases.get(pools.get(name, ""))
-            if record is None or not record.address or record.holder == self._own:
+            if record is None or not record.address or record.holder == self._own_name:
                 continue
             by_address[record.address][name] = count
         return by_address
 
 
 def demand_period(nodes: int) -> timedelta:
-    """Return how long a node waits between two counts to a planner.
+    """Return the time between two reports of a node in a system of ``nodes`` nodes.
 
     >>> demand_period(9).total_seconds(), demand_period(390).total_seconds()
     (1.0, 19.5)
--- a/packages/runhatch-server/src/runhatch_server/_node.py
+++ b/packages/runhatch-server/src/runhatch_server/_node.py
@@ -1,4 +1,4 @@
-"""One node put together: what it owns, how its parts refer to each other."""
+"""Creates the components of a node and connects them."""
 
 import threading
 import time
@@ -39,21 +39,21 @@
 CONFIGURATION = "configuration"
 OPERATOR_THREADS = 4
 OPERATOR_LIMITS = ServerLimits(body=16_777_216, header=32_768)
-"""Room for a configuration of 860 models in one body."""
+"""The body limit fits a configuration of 860 models."""
 VM_LIST_EVERY = timedelta(seconds=2)
 CACHES_EVERY = timedelta(seconds=1)
 KEYS_EVERY = timedelta(seconds=10)
-"""Between two looks at the key files of peer links."""
+"""Interval between two checks of the key files of peer links."""
 SWEEP = "sweep"
 SWEEP_EVERY = timedelta(minutes=10)
-"""Claims are kept for a day; rows that live some minutes longer cost little."""
+"""Claims are kept for a day, so rows may stay some minutes longer."""
 LEDGER_READ_PER_TARGET = timedelta(seconds=2)
 STATE_RETRY = timedelta(seconds=1)
-"""Between two tries of a node that knows of a newer configuration than its own."""
+"""Interval between two attempts of a node to get a newer configuration it knows of."""
 
 
 class Node:
-    """A whole daemon; ``start`` returns, ``drain`` ends it."""
+    """All components of a daemon; ``start`` does not block, ``drain`` ends it."""
 
     def __init__(self, settings: Settings, outside: Outside) -> None:
         self._settings = settings
@@ -63,40 +63,40 @@
         self._draining = threading.Event()
         self._metrics = Metrics()
         self._traces = TraceLog()
-        self._picture = Picture()
-        self._ledger_read = timedelta(days=-1)
+        self._placement_cache = Picture()
+        self._ledger_read_at = timedelta(days=-1)
         self._tasks = Tasks(self._clock, self._draining)
         self._membership = Membership(
-            self._own_vm(),
+            self._build_own_vm(),
             self._clock,
             timedelta(seconds=settings.peering.suspect_seconds),
         )
         self._feed = RevisionFeed(self._on_revision)
         log = RevisionLog(outside.table, outside.objects, CONFIGURATION)
         self._configuration = ConfigurationService(log, self._feed, self._clock)
-        lives = TargetLives(settings.node.name)
-        self._crashes = CrashWatch(
+        target_incarnations = TargetLives(settings.node.name)
+        self._crash_detector = CrashWatch(
             self._clock,
-            lives,
+            target_incarnations,
             self._metrics,
             lambda: self._peers.suspects.tell_news(),
         )
         self._callers = CallerSide(
             settings,
             outside,
-            self._picture,
+            self._placement_cache,
             self._membership,
             self._metrics,
             self._traces,
             self.is_ready,
             self._ready.is_set,
             self._on_draining_answer,
-            self._broken,
-            self._crashes,
-            lives,
+            self._on_invariant_error,
+            self._crash_detector,
+            target_incarnations,
         )
         self._dispatcher = self._callers.dispatcher
-        self._drains = DrainTracker(self._clock, self._dispatcher.drain)
+        self._drain_tracker = DrainTracker(self._clock, self._dispatcher.drain)
         self._placement = PlacementService(
             outside.table,
             self._clock,
@@ -106,19 +106,19 @@
             self._on_lease,
             timedelta(seconds=settings.placement.lease_seconds),
         )
-        self._operators = self._build_operators()
+        self._operator_server = self._build_operators()
         self._peers = PeerService(
             self._membership,
             self._feed,
-            self._picture,
+            self._placement_cache,
             self._metrics,
-            self._on_notice,
+            self._on_revision_notice,
             self._on_hosting,
-            self._drains.said,
+            self._drain_tracker.said,
             self._on_demand,
             self._on_planner,
             self._planner_notices,
-            self._crashes,
+            self._crash_detector,
             self._clock,
         )
         self._follower = RevisionFollower(
@@ -135,20 +135,20 @@
 
     @property
     def caller_port(self) -> int:
-        """The port callers are served on."""
+        """The port on which callers are served."""
         return self._callers.port
 
     @property
     def operator_port(self) -> int:
-        """The port operators are served on."""
-        return self._operators.port
+        """The port on which operators are served."""
+        return self._operator_server.port
 
     def is_ready(self) -> bool:
-        """Tell whether the balancer should send requests here."""
+        """Return whether the load balancer should send requests to this node."""
         return self._ready.is_set() and not self._draining.is_set()
 
     def start(self) -> None:
-        """Open the listeners and start every task."""
+        """Open the listeners and start the recurring tasks."""
         peering = self._settings.peering
         listener = self._settings.peers
         heartbeat = timedelta(seconds=peering.heartbeat_seconds)
@@ -160,37 +160,40 @@
             heartbeat,
             peering.max_message_bytes,
             peering.tls,
-            self._broken,
+            self._on_invariant_error,
         )
         self._peers.attach(self._links)
         placement = self._settings.placement
         refresh = timedelta(seconds=placement.refresh_seconds)
         self._tasks.every("vms", VM_LIST_EVERY, self._read_vms)
         self._tasks.every(
-            "members", heartbeat, self._keep_members, self._peers.met_member
+            "members", heartbeat, self._maintain_membership, self._peers.met_member
         )
         follower = self._follower
         self._tasks.every("configuration", refresh, follower.poll, follower.wake)
         interval = timedelta(seconds=placement.interval_seconds)
         self._tasks.every("leases", interval, self._watch_leases)
         self._tasks.every("placement", interval, self._plan)
-        self._tasks.every("picture", refresh, self._refresh_picture)
+        self._tasks.every("picture", refresh, self._refresh_placement_cache)
         self._tasks.every("caches", CACHES_EVERY, self._callers.caches.read_round)
         self._tasks.every("keys", KEYS_EVERY, self._links.renew_keys)
         self._tasks.every(
-            "crashes", LOOK_EVERY, self._crashes.look_again, self._crashes.doubts
+            "crashes",
+            LOOK_EVERY,
+            self._crash_detector.look_again,
+            self._crash_detector.doubts,
         )
         self._tasks.every("suspects", ASK_EVERY, self._peers.suspects.ask)
         self._tasks.every("state", STATE_RETRY, follower.catch_up)
-        self._tasks.every("sweep", SWEEP_EVERY, self._sweep)
-        self._operators.start()
+        self._tasks.every("sweep", SWEEP_EVERY, self._remove_expired_rows)
+        self._operator_server.start()
         self._callers.start()
 
     def drain(self) -> None:
-        """Stop taking requests, finish those there are, and let go of everything.
+        """Stop accepting requests, finish those in progress and release all resources.
 
-        Readiness fails at once; connections are taken until the balancer has
-        had time to notice.
+        Readiness fails at once; connections are accepted until the load balancer has
+        had time to detect that.
         """
         log_change("draining", in_progress=self._callers.in_progress)
         self._draining.set()
@@ -204,24 +207,24 @@
             self._links.close()
         log_change("drained")
 
-    def _broken(self, error: InvariantError) -> None:
+    def _on_invariant_error(self, error: InvariantError) -> None:
         self._tasks.on_broken(error)
 
     def on_broken_invariant(self, stop: Callable[[InvariantError], None]) -> None:
-        """Have ``stop`` called if a task finds a promise broken."""
+        """Call ``stop`` if a task raises an :class:`InvariantError`."""
         self._tasks.on_broken = stop
 
-    def _own_vm(self) -> Vm:
+    def _build_own_vm(self) -> Vm:
         node = self._settings.node
         peers = self._settings.peers
-        # A VM that comes back must outrank what is still said of its last life.
-        born = int(time.time())
+        # A VM that restarts must supersede stale reports of its previous incarnation.
+        incarnation = int(time.time())
         address = f"{peers.host}:{peers.port}"
-        return Vm(node.name, node.failure_domain, address, born)
+        return Vm(node.name, node.failure_domain, address, incarnation)
 
     def _build_operators(self) -> HttpServer:
         inventory = Inventory(
-            self._picture,
+            self._placement_cache,
             self._dispatcher,
             self._placement,
             self._membership,
@@ -246,16 +249,16 @@
         )
 
     def _on_revision(self, revision: Revision) -> None:
-        """Put a revision in force; called in order, never for a lower one."""
+        """Put a revision in force; called in increasing order of revisions."""
         deployment = parse_deployment(revision.body)
-        self._picture.configure(deployment)
-        self._drains.configure(deployment)
+        self._placement_cache.configure(deployment)
+        self._drain_tracker.configure(deployment)
         self._metrics.revision.set(revision.entry.number)
         log_change("configuration", revision=revision.entry.number)
         self._peers.tell_revision(revision.entry.position)
         self._ready.set()
 
-    def _on_notice(self, position: int) -> None:
+    def _on_revision_notice(self, position: int) -> None:
         self._follower.notice(position)
 
     def _on_own_hosting(self, hosting: Hosting) -> None:
@@ -263,18 +266,18 @@
             self._peers.tell_hosting(hosting)
 
     def _on_hosting(self, hosting: Hosting) -> bool:
-        news = self._picture.learn(hosting)
-        if news:
+        changed = self._placement_cache.learn(hosting)
+        if changed:
             self._dispatcher.picture_changed()
-        return news
+        return changed
 
     def _on_draining_answer(self, target: str) -> None:
         targets = frozenset({target})
-        if self._drains.said(targets):
+        if self._drain_tracker.said(targets):
             self._peers.tell_draining(targets)
 
     def _on_lease(self, pool: str, record: LeaseRecord) -> None:
-        self._peers.tell_all(_notice(pool, record))
+        self._peers.tell_all(_to_planner_notice(pool, record))
 
     def _on_planner(self, notice: PlannerNotice) -> bool:
         record = LeaseRecord(notice.holder, notice.epoch, 0, notice.address)
@@ -282,10 +285,10 @@
 
     def _planner_notices(self) -> list[PlannerNotice]:
         leases = self._placement.leases()
-        return [_notice(pool, record) for pool, record in leases.items()]
+        return [_to_planner_notice(pool, record) for pool, record in leases.items()]
 
     def _on_demand(self, counts: dict[str, int]) -> None:
-        self._placement.demand(counts, self._picture.deployment)
+        self._placement.demand(counts, self._placement_cache.deployment)
 
     def _read_vms(self) -> None:
         listing = self._outside.vms.read()
@@ -293,44 +296,45 @@
             return
         self._membership.listed(listing.nodes, listing.leaving)
         self._placement.leaving = listing.leaving
-        self._drains.listed(listing.leaving)
+        self._drain_tracker.listed(listing.leaving)
 
-    def _keep_members(self) -> None:
+    def _maintain_membership(self) -> None:
         self._peers.look_for_members(self._settings.peering.seeds)
         self._peers.keep_links()
         self._peers.look_round()
-        self._drains.forget_old()
+        self._drain_tracker.forget_old()
         self._demand_reporter.report(
-            self._picture.deployment,
+            self._placement_cache.deployment,
             self._placement.leases(),
             len(self._membership.facts()),
         )
 
-    def _sweep(self) -> None:
-        """Have one node of all drop what has expired."""
+    def _remove_expired_rows(self) -> None:
+        """Remove expired rows, on the one node chosen by rank."""
         names = [vm.name for vm in self._membership.alive()]
         if rank(SWEEP, names)[0] == self._settings.node.name:
             self._outside.sweep(self._clock.now())
 
-    def _refresh_picture(self) -> None:
-        """Compare with peers each time, with the ledger ever more seldom.
+    def _refresh_placement_cache(self) -> None:
+        """Send the digest to peers, and read the ledgers if their interval has passed.
 
-        Reading all ledgers costs bytes by the number of targets.
+        Reading all ledgers transfers an amount of data proportional to the number of
+        targets, so the interval grows with that number.
         """
         self._peers.tell_digest()
-        deployment = self._picture.deployment
+        deployment = self._placement_cache.deployment
         targets = sum(len(pool.targets) for pool in deployment.pools)
         now = self._clock.elapsed()
-        if now - self._ledger_read >= LEDGER_READ_PER_TARGET * targets:
-            self._ledger_read = now
+        if now - self._ledger_read_at >= LEDGER_READ_PER_TARGET * targets:
+            self._ledger_read_at = now
             self._placement.refresh(deployment)
 
     def _watch_leases(self) -> None:
-        self._placement.watch_leases(self._picture.deployment)
+        self._placement.watch_leases(self._placement_cache.deployment)
 
     def _plan(self) -> None:
-        self._placement.plan_pools(self._picture.deployment)
+        self._placement.plan_pools(self._placement_cache.deployment)
 
 
-def _notice(pool: str, record: LeaseRecord) -> PlannerNotice:
+def _to_planner_notice(pool: str, record: LeaseRecord) -> PlannerNotice:
     return PlannerNotice(pool, record.holder, record.address, record.epoch)
--- a/packages/runhatch-server/src/runhatch_server/_peer_service.py
+++ b/packages/runhatch-server/src/runhatch_server/_peer_service.py
@@ -1,4 +1,4 @@
-"""What a node tells its peers and makes of what they tell it."""
+"""Sends messages to the peers of a node and handles the messages they send."""
 
 from collections.abc import Callable
 from functools import singledispatchmethod
@@ -31,7 +31,7 @@
 
 
 class PeerService(MemberExchange):
-    """Facts in and out of one node; truth stays with the platform's store."""
+    """Exchanges facts with peers; the platform's store stays authoritative."""
 
     def __init__(
         self,
@@ -51,33 +51,33 @@
     ) -> None:
         super().__init__(membership, metrics, seed)
         self._feed = feed
-        self._picture = picture
+        self._placement_cache = picture
         self._on_notice = on_notice
         self._on_hosting = on_hosting
         self._on_draining = on_draining
         self._on_demand = on_demand
         self._on_planner = on_planner
-        self._planners = planners
-        self._differing: set[str] = set()
+        self._get_planner_notices = planners
+        self._mismatched_peers: set[str] = set()
         self.suspects = SuspectExchange(
             crashes, clock, lambda: [*self._linked], self.tell, self.tell_all
         )
-        """Under which requests targets have ended, told and heard."""
+        """Exchanges the requests during which targets have ended."""
 
     def tell_revision(self, position: int) -> None:
-        """Tell peers that the revision at ``position`` is in force here."""
+        """Notify peers that the revision at ``position`` is in force on this node."""
         self.tell_all(RevisionNotice(position))
 
     def tell_hosting(self, hosting: Hosting) -> None:
-        """Tell peers what a target serves."""
+        """Send peers the units that a target serves."""
         self.tell_all(HostingFact(hosting.target, hosting.version, hosting.units))
 
     def tell_digest(self) -> None:
-        """Let peers find out whether they lack a hosting."""
-        self.tell_all(PictureDigest(self._picture.digest))
+        """Send peers the digest of the hostings, so that they detect a difference."""
+        self.tell_all(PictureDigest(self._placement_cache.digest))
 
     def tell_draining(self, targets: frozenset[str]) -> None:
-        """Tell peers of targets seen draining."""
+        """Send peers the names of targets that drain."""
         self.tell_all(DrainingTargets(tuple(sorted(targets))))
 
     def tell_demand(self, address: str, counts: dict[str, int]) -> None:
@@ -86,82 +86,83 @@
             self._links.tell(address, [DemandCounts(counts)])
 
     def ask_for_state(self) -> None:
-        """Ask one peer for its configuration and picture."""
-        others = [
+        """Request the configuration and the hostings from a random peer."""
+        peers = [
             vm
             for vm in self._membership.alive()
             if vm.name != self._membership.own.name
         ]
-        if self._links is not None and others:
-            wanted = StateWanted(self._feed.position, self._membership.own.address)
-            self._links.tell(self._random.choice(others).address, [wanted])
+        if self._links is not None and peers:
+            request = StateWanted(self._feed.position, self._membership.own.address)
+            self._links.tell(self._random.choice(peers).address, [request])
 
     @singledispatchmethod
     def take_in(self, fact: Fact, sender: Member) -> None:
-        """Pass over nothing: every other fact is of these nodes."""
+        """Handle a fact by type; raise ``NotImplementedError`` for other types."""
         raise NotImplementedError(type(fact))
 
     @take_in.register
-    def _take_in_notice(self, fact: RevisionNotice, sender: Member) -> None:
+    def _handle_revision_notice(self, fact: RevisionNotice, sender: Member) -> None:
         self._on_notice(fact.number)
 
     @take_in.register
-    def _take_in_body(self, fact: RevisionBody, sender: Member) -> None:
-        self._feed.offer(_revision(fact))
+    def _handle_revision_body(self, fact: RevisionBody, sender: Member) -> None:
+        self._feed.offer(_decode_revision(fact))
 
     @take_in.register
-    def _take_in_hosting(self, fact: HostingFact, sender: Member) -> None:
-        # Passed on only if it was news, so that it dies out.
+    def _handle_hosting(self, fact: HostingFact, sender: Member) -> None:
+        # Forwarded only if it changed something, so that forwarding ends.
         if self._on_hosting(Hosting(fact.target, fact.version, fact.units)):
             self.tell_all(fact)
 
     @take_in.register
-    def _take_in_draining(self, fact: DrainingTargets, sender: Member) -> None:
+    def _handle_draining(self, fact: DrainingTargets, sender: Member) -> None:
         if self._on_draining(frozenset(fact.targets)):
             self.tell_all(fact)
 
     @take_in.register
-    def _take_in_demand(self, fact: DemandCounts, sender: Member) -> None:
+    def _handle_demand(self, fact: DemandCounts, sender: Member) -> None:
         self._on_demand(fact.counts)
 
     @take_in.register
-    def _take_in_planner(self, fact: PlannerNotice, sender: Member) -> None:
+    def _handle_planner(self, fact: PlannerNotice, sender: Member) -> None:
         if self._on_planner(fact):
             self.tell_all(fact)
 
     @take_in.register
-    def _take_in_digest(self, fact: PictureDigest, sender: Member) -> None:
-        self._compare(sender, fact.digest)
+    def _handle_digest(self, fact: PictureDigest, sender: Member) -> None:
+        self._compare_digest(sender, fact.digest)
 
     @take_in.register
-    def _take_in_suspects(self, fact: SuspectFact, sender: Member) -> None:
+    def _handle_suspects(self, fact: SuspectFact, sender: Member) -> None:
         self.suspects.take_in(fact, sender)
 
     @take_in.register
-    def _take_in_wanted(self, fact: StateWanted, sender: Member) -> None:
-        self._reply(fact.known, fact.reply_to)
+    def _handle_state_request(self, fact: StateWanted, sender: Member) -> None:
+        self._send_state(fact.known, fact.reply_to)
 
-    def _compare(self, sender: Member, digest: int) -> None:
-        """Ask for all hostings if the sender's differ twice in a row.
+    def _compare_digest(self, sender: Member, digest: int) -> None:
+        """Request all hostings if the sender's digest differs twice in a row.
 
-        Once may be a change that is still on its way.
+        A single difference may be an update that has not arrived yet.
         """
-        if digest == self._picture.digest:
-            self._differing.discard(sender.name)
-        elif sender.name not in self._differing:
-            self._differing.add(sender.name)
+        if digest == self._placement_cache.digest:
+            self._mismatched_peers.discard(sender.name)
+        elif sender.name not in self._mismatched_peers:
+            self._mismatched_peers.add(sender.name)
         elif self._links is not None:
-            self._differing.discard(sender.name)
-            wanted = StateWanted(self._feed.position, self._membership.own.address)
-            self._links.tell(sender.address, [wanted])
+            self._mismatched_peers.discard(sender.name)
+            request = StateWanted(self._feed.position, self._membership.own.address)
+            self._links.tell(sender.address, [request])
 
-    def _reply(self, known: int, reply_to: str) -> None:
+    def _send_state(self, known: int, reply_to: str) -> None:
         facts: list[Fact] = [
             HostingFact(hosting.target, hosting.version, hosting.units)
-            for hosting in self._picture.hostings()
+            for hosting in self._placement_cache.hostings()
         ]
-        facts += self._planners()
-        # Who starts now has heard nobody, and would take the dead for alive.
+        facts += self._get_planner_notices()
+        # A node that has just started has received no heartbeats and would assume that
+        # failed nodes are alive.
         facts += [
             member_of_fact(fact)
             for fact in self._membership.facts()
@@ -169,12 +170,12 @@
         ]
         current = self._feed.current
         if current is not None and current.entry.position > known:
-            facts.insert(0, _body(current))
+            facts.insert(0, _encode_revision(current))
         if self._links is not None and facts:
             self._links.tell(reply_to, facts)
 
 
-def _body(revision: Revision) -> RevisionBody:
+def _encode_revision(revision: Revision) -> RevisionBody:
     entry = revision.entry
     return RevisionBody(
         entry.number,
@@ -189,7 +190,7 @@
     )
 
 
-def _revision(message: RevisionBody) -> Revision:
+def _decode_revision(message: RevisionBody) -> Revision:
     entry = RevisionEntry(
         message.number,
         message.operation,
