--- a/packages/runhatch-server/src/runhatch_server/_drains.py
+++ b/packages/runhatch-server/src/runhatch_server/_drains.py
@@ -1,4 +1,4 @@
-"""Which targets take no new work, by any of three signs."""
+"""Tracks the targets that take no new work, from three sources."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -7,13 +7,13 @@
 from runhatch_server.configuration import Deployment
 
 REMEMBERED = timedelta(seconds=15)
-"""How long a target's own word that it drains holds after it was last said."""
+"""How long a target counts as draining after its last report that it drains."""
 
 
 class DrainTracker:
-    """Joins the operators' drains, the VM list and the targets' own answers.
+    """Combines operators' drains, the VM list and the targets' own answers.
 
-    ``on_change`` is given the whole set whenever it may have changed.
+    ``on_change`` is called with the whole set whenever the set may have changed.
     """
 
     def __init__(
@@ -22,43 +22,45 @@
         self._clock = clock
         self._on_change = on_change
         self._deployment = Deployment()
-        self._leaving: frozenset[str] = frozenset()
-        self._told: dict[str, timedelta] = {}
+        self._draining_vms: frozenset[str] = frozenset()
+        self._reported_at: dict[str, timedelta] = {}
 
     def configure(self, deployment: Deployment) -> None:
-        """Use another deployment's drains and VMs."""
+        """Replace the deployment whose drains and VMs are used."""
         self._deployment = deployment
-        self._tell()
+        self._publish_drained()
 
     def listed(self, leaving: frozenset[str]) -> None:
-        """Take in the names of the VMs that the platform says are leaving."""
-        if leaving != self._leaving:
-            self._leaving = leaving
-            self._tell()
+        """Record the names of the VMs that the platform is shutting down."""
+        if leaving != self._draining_vms:
+            self._draining_vms = leaving
+            self._publish_drained()
 
     def said(self, targets: frozenset[str]) -> bool:
-        """Take in targets that said they drain; returns whether any was news."""
+        """Record reports that ``targets`` drain; return whether any target is new."""
         now = self._clock.elapsed()
-        fresh = targets - self._told.keys()
+        new_targets = targets - self._reported_at.keys()
         for target in targets:
-            self._told[target] = now
-        if fresh:
-            self._tell()
-        return bool(fresh)
+            self._reported_at[target] = now
+        if new_targets:
+            self._publish_drained()
+        return bool(new_targets)
 
     def forget_old(self) -> None:
-        """Try targets again that have not said for a while that they drain."""
+        """Remove targets whose last report that they drain has expired."""
         now = self._clock.elapsed()
-        past = [name for name, at in self._told.items() if now - at >= REMEMBERED]
-        for target in past:
-            del self._told[target]
-        if past:
-            self._tell()
+        expired = [
+            name for name, at in self._reported_at.items() if now - at >= REMEMBERED
+        ]
+        for target in expired:
+            del self._reported_at[target]
+        if expired:
+            self._publish_drained()
 
-    def _tell(self) -> None:
-        drained = set(self._deployment.drained_targets) | set(self._told)
+    def _publish_drained(self) -> None:
+        drained = set(self._deployment.drained_targets) | set(self._reported_at)
         for pool in self._deployment.pools:
-            drained |= {t.name for t in pool.targets if t.vm in self._leaving}
+            drained |= {t.name for t in pool.targets if t.vm in self._draining_vms}
         for service in self._deployment.plain_services:
-            drained |= {t.name for t in service.targets if t.vm in self._leaving}
+            drained |= {t.name for t in service.targets if t.vm in self._draining_vms}
         self._on_change(frozenset(drained))
--- a/packages/runhatch-server/src/runhatch_server/_store_clock.py
+++ b/packages/runhatch-server/src/runhatch_server/_store_clock.py
@@ -1,4 +1,4 @@
-"""The platform's time, from the ``Date`` header of its answers (RFC 9110, 6.6.1)."""
+"""A clock set by the ``Date`` header of the platform's answers (RFC 9110, 6.6.1)."""
 
 from datetime import datetime, timedelta
 from email.utils import parsedate_to_datetime
@@ -9,28 +9,28 @@
 
 
 class StoreClock:
-    """A clock whose wall time is the platform's, as soon as it has been heard.
+    """A clock that uses the platform's wall time once an answer has arrived.
 
-    The table forgets a claim at a wall time that the node writes and the platform
-    judges.  A VM whose clock is days behind would have it forgotten at once, and the
-    request could run again.  Between two answers the time since boot is added, so
-    that a jump of the VM's own clock changes nothing.
+    The platform's table removes a claim at an expiry time written by the node.  If the
+    VM's clock were days behind, the claim would expire at once and the request could
+    run again.  Between answers the monotonic time is added, so that jumps of the VM's
+    wall clock have no effect.
     """
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._heard: tuple[datetime, timedelta] | None = None
+        self._last_date: tuple[datetime, timedelta] | None = None
 
     def now(self) -> datetime:
-        """Return the platform's wall time, the VM's own until it is known."""
-        heard = self._heard
-        if heard is None:
+        """Return the platform's wall time, or the VM's until the former is known."""
+        last_date = self._last_date
+        if last_date is None:
             return self._clock.now()
-        at, elapsed = heard
+        at, elapsed = last_date
         return at + (self._clock.elapsed() - elapsed)
 
     def elapsed(self) -> timedelta:
-        """Return the time since an arbitrary fixed point; never goes back."""
+        """Return the monotonic time since an arbitrary fixed point."""
         return self._clock.elapsed()
 
     def sleep(self, duration: timedelta) -> None:
@@ -38,13 +38,16 @@
         self._clock.sleep(duration)
 
     def hear(self, date: str | None) -> None:
-        """Take in the ``Date`` of an answer that has just come."""
+        """Set the time from the ``Date`` header of an answer that has just arrived.
+
+        A missing or invalid date is ignored.
+        """
         elapsed = self._clock.elapsed()
-        if self._heard is not None and elapsed - self._heard[1] < LISTEN_EVERY:
+        if self._last_date is not None and elapsed - self._last_date[1] < LISTEN_EVERY:
             return
         try:
             at = parsedate_to_datetime(date or "")
         except ValueError:
             return
         if at.tzinfo is not None:
-            self._heard = (at, elapsed)
+            self._last_date = (at, elapsed)
--- a/packages/runhatch-server/tests/test_drains.py
+++ b/packages/runhatch-server/tests/test_drains.py
@@ -1,4 +1,4 @@
-"""Targets that take no new work, by any sign."""
+"""Tests for the set of targets that take no new work."""
 
 from datetime import timedelta
 
@@ -10,40 +10,40 @@
 
 
 @pytest.fixture
-def seen():
+def published_sets():
     return []
 
 
 @pytest.fixture
-def tracker(clock, seen):
-    return DrainTracker(clock, seen.append)
+def tracker(clock, published_sets):
+    return DrainTracker(clock, published_sets.append)
 
 
 class TestDrainTracker:
-    """Three signs, one set."""
+    """Combining the three sources of drained targets."""
 
-    def test_joins_all_signs(self, tracker, seen):
-        """An operator's drain, the VM list and an answer add up."""
+    def test_combines_all_sources(self, tracker, published_sets):
+        """Operators' drains, the VM list and targets' answers are combined."""
         document = deployment_document(drained_targets=["w0"])
         document["pools"][0]["targets"][1]["vm"] = "vm-1"
         tracker.configure(Deployment.model_validate(document))
         tracker.listed(frozenset({"vm-1"}))
         assert tracker.said(frozenset({"w2"}))
-        assert seen[-1] == {"w0", "w1", "w2"}
+        assert published_sets[-1] == {"w0", "w1", "w2"}
 
-    def test_an_answer_is_news_once(self, tracker):
-        """Saying it again is no news, so it dies out among peers."""
+    def test_repeated_answer_is_not_new(self, tracker):
+        """A repeated answer is not new, so peers do not forward it forever."""
         assert tracker.said(frozenset({"w2"}))
         assert not tracker.said(frozenset({"w2"}))
 
-    def test_an_answer_is_forgotten(self, tracker, clock, seen):
-        """A target that has not said it for a while is tried again."""
+    def test_answer_expires(self, tracker, clock, published_sets):
+        """A target whose last answer that it drains has expired gets work again."""
         tracker.said(frozenset({"w2"}))
         clock.advance(timedelta(seconds=10))
         tracker.said(frozenset({"w2"}))
         clock.advance(timedelta(seconds=10))
         tracker.forget_old()
-        assert seen[-1] == {"w2"}
+        assert published_sets[-1] == {"w2"}
         clock.advance(timedelta(seconds=6))
         tracker.forget_old()
-        assert seen[-1] == frozenset()
+        assert published_sets[-1] == frozenset()
--- a/packages/runhatch-server/tests/test_store_clock.py
+++ b/packages/runhatch-server/tests/test_store_clock.py
@@ -1,4 +1,4 @@
-"""Wall time under jumps of the VM's own clock."""
+"""Tests for the platform's time under jumps of the VM's wall clock."""
 
 from datetime import UTC, datetime, timedelta
 
@@ -9,24 +9,24 @@
 from runhatch_server.outside import StoreClock
 
 DATE = "Wed, 02 Dec 2026 16:00:00 GMT"
-AT = datetime(2026, 12, 2, 16, tzinfo=UTC)
+DATE_TIME = datetime(2026, 12, 2, 16, tzinfo=UTC)
 DAY = timedelta(days=1)
 
 
-class Recording(MemoryTable):
-    """Keeps what was written."""
+class RecordingTable(MemoryTable):
+    """A table that records all writes."""
 
     def __init__(self):
         super().__init__()
-        self.writes_seen = []
+        self.recorded_writes = []
 
     def transact(self, writes):
-        self.writes_seen += writes
+        self.recorded_writes += writes
         return super().transact(writes)
 
 
-class Committer:
-    """Commits at once."""
+class DirectCommitter:
+    """A committer without batching."""
 
     def __init__(self, table):
         self._table = table
@@ -36,43 +36,46 @@
 
 
 class TestStoreClock:
-    """The platform's time, once heard."""
+    """The platform's time, taken from ``Date`` headers."""
 
     @pytest.mark.parametrize("jump", [-400 * DAY, -DAY, timedelta(), DAY])
-    def test_jumps_change_nothing(self, jump):
-        """Whatever the VM's wall clock does, the platform's time goes on."""
-        own = ManualClock()
-        clock = StoreClock(own)
+    def test_jumps_of_vm_clock_are_ignored(self, jump):
+        """Jumps of the VM's wall clock do not change the platform's time."""
+        vm_clock = ManualClock()
+        clock = StoreClock(vm_clock)
         clock.hear(DATE)
-        own.jump(jump)
-        own.advance(timedelta(seconds=10))
-        assert clock.now() == AT + timedelta(seconds=10)
+        vm_clock.jump(jump)
+        vm_clock.advance(timedelta(seconds=10))
+        assert clock.now() == DATE_TIME + timedelta(seconds=10)
 
     @pytest.mark.parametrize(
         "date", [None, "", "yesterday", "Wed, 02 Dec 2026 16:00:00 -0000"]
     )
-    def test_unreadable_dates(self, date):
-        """Without a date that can be read the VM's own time is used."""
-        own = ManualClock()
-        clock = StoreClock(own)
+    def test_invalid_dates_are_ignored(self, date):
+        """The VM's time is used while no valid ``Date`` has been received."""
+        vm_clock = ManualClock()
+        clock = StoreClock(vm_clock)
         clock.hear(date)
-        assert clock.now() == own.now()
+        assert clock.now() == vm_clock.now()
 
-    def test_heard_again(self):
-        """Later answers correct what the VM's crystal drifted."""
-        own = ManualClock()
-        clock = StoreClock(own)
+    def test_later_date_corrects_drift(self):
+        """A later ``Date`` corrects the drift of the VM's clock."""
+        vm_clock = ManualClock()
+        clock = StoreClock(vm_clock)
         clock.hear("Wed, 02 Dec 2026 15:00:00 GMT")
-        own.advance(timedelta(minutes=1))
+        vm_clock.advance(timedelta(minutes=1))
         clock.hear(DATE)
-        assert clock.now() == AT
+        assert clock.now() == DATE_TIME
 
-    def test_claims_are_kept_their_time(self):
-        """A claim made by a VM whose clock is behind is not forgotten early."""
-        own = ManualClock()
-        own.jump(-3 * DAY)
-        clock = StoreClock(own)
+    def test_claim_expires_by_platform_time(self):
+        """A claim written by a VM whose clock is days behind does not expire early.
+
+        The claim would be removed at once, and its request could run again.
+        """
+        vm_clock = ManualClock()
+        vm_clock.jump(-3 * DAY)
+        clock = StoreClock(vm_clock)
         clock.hear(DATE)
-        table = Recording()
-        Claims(table, Committer(table), "n1", clock, DAY).take("key", "digest")
-        assert table.writes_seen[0].expires == AT + DAY
+        table = RecordingTable()
+        Claims(table, DirectCommitter(table), "n1", clock, DAY).take("key", "digest")
+        assert table.recorded_writes[0].expires == DATE_TIME + DAY
