--- a/packages/runhatch-server/src/runhatch_server/http/__init__.py
+++ b/packages/runhatch-server/src/runhatch_server/http/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP by library: calls to services, and a server for one application."""
+"""An HTTP client for services, and a server for a WSGI application."""
 
 from runhatch_server.http._client import (
     BrokenOff,
--- a/packages/runhatch-server/src/runhatch_server/http/_client.py
+++ b/packages/runhatch-server/src/runhatch_server/http/_client.py
@@ -1,4 +1,4 @@
-"""HTTP calls to one service, over a few kept connections."""
+"""HTTP calls to one service over a pool of kept-alive connections."""
 
 import http.client
 import itertools
@@ -15,24 +15,24 @@
 from runhatch_coordination import Unavailable, Unknown
 
 CONNECTIONS = 6
-"""Connections kept to one service; more callers than that take turns."""
+"""Size of the connection pool of a service; further calls wait for a connection."""
 DEAD_AFTER = timedelta(seconds=3)
-"""Silence of the other end's host after which a connection is given up: as long
-as a lost lease renewal may take to be noticed."""
+"""Time without a packet from the other host after which a connection is closed;
+equals the time in which a lost lease renewal must be detected."""
 PROBE_EVERY = timedelta(seconds=1)
-"""Between two keep-alive probes of the kernel on an idle connection."""
+"""Interval of the kernel's keep-alive probes on an idle connection."""
 
 
 @dataclass(frozen=True, slots=True)
 class BrokenOff(Unknown):
-    """This side gave up a call that waited; it says nothing of the service."""
+    """The client aborted a waiting call; implies nothing about the service."""
 
-    reason: str = "broken off here"
+    reason: str = "aborted by the client"
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """A complete answer; names of headers are in lower case."""
+    """A complete response; header names are in lower case."""
 
     status: int
     body: bytes
@@ -40,10 +40,11 @@
 
 
 class HttpClient:
-    """Calls one service; safe for many threads.
+    """A thread-safe client of one service.
 
-    A call that could not be sent is ``Unavailable``; one that was sent and not
-    answered in full is ``Unknown``.  ``on_date`` gets each answer's ``Date``.
+    A call that could not be sent returns ``Unavailable``; one that was sent without a
+    complete response returns ``Unknown``.  ``on_date`` is called with the ``Date``
+    header of each response.
     """
 
     def __init__(
@@ -60,14 +61,14 @@
         self._prefix = parts.path.rstrip("/")
         self._secure = parts.scheme == "https"
         self._timeout = timeout.total_seconds()
-        self._free: queue.LifoQueue[http.client.HTTPConnection | None]
-        self._free = queue.LifoQueue()
+        self._pool: queue.LifoQueue[http.client.HTTPConnection | None]
+        self._pool = queue.LifoQueue()
         for _ in range(connections):
-            self._free.put(None)
-        self._waits: dict[int, socket.socket] = {}
-        self._broken_off: set[int] = set()
-        self._waits_lock = threading.Lock()
-        self._numbers = itertools.count()
+            self._pool.put(None)
+        self._waiting_calls: dict[int, socket.socket] = {}
+        self._aborted_calls: set[int] = set()
+        self._waiting_lock = threading.Lock()
+        self._call_numbers = itertools.count()
 
     def call(
         self,
@@ -77,49 +78,51 @@
         headers: Mapping[str, str] | None = None,
         wait: timedelta = timedelta(),
     ) -> Reply | Unavailable | Unknown:
-        """Send one request and read the whole answer.
+        """Send one request and read the whole response.
 
-        ``wait`` is how long the service was asked to keep the call waiting.
+        ``wait`` is how long the service may delay its response (long polling).
         """
         try:
-            kept = self._free.get(timeout=self._timeout)
+            kept = self._pool.get(timeout=self._timeout)
         except queue.Empty:
             return Unavailable("all connections are in use")
         connection = kept or self._new_connection()
         timeout = self._timeout + wait.total_seconds()
-        outcome = self._exchange(
+        outcome = self._send(
             connection, method, path, body, headers or {}, timeout, bool(wait)
         )
         if isinstance(outcome, Reply):
-            self._free.put(connection)
+            self._pool.put(connection)
         else:
             connection.close()
-            self._free.put(None)
+            self._pool.put(None)
         return outcome
 
     def abort_waits(self) -> None:
-        """Break off all calls that still wait where the service was asked to.
+        """Abort all long-polling calls whose response has not begun to arrive.
 
-        One whose answer was lost, or that never arrived, would wait to its end.  An
-        answer that has begun to arrive goes on: on a slow link it takes long, and
-        would have to be sent again from its first byte.
+        A call whose request or response was lost would wait until its timeout.  A
+        response that has begun to arrive is read to its end: on a slow link it takes
+        long and would have to be sent again from its first byte.
         """
-        with self._waits_lock:
-            waits = list(self._waits.values())
-            self._broken_off.update(self._waits)
-        for waiting in waits:
+        with self._waiting_lock:
+            waiting_sockets = list(self._waiting_calls.values())
+            self._aborted_calls.update(self._waiting_calls)
+        for waiting in waiting_sockets:
             try:
                 waiting.shutdown(socket.SHUT_RDWR)
             except OSError:
-                # It has ended by itself meanwhile.
+                # The call has ended in the meantime.
                 continue
 
     def _new_connection(self) -> http.client.HTTPConnection:
         secure = self._secure
-        kind = http.client.HTTPSConnection if secure else http.client.HTTPConnection
-        return kind(self._host, self._port, timeout=self._timeout)
+        connection_class = (
+            http.client.HTTPSConnection if secure else http.client.HTTPConnection
+        )
+        return connection_class(self._host, self._port, timeout=self._timeout)
 
-    def _exchange(
+    def _send(
         self,
         connection: http.client.HTTPConnection,
         method: str,
@@ -127,77 +130,77 @@
         body: bytes,
         headers: Mapping[str, str],
         timeout: float,
-        waits: bool,
+        is_long_poll: bool,
     ) -> Reply | Unavailable | Unknown:
         try:
             if connection.sock is not None and _is_stale(connection.sock):
                 connection.close()
             if connection.sock is None:
                 connection.connect()
-                opened: Any = connection.sock
-                notice_dead_peers(opened, DEAD_AFTER)
+                opened_socket: Any = connection.sock
+                notice_dead_peers(opened_socket, DEAD_AFTER)
         except OSError as error:
             return Unavailable(f"not reachable: {error}")
-        link = connection.sock
-        number = self._note_wait(connection) if waits else None
+        sock = connection.sock
+        number = self._record_wait(connection) if is_long_poll else None
         try:
-            link.settimeout(timeout)
+            sock.settimeout(timeout)
             connection.request(
                 method, self._prefix + path, body=body, headers=dict(headers)
             )
             response = connection.getresponse()
-            first = response.read(1)
+            first_byte = response.read(1)
             if not response.isclosed():
-                self._note_answer(number, link)
-            answer = first + response.read()
+                self._record_first_byte(number, sock)
+            answer = first_byte + response.read()
             if self._on_date is not None:
                 self._on_date(response.getheader("Date"))
         except (OSError, http.client.HTTPException) as error:
-            if self._was_broken_off(number):
+            if self._was_aborted(number):
                 return BrokenOff()
             return Unknown(f"no answer: {type(error).__name__}")
         finally:
-            self._end_wait(number)
-        names = {name.lower(): value for name, value in response.getheaders()}
-        return Reply(response.status, answer, names)
+            self._remove_wait(number)
+        headers_by_name = {name.lower(): value for name, value in response.getheaders()}
+        return Reply(response.status, answer, headers_by_name)
 
-    def _was_broken_off(self, number: int | None) -> bool:
-        with self._waits_lock:
-            return number in self._broken_off
+    def _was_aborted(self, number: int | None) -> bool:
+        with self._waiting_lock:
+            return number in self._aborted_calls
 
-    def _end_wait(self, number: int | None) -> None:
+    def _remove_wait(self, number: int | None) -> None:
         if number is None:
             return
-        with self._waits_lock:
-            self._waits.pop(number, None)
-            self._broken_off.discard(number)
+        with self._waiting_lock:
+            self._waiting_calls.pop(number, None)
+            self._aborted_calls.discard(number)
 
-    def _note_answer(self, number: int | None, link: socket.socket) -> None:
-        """Let a call no longer count as waiting, nor be as patient."""
+    def _record_first_byte(self, number: int | None, sock: socket.socket) -> None:
+        """Remove a call from the waiting ones and restore the default timeout."""
         if number is None:
             return
-        with self._waits_lock:
-            self._waits.pop(number, None)
-        link.settimeout(self._timeout)
-
-    def _note_wait(self, connection: http.client.HTTPConnection) -> int:
-        number = next(self._numbers)
-        with self._waits_lock:
-            self._waits[number] = connection.sock
+        with self._waiting_lock:
+            self._waiting_calls.pop(number, None)
+        sock.settimeout(self._timeout)
+
+    def _record_wait(self, connection: http.client.HTTPConnection) -> int:
+        number = next(self._call_numbers)
+        with self._waiting_lock:
+            self._waiting_calls[number] = connection.sock
         return number
 
 
 def _is_stale(kept: socket.socket) -> bool:
-    """Tell whether the other end has closed a connection on which nothing is asked."""
+    """Return whether the other end has closed a connection that is not in use."""
     readable, _, _ = select.select([kept], [], [], 0)
     return bool(readable)
 
 
 def notice_dead_peers(connection: socket.socket, after: timedelta) -> None:
-    """Have the kernel break a connection whose other end has been silent so long.
+    """Have the kernel close a connection that received no packet for ``after``.
 
-    A host without power, or behind a cut, sends no reset; without this a call
-    that waits for news would hear of the outage only at its own timeout.
+    A host that lost power, or is behind a network partition, sends no reset; without
+    probes a long-polling call would detect the outage only at its own timeout.
     """
     probe = max(1, int(PROBE_EVERY.total_seconds()))
     probes = max(1, int(after / PROBE_EVERY) - 1)
--- a/packages/runhatch-server/src/runhatch_server/http/_server.py
+++ b/packages/runhatch-server/src/runhatch_server/http/_server.py
@@ -1,4 +1,4 @@
-"""A waitress server in a thread, whose listening socket can be closed first."""
+"""A waitress server that can close its listening socket before its connections."""
 
 import threading
 from collections.abc import Callable, Iterable
@@ -11,11 +11,11 @@
 from runhatch_server.http._dispatcher import GrowingDispatcher
 
 SPARE_CONNECTIONS = 100
-"""Connections beyond the threads: idle ones and ones about to be refused."""
+"""Connections beyond the number of threads, for idle and soon refused ones."""
 RECEIVE_SLACK = 65_536
 DEFAULT_IDLE = timedelta(seconds=120)
 CLEANUP_INTERVAL = timedelta(seconds=5)
-"""How often idle connections are looked for; they live this much longer at most."""
+"""Interval of the check for idle connections, which close at most this much late."""
 BACKLOG = 1024
 
 App = Callable[..., Iterable[bytes]]
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerLimits:
-    """What one caller may send, in bytes, and how long it may stay idle."""
+    """Maximum body and header size in bytes, and maximum idle time of a connection."""
 
     body: int
     header: int
@@ -31,9 +31,9 @@
 
 
 class HttpServer:
-    """Serves one WSGI application on one address.
+    """Serves a WSGI application on one address, in a background thread.
 
-    It answers ``threads`` requests at once at the most.
+    At most ``threads`` requests are served concurrently.
     """
 
     def __init__(
@@ -54,7 +54,7 @@
             connection_limit=connections or threads + SPARE_CONNECTIONS,
             backlog=BACKLOG,
             asyncore_use_poll=True,
-            # Events must leave at once, not when a buffer is full.
+            # Events must be sent at once, not when a buffer is full.
             send_bytes=1,
             channel_request_lookahead=1,
             cleanup_interval=int(CLEANUP_INTERVAL.total_seconds()),
@@ -66,31 +66,31 @@
 
     @property
     def thread_count(self) -> int:
-        """Threads that answer requests now, idle ones included."""
+        """Number of request threads, including idle ones."""
         return self._dispatcher.thread_count
 
     @property
     def port(self) -> int:
-        """The port it listens on."""
+        """The port that the server listens on."""
         return int(self._server.effective_port)
 
     def limit(self, limits: ServerLimits) -> None:
-        """Apply ``limits`` to what arrives from now on."""
+        """Apply ``limits`` to requests that arrive from now on."""
         settings = self._server.adj
         settings.max_request_body_size = limits.body + RECEIVE_SLACK
         settings.max_request_header_size = limits.header
         settings.channel_timeout = limits.idle.total_seconds()
 
     def start(self) -> None:
-        """Start serving."""
+        """Start the server thread."""
         self._thread.start()
 
     def stop_listening(self) -> None:
-        """Take no new connections; those there are served on."""
+        """Stop accepting connections; existing ones are still served."""
         self._server.trigger.pull_trigger(self._close_listener)
 
     def close_idle(self) -> None:
-        """Close the connections on which nothing has been asked."""
+        """Close the connections without a request in progress."""
         self._server.trigger.pull_trigger(self._close_idle)
 
     def _close_idle(self) -> None:
--- a/packages/runhatch-server/src/runhatch_server/http/_wsgi.py
+++ b/packages/runhatch-server/src/runhatch_server/http/_wsgi.py
@@ -1,4 +1,4 @@
-"""What the WSGI applications towards callers share."""
+"""Types and functions shared by the WSGI applications that serve callers."""
 
 from collections.abc import Callable, Iterable, Iterator, Mapping
 from typing import Protocol
@@ -12,21 +12,21 @@
 
 
 class AbortedStreamError(RunhatchError):
-    """Raised into the HTTP server so that it closes without the final chunk."""
+    """Raised to make the HTTP server close a connection without the final chunk."""
 
 
 class Events(Protocol):
-    """Pieces of an answer that come one by one."""
+    """An iterator over the parts of a streamed response."""
 
     def __next__(self) -> bytes:
-        """Return the next piece."""
+        """Return the next part."""
 
     def close(self) -> None:
-        """Let go of what the rest would need."""
+        """Release the resources of the stream."""
 
 
 class CountedEvents:
-    """Passes events on and tells once when they have ended, however they did."""
+    """Forwards events and calls ``on_end`` once when they are closed."""
 
     def __init__(self, events: Events, on_end: Callable[[], None]) -> None:
         self._events = events
@@ -40,7 +40,7 @@
         return next(self._events)
 
     def close(self) -> None:
-        """Give back what the stream holds; called once by the HTTP server."""
+        """Release the resources of the stream; further calls have no effect."""
         if self._closed:
             return
         self._closed = True
@@ -57,9 +57,9 @@
     start_response: StartResponse,
     closing: bool,
 ) -> Iterable[bytes]:
-    """Send a whole answer; with ``closing`` its connection ends with it."""
+    """Send a complete response; with ``closing`` the connection is closed after it."""
     if closing:
-        # Without a length waitress closes the connection after the answer.
+        # Without a Content-Length waitress closes the connection after the response.
         start_response(status, [*headers])
         return iter([body])
     start_response(status, [*headers, ("Content-Length", str(len(body)))])
@@ -67,10 +67,10 @@
 
 
 def caller_gone(environ: Environ) -> Callable[[], bool]:
-    """Return what tells whether the caller has closed its connection."""
+    """Return a function that checks if the caller has closed its connection."""
     check = environ.get(GONE_VARIABLE)
-    return check if callable(check) else _never
+    return check if callable(check) else _never_closed
 
 
-def _never() -> bool:
+def _never_closed() -> bool:
     return False
--- a/packages/runhatch-server/tests/test_http_threads.py
+++ b/packages/runhatch-server/tests/test_http_threads.py
@@ -1,4 +1,4 @@
-"""Threads of the HTTP server: as many as requests at once, never one too few."""
+"""Tests that the HTTP server has a thread for each concurrent request."""
 
 import http.client
 import threading
@@ -15,20 +15,20 @@
     GrowingDispatcher,
 )
 
-MOST = 60
-GIVE_UP_SECONDS = 10
+MAX_THREADS = 60
+TIMEOUT_SECONDS = 10
 
 
-class HeldTask:
-    """Work that lasts until it is let go."""
+class BlockedTask:
+    """A task that runs until ``release`` is set."""
 
-    def __init__(self, let_go):
-        self._let_go = let_go
+    def __init__(self, release):
+        self._release = release
         self.begun = threading.Event()
 
     def service(self):
         self.begun.set()
-        assert self._let_go.wait(GIVE_UP_SECONDS)
+        assert self._release.wait(TIMEOUT_SECONDS)
 
     def cancel(self):
         pass
@@ -36,66 +36,66 @@
 
 @pytest.fixture
 def dispatcher():
-    dispatcher = GrowingDispatcher(MOST)
+    dispatcher = GrowingDispatcher(MAX_THREADS)
     yield dispatcher
     dispatcher.shutdown()
 
 
-def hold(dispatcher, count):
-    let_go = threading.Event()
-    tasks = [HeldTask(let_go) for _ in range(count)]
+def add_blocked_tasks(dispatcher, count):
+    release = threading.Event()
+    tasks = [BlockedTask(release) for _ in range(count)]
     for task in tasks:
         dispatcher.add_task(task)
-    return tasks, let_go
+    return tasks, release
 
 
 def wait_until(condition):
-    give_up = time.monotonic() + GIVE_UP_SECONDS
+    deadline = time.monotonic() + TIMEOUT_SECONDS
     while not condition():
-        assert time.monotonic() < give_up
+        assert time.monotonic() < deadline
         time.sleep(0.002)
 
 
 class TestGrowingDispatcher:
-    """Threads grow and shrink with the requests in progress."""
-
-    @pytest.mark.parametrize("at_once", [0, 1, 4, 30, MOST])
-    def test_each_request_has_a_thread_at_once(self, dispatcher, at_once):
-        """None waits for another's end below the limit."""
-        tasks, let_go = hold(dispatcher, at_once)
-        assert all(task.begun.wait(GIVE_UP_SECONDS) for task in tasks)
-        least = max(LEAST_THREADS, at_once)
-        assert dispatcher.thread_count <= min(MOST, least + SPARE_THREADS)
-        let_go.set()
-
-    def test_no_more_than_the_most(self, dispatcher):
-        """Beyond the limit requests wait, and are served in the end."""
-        tasks, let_go = hold(dispatcher, MOST + 5)
-        wait_until(lambda: sum(task.begun.is_set() for task in tasks) == MOST)
-        assert dispatcher.thread_count == MOST
-        let_go.set()
-        assert all(task.begun.wait(GIVE_UP_SECONDS) for task in tasks)
-
-    def test_threads_that_nobody_needs_end(self, dispatcher):
-        """After a clump the threads fall back to what is used."""
-        _, let_go = hold(dispatcher, 40)
-        let_go.set()
+    """The number of threads follows the number of requests in progress."""
+
+    @pytest.mark.parametrize("concurrent", [0, 1, 4, 30, MAX_THREADS])
+    def test_each_request_has_a_thread(self, dispatcher, concurrent):
+        """Below the limit no request waits until another one ends."""
+        tasks, release = add_blocked_tasks(dispatcher, concurrent)
+        assert all(task.begun.wait(TIMEOUT_SECONDS) for task in tasks)
+        needed = max(LEAST_THREADS, concurrent)
+        assert dispatcher.thread_count <= min(MAX_THREADS, needed + SPARE_THREADS)
+        release.set()
+
+    def test_requests_above_limit_wait(self, dispatcher):
+        """Requests above the limit wait for a thread and are then served."""
+        tasks, release = add_blocked_tasks(dispatcher, MAX_THREADS + 5)
+        wait_until(lambda: sum(task.begun.is_set() for task in tasks) == MAX_THREADS)
+        assert dispatcher.thread_count == MAX_THREADS
+        release.set()
+        assert all(task.begun.wait(TIMEOUT_SECONDS) for task in tasks)
+
+    def test_unneeded_threads_end(self, dispatcher):
+        """After a burst the number of threads shrinks to what is used."""
+        _, release = add_blocked_tasks(dispatcher, 40)
+        release.set()
         for _ in range(2 * JUDGED_EVERY + 40):
-            (task,), done = hold(dispatcher, 1)
+            (task,), done = add_blocked_tasks(dispatcher, 1)
             done.set()
-            assert task.begun.wait(GIVE_UP_SECONDS)
+            assert task.begun.wait(TIMEOUT_SECONDS)
         wait_until(lambda: dispatcher.thread_count <= LEAST_THREADS + SPARE_THREADS)
 
 
 class TestHttpServer:
-    """The threads of a server that callers use."""
+    """The threads of a running server."""
 
-    def test_thirty_at_once_on_an_idle_server(self):
-        """An idle server holds a few threads, and thirty requests meet in it."""
-        together = threading.Barrier(30, timeout=GIVE_UP_SECONDS)
+    def test_idle_server_serves_thirty_concurrent_requests(self):
+        """An idle server has few threads, and serves thirty requests concurrently."""
+        barrier = threading.Barrier(30, timeout=TIMEOUT_SECONDS)
 
         def app(environ, start_response):
-            together.wait()
+            barrier.wait()
             start_response("200 OK", [("Content-Length", "2")])
             return [b"ok"]
 
@@ -103,7 +103,7 @@
         server.start()
         assert server.thread_count == LEAST_THREADS
 
-        def ask(_):
+        def send_request(_):
             connection = http.client.HTTPConnection("127.0.0.1", server.port)
             connection.request("GET", "/")
             status = connection.getresponse().status
@@ -111,6 +111,6 @@
             return status
 
         with ThreadPoolExecutor(30) as pool:
-            assert set(pool.map(ask, range(30))) == {200}
+            assert set(pool.map(send_request, range(30))) == {200}
         assert server.thread_count <= 30 + SPARE_THREADS
         server.stop_listening()
