--- a/packages/runhatch-server/src/runhatch_server/configuration/__init__.py
+++ b/packages/runhatch-server/src/runhatch_server/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""What operators declare: models, adapters, targets, plain services and policy."""
+"""The configuration that operators declare, and how nodes apply and follow it."""
 
 from runhatch_server.configuration._deployment import (
     AdapterSpec,
--- a/packages/runhatch-server/src/runhatch_server/configuration/_deployment.py
+++ b/packages/runhatch-server/src/runhatch_server/configuration/_deployment.py
@@ -1,4 +1,4 @@
-"""The configuration document; memory in MB, durations in seconds."""
+"""Models of the configuration document; memory in MB, durations in seconds."""
 
 from collections import defaultdict
 from enum import Enum
@@ -28,41 +28,41 @@
 
 
 class Fencing(Enum):
-    """What an engine does with an order that carries an old fencing number."""
+    """How an engine handles an order with an outdated fencing number."""
 
     REFUSES = "refuses"
     IGNORES = "ignores"
 
 
 class TargetSpec(StrictModel):
-    """One worker that runs a model engine."""
+    """A worker that runs a model engine."""
 
     name: Name
     url: Url
     failure_domain: Name
-    memory_mb: Megabytes = Field(gt=0, description="Memory of its accelerators")
+    memory_mb: Megabytes = Field(gt=0, description="Total accelerator memory")
     accelerators: int = Field(default=1, ge=1, le=64)
     concurrency: int = Field(
-        default=8, ge=1, le=4_096, description="Requests it runs at once"
+        default=8, ge=1, le=4_096, description="Requests it runs concurrently"
     )
     fencing: Fencing = Field(
         default=Fencing.IGNORES,
-        description="Whether it refuses orders with an old fencing number",
+        description="Whether it rejects orders with an old fencing number",
     )
     max_order_delay_seconds: float = Field(
         default=10.0,
         ge=0,
         le=3_600,
-        description="Longest time after which a sent order may still take effect",
+        description="Maximum time after which a sent order may still take effect",
     )
     max_report_lag_seconds: float = Field(
-        default=2.0, ge=0, le=3_600, description="Oldest that its report may be"
+        default=2.0, ge=0, le=3_600, description="Maximum age of its report"
     )
-    vm: str = Field(default="", description="VM it runs on, as in the VM list")
+    vm: str = Field(default="", description="VM it runs on, as named in the VM list")
 
 
 class PoolSpec(StrictModel):
-    """A service: workers in one region that share models; one planning shard."""
+    """Workers of one region that share models; the unit of placement planning."""
 
     name: Name
     region: Name = "default"
@@ -70,30 +70,32 @@
 
 
 class ModelSpec(StrictModel):
-    """A model of which at least one replica is always resident."""
+    """A model with at least one replica resident at any time."""
 
     name: Name
     version: Version = "1"
     pool: Name
     memory_mb: Megabytes = Field(gt=0, description="Weights")
-    kv_reserve_mb: Megabytes = Field(default=0, description="Reserved KV cache")
+    kv_reserve_mb: Megabytes = Field(
+        default=0, description="Memory reserved for the KV cache"
+    )
     loading_peak_mb: Megabytes = Field(
-        default=0, description="Needed beside that while loading"
+        default=0, description="Additional memory while loading"
     )
     priority: int = Field(default=3, ge=0, le=7, description="As in RFC 9218")
     service_seconds: float = Field(
-        default=1.0, gt=0, le=3_600, description="Typical time of one request"
+        default=1.0, gt=0, le=3_600, description="Typical duration of a request"
     )
     min_replicas: int = Field(default=1, ge=1, le=64)
 
     @property
     def unit(self) -> str:
-        """The name under which engines know this version."""
+        """The name of this version on engines, such as ``model@1``."""
         return f"{self.name}@{self.version}"
 
 
 class AdapterSpec(StrictModel):
-    """An adapter, addressed as a model of its own."""
+    """An adapter, which callers address like a model."""
 
     name: Name
     version: Version = "1"
@@ -102,12 +104,12 @@
 
     @property
     def unit(self) -> str:
-        """The name under which engines know this version."""
+        """The name of this version on engines, such as ``model@1``."""
         return f"{self.name}@{self.version}"
 
 
 class PathSpec(StrictModel):
-    """One allowed path of a plain service; a trailing ``*`` allows all below."""
+    """An allowed path of a plain service; a trailing ``*`` matches any suffix."""
 
     path: str = Field(pattern=r"^/[A-Za-z0-9._~/-]*\*?$")
     methods: tuple[str, ...] = Field(min_length=1)
@@ -115,7 +117,7 @@
 
 
 class PlainTargetSpec(StrictModel):
-    """One instance of a plain service."""
+    """An instance of a plain service."""
 
     name: Name
     url: Url
@@ -125,55 +127,59 @@
 
 
 class PlainServiceSpec(StrictModel):
-    """A plain service beside the engines."""
+    """A service other than a model engine."""
 
     name: Name
     targets: tuple[PlainTargetSpec, ...] = Field(min_length=1)
     paths: tuple[PathSpec, ...] = Field(min_length=1)
     unrun_statuses: tuple[int, ...] = Field(
-        default=(429,), description="Statuses by which it says that it did not run"
+        default=(429,), description="Statuses that mean the request was not run"
     )
 
 
 class WeightStoreSpec(StrictModel):
-    """The shared limit on loading weights."""
+    """Limits on loading weights, shared by all nodes."""
 
     loads_per_second: float = Field(default=1.5, gt=0, le=1_000)
     at_once: int = Field(default=15, ge=1, le=1_000)
 
 
 class PolicySpec(StrictModel):
-    """What placement weighs."""
+    """Parameters of placement decisions."""
 
     move_price: float = Field(
         default=20.0,
         ge=0,
-        description="Requests in time that one move must win over the horizon",
+        description="Requests in time that a move must gain over the horizon",
     )
     horizon_seconds: float = Field(
-        default=120.0, gt=0, description="How long a replica's gain is counted"
+        default=120.0,
+        gt=0,
+        description="Period over which the gain of a replica is counted",
     )
     min_residence_seconds: float = Field(
-        default=60.0, ge=0, description="A replica stays at least this long"
+        default=60.0, ge=0, description="Minimum time that a replica stays resident"
     )
     high_utilisation: float = Field(
         default=0.9,
         gt=0,
         le=1,
-        description="Share of a target's concurrency beyond which work is too much",
+        description="Share of a target's concurrency above which it is overloaded",
+    )
+    paused: bool = Field(
+        default=False, description="Only moves that keep models reachable"
     )
-    paused: bool = Field(default=False, description="No moves beyond reachability")
 
 
 class PinSpec(StrictModel):
-    """A model and a target that belong together, or never."""
+    """A model and a target to pin together or to keep apart."""
 
     model: Name
     target: Name
 
 
 class Deployment(StrictModel):
-    """Everything operators declare; applied whole or not at all."""
+    """The whole configuration document; applied entirely or not at all."""
 
     pools: tuple[PoolSpec, ...] = ()
     models: tuple[ModelSpec, ...] = ()
@@ -182,13 +188,13 @@
     weight_store: WeightStoreSpec = WeightStoreSpec()
     policy: PolicySpec = PolicySpec()
     drained_targets: tuple[Name, ...] = Field(
-        default=(), description="Targets that get no new work"
+        default=(), description="Targets that receive no new work"
     )
     pins: tuple[PinSpec, ...] = Field(
-        default=(), description="Replicas that are kept, whatever they win"
+        default=(), description="Replicas that are kept regardless of their gain"
     )
     bans: tuple[PinSpec, ...] = Field(
-        default=(), description="Replicas that are not wanted, once others serve"
+        default=(), description="Replicas that are removed once others serve the model"
     )
 
     def adapters_of(self, model: str) -> tuple[AdapterSpec, ...]:
@@ -197,12 +203,12 @@
 
     @cached_property
     def priority_by_model(self) -> dict[str, int]:
-        """The priority of every model, by its name; asked for each request."""
+        """The priority of each model by name; cached because each request reads it."""
         return {model.name: model.priority for model in self.models}
 
     @cached_property
     def pool_by_callable(self) -> dict[str, str]:
-        """The pool of every model and adapter, by its name."""
+        """The pool of each model and adapter by name."""
         pools = {model.name: model.pool for model in self.models}
         pools |= {adapter.name: pools[adapter.base] for adapter in self.adapters}
         return pools
--- a/packages/runhatch-server/src/runhatch_server/configuration/_difference.py
+++ b/packages/runhatch-server/src/runhatch_server/configuration/_difference.py
@@ -1,4 +1,4 @@
-"""What differs between two configuration documents, for people to read."""
+"""Formats the difference of two configuration documents for operators."""
 
 import difflib
 
@@ -6,7 +6,7 @@
 
 
 def difference(old: bytes, new: bytes, names: tuple[str, str]) -> str:
-    """Return a unified difference of two JSON documents, empty if they agree.
+    """Return a unified diff of two JSON documents, empty if they are equal.
 
     >>> print(difference(b'{"a": 1}', b'{"a": 2}', ("1", "2")))
     --- 1
@@ -18,11 +18,13 @@
      }
     """
     lines = difflib.unified_diff(
-        _lines(old), _lines(new), names[0], names[1], lineterm=""
+        _format_lines(old), _format_lines(new), names[0], names[1], lineterm=""
     )
     return "\n".join(lines)
 
 
-def _lines(body: bytes) -> list[str]:
-    ordered = msgspec.json.encode(msgspec.json.decode(body or b"{}"), order="sorted")
-    return msgspec.json.format(ordered, indent=2).decode().splitlines()
+def _format_lines(body: bytes) -> list[str]:
+    sorted_body = msgspec.json.encode(
+        msgspec.json.decode(body or b"{}"), order="sorted"
+    )
+    return msgspec.json.format(sorted_body, indent=2).decode().splitlines()
--- a/packages/runhatch-server/src/runhatch_server/configuration/_follower.py
+++ b/packages/runhatch-server/src/runhatch_server/configuration/_follower.py
@@ -1,4 +1,4 @@
-"""Keeping a node's revision up with what the store and its peers say."""
+"""Keeps a node's configuration revision up to date from the store or its peers."""
 
 import threading
 from collections.abc import Callable
@@ -7,15 +7,15 @@
 from runhatch_server.configuration._service import ConfigurationService
 
 FIRST_REVISION = 1
-"""Known of from the start, so that a node without any keeps asking."""
+"""Assumed to exist, so that a node without a revision keeps requesting one."""
 
 
 class RevisionFollower:
-    """Follows the newest revision that this node has heard of.
+    """Follows the newest revision that this node knows of.
 
-    One task calls :meth:`poll` now and then and whenever ``wake`` is set, another
-    calls :meth:`catch_up` every second.  ``ask_peer`` asks one peer for what it has
-    in force; it is for when the store cannot be read.
+    One task calls :meth:`poll` periodically and whenever ``wake`` is set, another calls
+    :meth:`catch_up` every second.  ``ask_peer`` requests the revision in force from a
+    peer, for when the store cannot be read.
     """
 
     def __init__(
@@ -26,31 +26,32 @@
     ) -> None:
         self._service = service
         self._feed = feed
-        self._ask_peer = ask_peer
-        self._noticed = FIRST_REVISION
+        self._request_from_peer = ask_peer
+        self._newest_known = FIRST_REVISION
         self.wake = threading.Event()
 
     def notice(self, position: int) -> None:
-        """Take in that somebody has the revision at ``position`` in force."""
-        if position > self._noticed:
-            self._noticed = position
+        """Record that the revision at ``position`` is in force on another node."""
+        if position > self._newest_known:
+            self._newest_known = position
         if position > self._feed.position:
             self.wake.set()
 
     def poll(self) -> None:
-        """Read the store.
+        """Read the newest revision from the store.
 
-        Notices that came meanwhile set off another read only if they tell of more.
+        Notices that arrive during the read cause another read only if their revision is
+        newer than the one read.
         """
         known = self._feed.position
         self._service.refresh()
         self.wake.clear()
-        if known < self._feed.position < self._noticed:
+        if known < self._feed.position < self._newest_known:
             self.wake.set()
 
     def catch_up(self) -> None:
-        """Try the store and then a peer, as long as something newer is known of."""
-        if self._feed.position >= self._noticed:
+        """Read a newer known revision from the store, or request it from a peer."""
+        if self._feed.position >= self._newest_known:
             return
         if not self._service.refresh():
-            self._ask_peer()
+            self._request_from_peer()
--- a/packages/runhatch-server/src/runhatch_server/configuration/_parse.py
+++ b/packages/runhatch-server/src/runhatch_server/configuration/_parse.py
@@ -1,4 +1,4 @@
-"""From bytes to a checked deployment."""
+"""Parses and validates configuration documents."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -14,14 +14,14 @@
 def parse_deployment(body: bytes) -> Deployment:
     """Return the deployment in ``body``, a JSON document.
 
-    Raises :class:`~runhatch_server._errors.DeploymentError` with one line for
-    each fault, memory shortfalls included.
+    Raises :class:`~runhatch_server._errors.DeploymentError` with one line for each
+    error, including memory shortfalls.
     """
     try:
         deployment = Deployment.model_validate_json(body)
     except ValidationError as error:
         raise DeploymentError(fault_lines(error)) from None
-    faults = (*_repeated_names(deployment), *_dangling_names(deployment))
+    faults = (*_check_unique_names(deployment), *_check_references(deployment))
     if not faults:
         faults = shortfalls(deployment)
     if faults:
@@ -29,21 +29,23 @@
     return deployment
 
 
-def _repeated_names(deployment: Deployment) -> tuple[str, ...]:
-    callables = [model.name for model in deployment.models]
-    callables += [adapter.name for adapter in deployment.adapters]
+def _check_unique_names(deployment: Deployment) -> tuple[str, ...]:
+    model_names = [model.name for model in deployment.models]
+    model_names += [adapter.name for adapter in deployment.adapters]
     targets = [target.name for pool in deployment.pools for target in pool.targets]
     for service in deployment.plain_services:
         targets += [target.name for target in service.targets]
     return (
-        *_twice("models", callables),
-        *_twice("targets", targets),
-        *_twice("pools", [pool.name for pool in deployment.pools]),
-        *_twice("plain_services", [item.name for item in deployment.plain_services]),
+        *_find_duplicates("models", model_names),
+        *_find_duplicates("targets", targets),
+        *_find_duplicates("pools", [pool.name for pool in deployment.pools]),
+        *_find_duplicates(
+            "plain_services", [item.name for item in deployment.plain_services]
+        ),
     )
 
 
-def _twice(field: str, names: Iterable[str]) -> list[str]:
+def _find_duplicates(field: str, names: Iterable[str]) -> list[str]:
     return [
         f"{field}: found {name!r} {count} times, allowed: once"
         for name, count in Counter(names).items()
@@ -51,7 +53,7 @@
     ]
 
 
-def _dangling_names(deployment: Deployment) -> tuple[str, ...]:
+def _check_references(deployment: Deployment) -> tuple[str, ...]:
     pools = {pool.name for pool in deployment.pools}
     models = {model.name for model in deployment.models}
     targets = {target.name for pool in deployment.pools for target in pool.targets}
@@ -60,24 +62,34 @@
     faults = []
     for index, model in enumerate(deployment.models):
         if model.pool not in pools:
-            faults.append(_dangling(f"models.{index}.pool", model.pool, pools))
+            faults.append(
+                _format_unknown_name(f"models.{index}.pool", model.pool, pools)
+            )
     for index, adapter in enumerate(deployment.adapters):
         if adapter.base not in models:
-            faults.append(_dangling(f"adapters.{index}.base", adapter.base, models))
+            faults.append(
+                _format_unknown_name(f"adapters.{index}.base", adapter.base, models)
+            )
     for index, name in enumerate(deployment.drained_targets):
         if name not in targets:
-            faults.append(_dangling(f"drained_targets.{index}", name, targets))
+            faults.append(
+                _format_unknown_name(f"drained_targets.{index}", name, targets)
+            )
     for field, pairs in (("pins", deployment.pins), ("bans", deployment.bans)):
         for index, pair in enumerate(pairs):
             if pair.model not in models:
-                faults.append(_dangling(f"{field}.{index}.model", pair.model, models))
+                faults.append(
+                    _format_unknown_name(f"{field}.{index}.model", pair.model, models)
+                )
             if pair.target not in targets:
                 faults.append(
-                    _dangling(f"{field}.{index}.target", pair.target, targets)
+                    _format_unknown_name(
+                        f"{field}.{index}.target", pair.target, targets
+                    )
                 )
     return tuple(faults)
 
 
-def _dangling(field: str, found: str, known: set[str]) -> str:
-    shown = ", ".join(sorted(known)[:8]) or "none is declared"
-    return f"{field}: found {found!r}, allowed: one of {shown}"
+def _format_unknown_name(field: str, found: str, known: set[str]) -> str:
+    known_names = ", ".join(sorted(known)[:8]) or "none is declared"
+    return f"{field}: found {found!r}, allowed: one of {known_names}"
--- a/packages/runhatch-server/src/runhatch_server/configuration/_service.py
+++ b/packages/runhatch-server/src/runhatch_server/configuration/_service.py
@@ -1,4 +1,4 @@
-"""Applying and following the configuration."""
+"""Applies configuration documents and reads their revisions."""
 
 import threading
 from dataclasses import dataclass
@@ -24,21 +24,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Applied:
-    """The change is in force here as revision ``number``."""
+    """The document is in force on this node as revision ``number``."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class Invalid:
-    """The document is at fault; nothing was changed."""
+    """The document is invalid; nothing was changed."""
 
     faults: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Overruled:
-    """Another operator's change came first; nothing was changed."""
+    """Another revision was published since the base; nothing was changed."""
 
     head: int
     difference: str
@@ -48,7 +48,7 @@
 
 
 class ConfigurationService:
-    """The configuration of one node: the log in the store and the feed here."""
+    """The configuration of a node: the log in the store and the local feed."""
 
     def __init__(self, log: RevisionLog, feed: RevisionFeed, clock: Clock) -> None:
         self._log = log
@@ -59,16 +59,16 @@
 
     @property
     def feed(self) -> RevisionFeed:
-        """The revision in force on this node."""
+        """The feed with the revision in force on this node."""
         return self._feed
 
     @property
     def log(self) -> RevisionLog:
-        """All revisions, in the store."""
+        """The log of all revisions in the store."""
         return self._log
 
     def deployment(self) -> Deployment:
-        """Return the deployment in force, empty before the first."""
+        """Return the deployment in force, an empty one before the first revision."""
         current = self._feed.current
         if current is None:
             return Deployment()
@@ -79,7 +79,7 @@
             return self._parsed[1]
 
     def apply(self, body: bytes, base: int, author: str, note: str) -> ApplyOutcome:
-        """Make ``body`` the next revision after ``base``, if it is sound."""
+        """Publish ``body`` as the revision after ``base`` if it is valid."""
         try:
             parse_deployment(body)
         except DeploymentError as error:
@@ -90,11 +90,11 @@
             self._feed.offer(outcome)
             return Applied(outcome.entry.number)
         if isinstance(outcome, Overtaken):
-            return self._overruled(outcome.head, body)
+            return self._build_overruled(outcome.head, body)
         return outcome
 
     def refresh(self) -> bool:
-        """Read the head, and the body if it is newer; returns whether it was."""
+        """Apply the newest revision of the store; return whether it was newer."""
         newest = self._log.newest()
         if not isinstance(newest, RevisionEntry):
             return False
@@ -104,16 +104,19 @@
         return isinstance(revision, Revision) and self._feed.offer(revision)
 
     def read(self, number: int) -> Revision | Missing | Unavailable:
-        """Return one revision, from here if it is the current one."""
+        """Return revision ``number``, without a read of the store if it is current.
+
+        The number 0 means the current revision.
+        """
         current = self._feed.current
         if current is not None and number in (0, current.entry.number):
             return current
         return self._log.read(number)
 
-    def _overruled(self, head: int, body: bytes) -> Overruled:
+    def _build_overruled(self, head: int, body: bytes) -> Overruled:
         revision = self._log.read(head)
         if not isinstance(revision, Revision):
             return Overruled(head, "(the store did not return the newer revision)")
         self._feed.offer(revision)
-        shown = difference(revision.body, body, (f"revision {head}", "yours"))
-        return Overruled(head, shown)
+        difference_text = difference(revision.body, body, (f"revision {head}", "yours"))
+        return Overruled(head, difference_text)
--- a/packages/runhatch-server/tests/test_configuration.py
+++ b/packages/runhatch-server/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Configuration documents: checked whole, refused with reasons."""
+"""Tests for the validation and publication of configuration documents."""
 
 import json
 
@@ -17,15 +17,15 @@
 )
 
 
-def encode(**changes):
+def encode_document(**changes):
     return json.dumps(deployment_document(**changes)).encode()
 
 
 class TestParseDeployment:
-    """What is refused, and what the refusal names."""
+    """Errors of invalid documents."""
 
     @pytest.mark.parametrize(
-        ("changes", "words"),
+        ("changes", "expected_text"),
         [
             ({"pool": []}, "pool: unknown field"),
             (
@@ -47,19 +47,19 @@
             ),
             (
                 {"drained_targets": ["w0", "w1", "w2"]},
-                "wants 1 replicas, 0 targets take work",
+                "requires 1 replicas, 0 targets accept work",
             ),
         ],
     )
-    def test_names_the_fault(self, changes, words):
-        """Each fault is told with its field and what is allowed."""
+    def test_error_names_field_and_allowed_values(self, changes, expected_text):
+        """The error names the field, the value found and the allowed values."""
         with pytest.raises(DeploymentError, match=r".") as caught:
-            parse_deployment(encode(**changes))
-        assert words in str(caught.value)
+            parse_deployment(encode_document(**changes))
+        assert expected_text in str(caught.value)
 
 
 class TestConfigurationService:
-    """Applying on one node."""
+    """Publishing a document on one node."""
 
     @pytest.fixture
     def objects(self):
@@ -70,21 +70,21 @@
         log = RevisionLog(MemoryTable(), objects, "configuration")
         return ConfigurationService(log, RevisionFeed(lambda r: None), clock)
 
-    def test_whole_or_not_at_all(self, service):
-        """A faulty document changes nothing."""
+    def test_invalid_document_changes_nothing(self, service):
+        """An invalid document publishes no revision."""
         assert isinstance(service.apply(b'{"x": 1}', 0, "o", ""), Invalid)
         assert service.feed.number == 0
 
-    def test_conflict_shows_the_difference(self, service):
-        """The operator who comes second sees what the first changed."""
-        assert service.apply(encode(), 0, "a", "") == Applied(1)
-        outcome = service.apply(encode(adapters=[]), 0, "b", "")
+    def test_conflict_returns_difference(self, service):
+        """A conflicting change returns the difference to the published revision."""
+        assert service.apply(encode_document(), 0, "a", "") == Applied(1)
+        outcome = service.apply(encode_document(adapters=[]), 0, "b", "")
         assert isinstance(outcome, Overruled)
         assert outcome.head == 1
         assert '-      "name": "a0"' in outcome.difference
 
-    def test_outage_changes_nothing(self, service, objects):
-        """With the object store down the change is refused."""
+    def test_object_store_outage_changes_nothing(self, service, objects):
+        """A change is rejected while the object store is unavailable."""
         objects.down = True
-        assert isinstance(service.apply(encode(), 0, "a", ""), Unavailable)
+        assert isinstance(service.apply(encode_document(), 0, "a", ""), Unavailable)
         assert service.feed.number == 0
--- a/packages/runhatch-server/tests/test_follower.py
+++ b/packages/runhatch-server/tests/test_follower.py
@@ -1,4 +1,4 @@
-"""Following revisions by the store, by notices and by peers."""
+"""Tests for following revisions through the store, notices and peers."""
 
 import pytest
 
@@ -7,33 +7,33 @@
 from runhatch_server.configuration import ConfigurationService, RevisionFollower
 
 
-class Store:
-    """A log, one node that follows it, and how often it asked."""
+class FollowedStore:
+    """A revision log and one follower of it, with counts of reads and peer requests."""
 
     def __init__(self):
         self.reads = 0
-        self.asked = 0
-        self.during_read = []
-        store = self
+        self.peer_requests = 0
+        self.callbacks_during_read = []
+        outer = self
 
         class Table(MemoryTable):
             def get(self, key):
-                store.reads += 1
-                while store.during_read:
-                    store.during_read.pop()()
+                outer.reads += 1
+                while outer.callbacks_during_read:
+                    outer.callbacks_during_read.pop()()
                 return super().get(key)
 
         self.objects = MemoryObjects()
         self.log = RevisionLog(Table(), self.objects, "configuration")
         self.feed = RevisionFeed(lambda _: None)
         service = ConfigurationService(self.log, self.feed, ManualClock())
-        self.follower = RevisionFollower(service, self.feed, self.ask)
+        self.follower = RevisionFollower(service, self.feed, self.request_from_peer)
 
-    def ask(self):
-        self.asked += 1
+    def request_from_peer(self):
+        self.peer_requests += 1
 
     def publish(self):
-        """Publish the next revision, and count reads from here on."""
+        """Publish the next revision, reset the read count and return its number."""
         number = self.log.head() + 1
         self.log.publish(number - 1, b"body %d" % number, "o", "", "")
         self.reads = 0
@@ -42,35 +42,35 @@
 
 @pytest.fixture
 def store():
-    return Store()
+    return FollowedStore()
 
 
 class TestRevisionFollower:
-    """What is read when, and who is asked."""
+    """When the store is read and when a request is sent to a peer."""
 
-    def test_a_change_is_one_read(self, store):
-        """The head's row tells all but the body."""
+    def test_change_takes_one_read(self, store):
+        """The head row holds everything but the body, so one table read is enough."""
         store.follower.notice(store.publish())
         assert store.follower.wake.is_set()
         store.follower.poll()
         assert (store.feed.number, store.reads) == (1, 1)
 
-    def test_late_notices_of_the_same_set_off_nothing(self, store):
-        """Peers that tell of what has just been read cause no second read."""
+    def test_notice_of_same_revision_during_read_is_ignored(self, store):
+        """A notice of the revision that is being read causes no second read."""
         number = store.publish()
-        store.during_read.append(lambda: store.follower.notice(number))
+        store.callbacks_during_read.append(lambda: store.follower.notice(number))
         store.follower.poll()
         assert not store.follower.wake.is_set()
 
-    def test_news_during_a_read_is_not_missed(self, store):
-        """A notice of more, come while reading, sets off the next read."""
+    def test_notice_of_newer_revision_during_read_causes_read(self, store):
+        """A notice of a newer revision during a read causes another read."""
         store.publish()
-        store.during_read.append(lambda: store.follower.notice(2))
+        store.callbacks_during_read.append(lambda: store.follower.notice(2))
         store.follower.poll()
         assert store.follower.wake.is_set()
 
-    def test_store_out_of_reach(self, store):
-        """What the store does not give is asked of a peer, again and again."""
+    def test_unavailable_store_requests_from_peer(self, store):
+        """While the store is unavailable each catch-up sends a request to a peer."""
         number = store.publish()
         store.objects.down = True
         store.follower.notice(number)
@@ -78,12 +78,12 @@
         assert not store.follower.wake.is_set()
         for _ in range(3):
             store.follower.catch_up()
-        assert store.asked == 3
+        assert store.peer_requests == 3
 
-    def test_nothing_lacking_asks_nobody(self, store):
-        """A node that is up to date neither reads nor asks."""
+    def test_current_node_sends_no_requests(self, store):
+        """A node that is up to date neither reads nor sends requests."""
         store.publish()
         store.follower.poll()
         store.reads = 0
         store.follower.catch_up()
-        assert (store.reads, store.asked) == (0, 0)
+        assert (store.reads, store.peer_requests) == (0, 0)
