--- a/packages/runhatch-server/src/runhatch_server/__init__.py
+++ b/packages/runhatch-server/src/runhatch_server/__init__.py
@@ -1,4 +1,4 @@
-"""The runhatch daemon: one process on each node, all of them equal."""
+"""The runhatch daemon: one process per node, without a leader."""
 
 from runhatch_server._errors import DeploymentError, RunhatchError, SettingsError
 from runhatch_server._version import __version__
--- a/packages/runhatch-server/src/runhatch_server/_errors.py
+++ b/packages/runhatch-server/src/runhatch_server/_errors.py
@@ -1,19 +1,19 @@
-"""The exception tree of the daemon.
+"""Exceptions of the daemon.
 
-Only faults of whoever starts or embeds the daemon are raised.  What callers,
-targets or the platform do is an outcome value.
+Only errors of the operator or the embedding program are raised.  Failures of callers,
+targets or the platform are returned as outcome values.
 """
 
 
 class RunhatchError(Exception):
-    """Base of the daemon's exceptions.
+    """Base class of the daemon's exceptions.
 
     .. versionadded:: 0.1
     """
 
 
 class SettingsError(RunhatchError):
-    """The settings file cannot be used; ``faults`` has one line for each cause."""
+    """The settings file is invalid; ``faults`` has one line for each cause."""
 
     def __init__(self, faults: tuple[str, ...]) -> None:
         super().__init__("\n".join(faults))
@@ -21,7 +21,7 @@
 
 
 class DeploymentError(RunhatchError):
-    """A configuration document cannot be used; one line for each cause."""
+    """A configuration document is invalid; ``faults`` has one line for each cause."""
 
     def __init__(self, faults: tuple[str, ...]) -> None:
         super().__init__("\n".join(faults))
--- a/packages/runhatch-server/src/runhatch_server/_process.py
+++ b/packages/runhatch-server/src/runhatch_server/_process.py
@@ -1,4 +1,4 @@
-"""What both kinds of daemon share: signals, exit statuses, the last word."""
+"""Signals, exit statuses and process end, shared by both kinds of daemon."""
 
 import os
 import queue
@@ -14,7 +14,7 @@
 from runhatch_server.observability import flush_logs
 
 LOOK_EVERY = timedelta(seconds=1)
-"""How often a change of the settings is looked for, and a request to stop."""
+"""Interval at which a daemon checks for changed settings and for a stop request."""
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 EXIT_BAD_SETTINGS = 2
 EXIT_CANNOT_START = 3
@@ -22,47 +22,48 @@
 
 
 def report_faults(error: SettingsError) -> int:
-    """Tell what is wrong with the settings; returns the exit status."""
+    """Print the faults of the settings to stderr; return the exit status."""
     for fault in error.faults:
         print(f"runhatchd: settings: {fault}", file=sys.stderr)
     return EXIT_BAD_SETTINGS
 
 
 class Signals:
-    """Signals of this process, from its making on.
+    """Installs the signal handlers of this process when it is created.
 
-    A second request to stop changes nothing: requests in progress are never cut.
-    A request to reload does nothing by itself: changes are looked for anyway.
+    Further stop signals are ignored, so that requests in progress are not aborted.
+    SIGHUP is ignored: changed settings are detected by polling.
     """
 
     def __init__(self) -> None:
-        # Its put may interrupt itself.  An event's set may not: it waits for a lock
-        # that the interrupted code holds, or runs out of stack when signals pile up.
-        self._requests: queue.SimpleQueue[int] = queue.SimpleQueue()
+        # SimpleQueue.put is reentrant.  Event.set is not: in a signal handler it waits
+        # for a lock that the interrupted code holds, or overflows the stack when many
+        # signals arrive.
+        self._stop_requests: queue.SimpleQueue[int] = queue.SimpleQueue()
         for number in STOP_SIGNALS:
-            signal.signal(number, self._stop)
+            signal.signal(number, self._handle_stop)
         signal.signal(signal.SIGHUP, lambda *_: None)
 
     def wait_for_stop(self, longest: timedelta) -> bool:
-        """Wait until told to stop; tell whether that has come."""
+        """Wait up to ``longest`` for a stop signal; return whether one has arrived."""
         try:
-            self._requests.get(timeout=longest.total_seconds())
+            self._stop_requests.get(timeout=longest.total_seconds())
         except queue.Empty:
             return False
         return True
 
-    def _stop(self, number: int, frame: object) -> None:
-        for each in STOP_SIGNALS:
-            signal.signal(each, signal.SIG_IGN)
-        self._requests.put(number)
+    def _handle_stop(self, number: int, frame: object) -> None:
+        for other in STOP_SIGNALS:
+            signal.signal(other, signal.SIG_IGN)
+        self._stop_requests.put(number)
 
 
 def end_process(status: int) -> NoReturn:
-    """End with ``status``, once what was logged is written.
+    """Flush logs and output, then exit with ``status``.
 
-    The interpreter is not shut down first: tasks that still run may abort the process
-    while it is, and the status would say that it failed.  Nothing is left to close:
-    callers, targets and peers see their connections end either way.
+    The interpreter is not finalized: threads that still run may abort the process
+    during finalization, and the exit status would report a failure.  The kernel closes
+    the connections to callers, targets and peers either way.
     """
     flush_logs()
     sys.stdout.flush()
@@ -71,6 +72,6 @@
 
 
 def stop_broken(broken: InvariantError) -> None:
-    """Stop at once: going on would break a promise further."""
+    """Log the broken invariant and exit at once, before it does more damage."""
     eliot.log_message(message_type="broken_invariant", promise=str(broken))
     end_process(EXIT_BROKEN_INVARIANT)
--- a/packages/runhatch-server/src/runhatch_server/_progress.py
+++ b/packages/runhatch-server/src/runhatch_server/_progress.py
@@ -1,11 +1,11 @@
-"""Counting requests in progress, so that a shutdown can wait for them."""
+"""Counts requests in progress, so that a shutdown can wait until they have ended."""
 
 import threading
 from datetime import timedelta
 
 
 class Progress:
-    """How many requests are under way.
+    """A thread-safe counter of requests in progress.
 
     >>> progress = Progress()
     >>> progress.begin()
@@ -19,33 +19,33 @@
     def __init__(self) -> None:
         self._count = 0
         self._begun = 0
-        self._idle = threading.Condition()
+        self._idle_condition = threading.Condition()
 
     @property
     def count(self) -> int:
-        """Requests under way now."""
+        """Number of requests in progress."""
         return self._count
 
     @property
     def begun(self) -> int:
-        """Requests begun so far."""
+        """Number of requests begun since the start of the process."""
         return self._begun
 
     def begin(self) -> None:
-        """Count one more."""
-        with self._idle:
+        """Count a request as in progress."""
+        with self._idle_condition:
             self._count += 1
             self._begun += 1
 
     def end(self) -> None:
-        """Count one less."""
-        with self._idle:
+        """Count a request as ended."""
+        with self._idle_condition:
             self._count -= 1
-            self._idle.notify_all()
+            self._idle_condition.notify_all()
 
     def wait_idle(self, longest: timedelta) -> bool:
-        """Wait until nothing is under way; false if ``longest`` passes first."""
-        with self._idle:
-            return self._idle.wait_for(
+        """Wait until no request is in progress; return false after ``longest``."""
+        with self._idle_condition:
+            return self._idle_condition.wait_for(
                 lambda: self._count == 0, longest.total_seconds()
             )
--- a/packages/runhatch-server/src/runhatch_server/_tasks.py
+++ b/packages/runhatch-server/src/runhatch_server/_tasks.py
@@ -1,4 +1,4 @@
-"""Recurring tasks, each in a thread of its own, until the node drains."""
+"""Runs recurring tasks, each in its own thread, until the node drains."""
 
 import random
 import threading
@@ -17,10 +17,10 @@
 
 
 class Tasks:
-    """Starts tasks and keeps them going whatever they raise.
+    """Starts recurring tasks, which continue after exceptions.
 
-    Only a broken invariant stops the process; any other failure of a round is
-    logged and the next round comes.
+    An :class:`InvariantError` ends the task and calls ``on_broken``; any other
+    exception is logged, and the task runs again after its interval.
     """
 
     def __init__(self, clock: Clock, stopping: threading.Event) -> None:
@@ -37,7 +37,7 @@
     ) -> None:
         """Call ``work`` every ``interval``, jittered, and whenever ``wake`` is set.
 
-        An interval that changes is asked for before each pause.
+        An ``interval`` that is a function is called before each pause.
         """
         thread = threading.Thread(
             target=self._run,
@@ -61,7 +61,9 @@
                 return
             except Exception:
                 eliot.write_traceback()
-            due = interval if isinstance(interval, timedelta) else interval()
-            pause = due * random.uniform(1 - JITTER, 1 + JITTER)
+            current_interval = (
+                interval if isinstance(interval, timedelta) else interval()
+            )
+            pause = current_interval * random.uniform(1 - JITTER, 1 + JITTER)
             wake.wait(pause.total_seconds())
             wake.clear()
--- a/packages/runhatch-server/src/runhatch_server/_version.py
+++ b/packages/runhatch-server/src/runhatch_server/_version.py
@@ -1,3 +1,3 @@
-"""The version of the daemon, told to operators and peers."""
+"""The version of the daemon, as reported to operators and peers."""
 
 __version__ = "0.1.0"
--- a/packages/runhatch-server/src/runhatch_server/_vms.py
+++ b/packages/runhatch-server/src/runhatch_server/_vms.py
@@ -1,4 +1,4 @@
-"""The lagging list of VMs that are live and VMs that are leaving."""
+"""The platform's list of VMs, which may be some time out of date."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -8,14 +8,14 @@
 from runhatch_coordination import Table, Unavailable, Vm
 
 VMS_PARTITION = "vms"
-"""Where the platform's operators keep a row for each VM, named by its key."""
+"""Partition with one row for each VM; the sort key is the VM's name."""
 
 
 @dataclass(frozen=True, slots=True)
 class ListedVms:
-    """One reading: the system's own VMs, and the names of all that are leaving.
+    """The VMs of the nodes, and the names of all VMs that are shutting down.
 
-    ``leaving`` also names VMs that targets run on.
+    ``leaving`` also includes VMs that targets run on.
     """
 
     nodes: tuple[Vm, ...]
@@ -23,14 +23,14 @@
 
 
 class VmList(Protocol):
-    """Reads the list."""
+    """A source of the VM list."""
 
     def read(self) -> ListedVms | Unavailable:
-        """Return the list as it is told now."""
+        """Return the current list."""
 
 
 class VmEntry(msgspec.Struct):
-    """The body of one VM's row, as JSON."""
+    """The JSON body of a VM's row."""
 
     failure_domain: str
     peer_address: str = ""
@@ -38,13 +38,13 @@
 
 
 class TableVmList:
-    """The list as rows of the table."""
+    """Reads the VM list from the rows of a table."""
 
     def __init__(self, table: Table) -> None:
         self._table = table
 
     def read(self) -> ListedVms | Unavailable:
-        """Read and decode the rows."""
+        """Return the list decoded from the rows."""
         rows = self._table.query(VMS_PARTITION)
         if isinstance(rows, Unavailable):
             return rows
--- a/packages/runhatch-server/src/runhatch_server/border.py
+++ b/packages/runhatch-server/src/runhatch_server/border.py
@@ -1,10 +1,10 @@
-"""What every validated model at the border shares, and its error lines."""
+"""Base class of validated input models, and the lines that report their errors."""
 
 from pydantic import BaseModel, ConfigDict, ValidationError
 
 
 class StrictModel(BaseModel):
-    """A frozen model that refuses fields it does not know."""
+    """A frozen model that rejects unknown fields."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -12,9 +12,9 @@
 def fault_lines(
     error: ValidationError, secret: frozenset[str] = frozenset()
 ) -> tuple[str, ...]:
-    """Return one line for each fault: field, what was found, what is allowed.
+    """Return one line for each error: field, value found and allowed values.
 
-    Values of the fields named in ``secret`` are not shown.
+    Values of fields named in ``secret`` are hidden.
     """
     lines = []
     for fault in error.errors(include_url=False):
@@ -26,11 +26,11 @@
             lines.append(f"{field}: missing, a value is required")
             continue
         hidden = bool(secret.intersection(str(part) for part in fault["loc"]))
-        found = "a hidden value" if hidden else _shorten(repr(fault["input"]))
+        found = "a hidden value" if hidden else _truncate(repr(fault["input"]))
         allowed = fault["msg"].removeprefix("Value error, ")
         lines.append(f"{field}: found {found}, allowed: {allowed}")
     return tuple(lines)
 
 
-def _shorten(text: str, limit: int = 60) -> str:
+def _truncate(text: str, limit: int = 60) -> str:
     return text if len(text) <= limit else text[: limit - 3] + "..."
--- a/packages/runhatch-server/src/runhatch_server/daemon.py
+++ b/packages/runhatch-server/src/runhatch_server/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon with declared targets, from its settings file to its exit status."""
+"""Runs the daemon with declared targets, from its settings file to its exit status."""
 
 import sys
 from collections.abc import Callable
@@ -21,9 +21,9 @@
 
 
 def run_daemon(path: Path, check: bool, connect: Connect) -> int:
-    """Run with the settings at ``path`` until told to stop; returns the exit status.
+    """Run with the settings at ``path`` until a stop signal; return the exit status.
 
-    With ``check`` the settings are judged and nothing is started.
+    With ``check`` the settings are only validated.
     """
     try:
         settings = load_settings(path)
--- a/packages/runhatch-server/src/runhatch_server/outside.py
+++ b/packages/runhatch-server/src/runhatch_server/outside.py
@@ -1,4 +1,4 @@
-"""The outside of a node with declared targets, behind narrow interfaces."""
+"""Interfaces to the external services used by a node with declared targets."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -15,22 +15,22 @@
 )
 
 
-def _nothing_expires(now: datetime) -> None:
-    """Stand for a table that drops expired rows by itself."""
+def _keep_expired_rows(now: datetime) -> None:
+    """Do nothing; for a table that removes expired rows itself."""
 
 
 @dataclass(frozen=True, slots=True)
 class Outside:
-    """The outside as one node reaches it; tests pass their own.
+    """External services of one node; tests replace them.
 
-    ``sweep`` drops rows that have expired by the time it is given.
+    ``sweep`` removes the rows that have expired at the given time.
     """
 
     table: Table
     objects: ObjectStore
     vms: VmList
     clock: Clock
-    sweep: Callable[[datetime], None] = _nothing_expires
+    sweep: Callable[[datetime], None] = _keep_expired_rows
 
 
 __all__ = [
