--- a/packages/runhatch-server/src/runhatch_server/observability/_levels.py
+++ b/packages/runhatch-server/src/runhatch_server/observability/_levels.py
@@ -1,10 +1,10 @@
-"""How much is logged."""
+"""Levels of the structured log."""
 
 from enum import Enum
 
 
 class LogLevel(Enum):
-    """What is logged; each level includes those before it."""
+    """Verbosity of the log; each level includes the levels before it."""
 
     ERROR = "error"
     CHANGE = "change"
--- a/packages/runhatch-server/src/runhatch_server/observability/_logs.py
+++ b/packages/runhatch-server/src/runhatch_server/observability/_logs.py
@@ -1,8 +1,8 @@
-"""Structured logs by eliot: one JSON object a line, a request under one action.
+"""Structured logs written with eliot: one JSON object per line.
 
-Whoever logs never waits for the pipe: lines go into a bounded queue, and one thread
-writes them.  When the queue fills, lines of requests that were answered are left out
-first; what is left out is counted, and told in a line of its own.
+Lines go through a bounded queue to a single writer thread, so a stalled log reader
+cannot block the threads that log.  When the queue fills up, lines of answered requests
+are dropped first; the number of dropped lines is logged.
 """
 
 import logging
@@ -20,80 +20,80 @@
 LEVEL_FIELD = "level"
 ORDER = (LogLevel.ERROR, LogLevel.CHANGE, LogLevel.REQUEST)
 QUEUE_LINES = 4_096
-"""Lines that may wait: some 2 MB, a few seconds of a node at 300 requests a second."""
+"""About 2 MB, a few seconds of a node that serves 300 requests a second."""
 PLENTY = 0.5
-"""Share of the queue from which on only what matters most is taken."""
+"""Fill level of the queue above which lines of answered requests are dropped."""
 MOST_WRITTEN = 256
-"""Lines written at once."""
+"""Maximum number of lines per write."""
 FLUSH_SECONDS = 1.0
-"""Longest wait for the writer at the end of the process."""
+"""Maximum wait for the writer thread when the process exits."""
 
 
 class LogQueue:
-    """Takes messages from any thread and writes them from one.
+    """Queue messages from any thread and write them from a single thread.
 
-    A reader of the log that stops reading stops the writer alone.
+    A log reader that stops reading blocks only the writer thread.
     """
 
     def __init__(self, stream: TextIO, level: LogLevel, limit: int = QUEUE_LINES):
         self._stream = stream
         self._limit = limit
         self._lines: deque[dict[str, object]] = deque()
-        self._changed = threading.Condition()
-        self._writing = False
+        self._condition = threading.Condition()
+        self._is_writing = False
         self._dropped = 0
         rank = ORDER.index(level)
-        self._shown = frozenset(shown.value for shown in ORDER[: rank + 1])
-        threading.Thread(target=self._run, name="log", daemon=True).start()
+        self._logged_levels = frozenset(logged.value for logged in ORDER[: rank + 1])
+        threading.Thread(target=self._write_lines, name="log", daemon=True).start()
 
     @property
     def dropped(self) -> int:
-        """Lines left out since they were told of last."""
+        """Number of lines dropped since the last ``log_lines_dropped`` line."""
         return self._dropped
 
     def __call__(self, message: dict[str, object]) -> None:
-        """Take in one message; never waits for the writer."""
-        if message.get(LEVEL_FIELD, LogLevel.ERROR.value) not in self._shown:
+        """Queue ``message``, or drop it if the queue is full; never blocks."""
+        if message.get(LEVEL_FIELD, LogLevel.ERROR.value) not in self._logged_levels:
             return
-        with self._changed:
-            if len(self._lines) >= self._room_for(message):
+        with self._condition:
+            if len(self._lines) >= self._limit_for(message):
                 self._dropped += 1
                 return
             self._lines.append(message)
-            self._changed.notify()
+            self._condition.notify()
 
     def flush(self, longest: float = FLUSH_SECONDS) -> bool:
-        """Wait until all is written; false if that takes too long."""
-        with self._changed:
-            return self._changed.wait_for(
-                lambda: not self._lines and not self._writing, longest
+        """Wait until all lines are written; return false after ``longest`` seconds."""
+        with self._condition:
+            return self._condition.wait_for(
+                lambda: not self._lines and not self._is_writing, longest
             )
 
-    def _room_for(self, message: dict[str, object]) -> int:
-        common = message.get("outcome") == "answered"
-        return int(self._limit * PLENTY) if common else self._limit
+    def _limit_for(self, message: dict[str, object]) -> int:
+        is_droppable = message.get("outcome") == "answered"
+        return int(self._limit * PLENTY) if is_droppable else self._limit
 
-    def _run(self) -> None:
+    def _write_lines(self) -> None:
         encoder = eliot.json.EliotJSONEncoder()
         while True:
-            batch = self._take()
+            batch = self._next_batch()
             try:
                 self._stream.write(
                     "".join(f"{encoder.encode(line)}\n" for line in batch)
                 )
                 self._stream.flush()
             except (OSError, ValueError):
-                # Nobody reads the log; there is nowhere else to say so.
+                # The log reader is gone, and there is no other place to report it.
                 continue
             finally:
-                with self._changed:
-                    self._writing = False
-                    self._changed.notify_all()
-
-    def _take(self) -> list[dict[str, object]]:
-        with self._changed:
-            self._changed.wait_for(lambda: bool(self._lines))
-            self._writing = True
+                with self._condition:
+                    self._is_writing = False
+                    self._condition.notify_all()
+
+    def _next_batch(self) -> list[dict[str, object]]:
+        with self._condition:
+            self._condition.wait_for(lambda: bool(self._lines))
+            self._is_writing = True
             batch = [
                 self._lines.popleft()
                 for _ in range(min(len(self._lines), MOST_WRITTEN))
@@ -117,27 +117,27 @@
     queue = LogQueue(_open(destination), level)
     _queues.append(queue)
     eliot.add_destinations(queue)
-    # What libraries log, the HTTP server's failures among them, goes the same way.
+    # Also writes the logs of libraries, such as errors of the HTTP server.
     logging.getLogger().addHandler(EliotHandler())
 
 
 def flush_logs() -> None:
-    """Have what was logged so far written, before the process ends."""
+    """Wait until all queued lines are written, for use before the process exits."""
     for queue in _queues:
         queue.flush()
 
 
 def log_change(message_type: str, **fields: object) -> None:
-    """Log one change of state: a lease, an order, a configuration, a member."""
+    """Log a change of state, for example of a lease, an order or a configuration."""
     fields[LEVEL_FIELD] = LogLevel.CHANGE.value
     eliot.log_message(message_type=message_type, **fields)
 
 
 class RequestLog:
-    """The log of one request; every line carries the action's id.
+    """The log of one request; every line carries the id of its eliot action.
 
-    Unless requests are logged nothing is put together at all: messages cost as
-    much as several tokens of a stream.
+    If ``enabled`` is false, no messages are built, because building one costs as much
+    processor time as several tokens of a stream.
     """
 
     def __init__(
@@ -156,7 +156,7 @@
             )
 
     def attempt(self, target: str, outcome: str) -> None:
-        """Log how one attempt ended."""
+        """Log the outcome of an attempt at ``target``."""
         if self._action is None:
             return
         self._action.log(
@@ -164,7 +164,7 @@
         )
 
     def finish(self, outcome: str, status: int) -> None:
-        """Log the end of the request."""
+        """Log the outcome and HTTP status of the request."""
         if self._action is None:
             return
         self._action.add_success_fields(outcome=outcome, status=status, **self._level)
--- a/packages/runhatch-server/src/runhatch_server/observability/_metrics.py
+++ b/packages/runhatch-server/src/runhatch_server/observability/_metrics.py
@@ -1,4 +1,4 @@
-"""The daemon's metrics, in a registry of its own."""
+"""Prometheus metrics of the daemon, in a separate registry."""
 
 from dataclasses import dataclass
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class MetricFamily:
-    """What a metric is called when it is read, and what it tells."""
+    """Name, type, labels and help text of a metric as it is exposed."""
 
     name: str
     kind: str
@@ -24,7 +24,7 @@
 
 
 class Metrics:
-    """Every counter, gauge and histogram the daemon keeps."""
+    """All counters, gauges and histograms of the daemon."""
 
     def __init__(self) -> None:
         self._registry = CollectorRegistry()
@@ -33,65 +33,79 @@
         self.answers = self._counter("answers", "Requests answered in full", "kind")
         self.late_answers = self._counter(
             "late_answers",
-            "Requests answered in full that began, or paused, too late",
+            "Requests answered in full, but past the latency goal or pause limit",
             "kind",
         )
         self.refusals = self._counter("refusals", "Requests refused", "reason")
-        self.retries = self._counter("retries", "Attempts made again", "reason")
-        self.attempts = self._counter("attempts", "Attempts at targets", "outcome")
-        self.streams = self._counter("streams", "Streams by their end", "end")
+        self.retries = self._counter("retries", "Attempts that were retried", "reason")
+        self.attempts = self._counter("attempts", "Attempts sent to targets", "outcome")
+        self.streams = self._counter("streams", "Streams by how they ended", "end")
         self.claims = self._counter("claims", "Claims by outcome", "outcome")
-        self.orders = self._counter("orders", "Orders to engines", "kind", "outcome")
+        self.orders = self._counter(
+            "orders", "Orders sent to engines", "kind", "outcome"
+        )
         self.cache_events = self._counter(
-            "cache_events", "Cache events of engines", "outcome"
+            "cache_events", "Cache events read from engines", "outcome"
         )
         self.leases = self._counter("leases", "Lease changes", "change")
         self.orderers_behind = self._counter(
             "orderers_behind",
-            "Times a node told of orders under a lower fence than one heard of",
+            "Order updates received with a lower fence than one already seen",
+        )
+        self.peer_messages = self._counter(
+            "peer_messages", "Peer messages", "direction"
+        )
+        self.peer_bytes = self._counter(
+            "peer_bytes", "Bytes of peer messages", "direction"
         )
-        self.peer_messages = self._counter("peer_messages", "Messages", "direction")
-        self.peer_bytes = self._counter("peer_bytes", "Bytes of messages", "direction")
         self.table_sources = self._counter(
             "table_sources",
-            "Times a watched table began to be had from another source",
+            "Times a watched table switched to another source",
             "table",
             "source",
         )
         self.table_age = self._gauge(
             "table_age_seconds",
-            "Time since a watched table was read, or a reader told of it",
+            "Time since a watched table was read or received from its reader",
             "table",
         )
         self.key_reloads = self._counter(
-            "key_reloads", "Changed key files of peer links", "outcome"
+            "key_reloads", "Reloads of changed key files of peer links", "outcome"
         )
         self.ended_targets = self._counter(
             "ended_targets", "Targets that ended with requests in progress"
         )
         self.permits = self._counter(
-            "permits", "Permits asked for of targets with a rate limit", "outcome"
+            "permits", "Permits requested for targets with a rate limit", "outcome"
         )
         self.limited_targets = self._gauge(
-            "limited_targets", "Targets that have named a rate limit"
+            "limited_targets", "Targets that have reported a rate limit"
         )
         self.suspects = self._gauge(
-            "requests_held_back", "Requests not sent since targets ended under them"
+            "requests_held_back",
+            "Requests not sent because targets ended while running them",
         )
-        self.suspicions = self._counter("suspicions", "Peers suspected")
-        self.in_progress = self._gauge("requests_in_progress", "Requests under way")
+        self.suspicions = self._counter(
+            "suspicions", "Suspicions that a peer has failed"
+        )
+        self.in_progress = self._gauge("requests_in_progress", "Requests in progress")
         self.queued = self._gauge("requests_queued", "Requests waiting for a slot")
-        self.revision = self._gauge("configuration_revision", "Revision in force")
+        self.revision = self._gauge(
+            "configuration_revision", "Configuration revision in force"
+        )
         self.shards = self._gauge("planning_leases", "Planning leases held")
-        self.targets = self._gauge("targets", "Targets that take new work")
-        self.held = self._gauge("requests_held", "Requests that wait for a model")
-        self.replicas = self._gauge("replicas", "Models held, over all targets")
+        self.targets = self._gauge("targets", "Targets that accept new requests")
+        self.held = self._gauge(
+            "requests_held", "Requests waiting for a model to be loaded"
+        )
+        self.replicas = self._gauge("replicas", "Model replicas, over all targets")
         self.holds_orders = self._gauge(
-            "orders_lease_held", "Whether this node orders the targets, 1 or 0"
+            "orders_lease_held",
+            "1 if this node holds the lease for orders to targets, else 0",
         )
         self.first_token = self._histogram(
             "target_first_byte_seconds",
-            "Time from sending a request until its target began to answer",
+            "Time from sending a request to the first byte from its target",
             "kind",
         )
         self.first_byte = self._histogram(
@@ -106,27 +120,27 @@
         )
         self.wait_seconds = self._histogram(
             "wait_seconds",
-            "Time that a request waited on its node for a target",
+            "Time a request waited on its node for a target",
             "kind",
         )
         self.order_seconds = self._histogram(
-            "order_seconds", "Time until a target answered an order", "kind"
+            "order_seconds", "Time for a target to answer an order", "kind"
         )
         self.round_seconds = self._histogram(
-            "order_round_seconds", "Time of one round of the node that orders targets"
+            "order_round_seconds", "Duration of one round of orders to targets"
         )
 
     @property
     def families(self) -> tuple[MetricFamily, ...]:
-        """Every metric, by name."""
+        """All metrics, sorted by name."""
         return tuple(sorted(self._families))
 
     def exposition(self) -> bytes:
-        """Return all metrics in the text format."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self._registry)
 
     def count(self, counter: Counter, *labels: str) -> float:
-        """Return the present value of one counter."""
+        """Return the current value of ``counter`` for ``labels``."""
         for metric in counter.labels(*labels).collect():
             for sample in metric.samples:
                 if sample.name.endswith("_total"):
--- a/packages/runhatch-server/src/runhatch_server/observability/_traces.py
+++ b/packages/runhatch-server/src/runhatch_server/observability/_traces.py
@@ -1,4 +1,4 @@
-"""The last requests of this node, for queries and explanations."""
+"""Traces of the most recent requests of this node, for operator queries."""
 
 import threading
 from collections import deque
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptTrace:
-    """One attempt: the target chosen, why, and how it ended."""
+    """One attempt: the chosen target, the reason for the choice and the outcome."""
 
     target: str
     reason: str
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True)
 class RequestTrace:
-    """One request as it went."""
+    """A request with its attempts and outcome."""
 
     request_id: str
     route: str
@@ -34,23 +34,23 @@
 
 
 class TraceLog:
-    """A ring of traces, newest last."""
+    """A thread-safe ring buffer of traces, oldest first."""
 
     def __init__(self, kept: int = KEPT) -> None:
         self._traces: deque[RequestTrace] = deque(maxlen=kept)
         self._lock = threading.Lock()
 
     def add(self, trace: RequestTrace) -> None:
-        """Keep ``trace``, dropping the oldest."""
+        """Store ``trace``; drops the oldest trace if the buffer is full."""
         with self._lock:
             self._traces.append(trace)
 
     def all(self) -> list[RequestTrace]:
-        """Return the kept traces, oldest first."""
+        """Return all stored traces, oldest first."""
         with self._lock:
             return list(self._traces)
 
     def find(self, request_id: str) -> RequestTrace | None:
-        """Return one trace, if it is still kept."""
+        """Return the trace of ``request_id``, or None if it is not stored."""
         matching = (t for t in self.all() if t.request_id == request_id)
         return next(matching, None)
