--- a/packages/runhatch-server/src/runhatch_server/settings/__init__.py
+++ b/packages/runhatch-server/src/runhatch_server/settings/__init__.py
@@ -1,4 +1,4 @@
-"""The settings of one daemon process."""
+"""Settings of a daemon process."""
 
 from runhatch_server.settings._load import load_settings
 from runhatch_server.settings._models import (
--- a/packages/runhatch-server/src/runhatch_server/settings/_load.py
+++ b/packages/runhatch-server/src/runhatch_server/settings/_load.py
@@ -1,4 +1,4 @@
-"""Reading a settings file: JSON with comments."""
+"""Loads the settings file, which is JSON with comments."""
 
 import os
 from pathlib import Path
@@ -14,10 +14,10 @@
 
 
 def load_settings(path: Path) -> Settings:
-    """Read and check the settings at ``path``.
+    """Read and validate the settings file at ``path``.
 
-    Raises :class:`~runhatch_server._errors.SettingsError` with every fault at
-    once: field, what was found and what is allowed.
+    Raises :class:`~runhatch_server._errors.SettingsError` listing all
+    faults; each one names the field, the value found and the values allowed.
     """
     try:
         document = json5.loads(path.read_text())
--- a/packages/runhatch-server/src/runhatch_server/settings/_models.py
+++ b/packages/runhatch-server/src/runhatch_server/settings/_models.py
@@ -1,4 +1,4 @@
-"""Models of the settings file; durations are in seconds, sizes in bytes."""
+"""Models of the settings file, with durations in seconds and sizes in bytes."""
 
 import os
 from enum import Enum
@@ -14,7 +14,10 @@
 Name = Annotated[str, Field(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$")]
 Seconds = Annotated[float, Field(gt=0, le=86_400)]
 HEARTBEATS_IN_SILENCE = 3
-"""Heartbeats that must fit into the silence after which a peer is suspected."""
+"""Minimum ratio of ``suspect_seconds`` to ``heartbeat_seconds``.
+
+With a lower ratio, a few lost heartbeats would get a live peer suspected.
+"""
 
 
 def _check_address(value: str) -> str:
@@ -36,31 +39,31 @@
 
 
 class NodeSettings(StrictModel):
-    """Who this node is and where it stands."""
+    """Name and location of this node."""
 
     name: Name = Field(description="Unique name of the VM")
-    failure_domain: Name = Field(description="Failure domain the VM stands in")
-    region: Name = Field(default="default", description="Region of the domain")
+    failure_domain: Name = Field(description="Failure domain of the VM")
+    region: Name = Field(default="default", description="Region of the failure domain")
 
 
 class PlatformSettings(StrictModel):
-    """Where the platform's store is."""
+    """Access to the store of the platform."""
 
-    store_url: str = Field(description="Store of rows and objects, base address")
+    store_url: str = Field(description="Base URL of the store of rows and objects")
     timeout_seconds: Seconds = Field(
-        default=1.0, description="Longest wait for one call to the store"
+        default=1.0, description="Timeout of one call to the store"
     )
 
 
 class ServingSettings(StrictModel):
-    """How requests are taken."""
+    """Limits and timeouts of requests."""
 
     threads: int = Field(default=160, ge=4, le=2_000, description="Request threads")
     default_deadline_seconds: Seconds = Field(
-        default=60.0, description="Deadline of requests that name none"
+        default=60.0, description="Deadline of requests without one"
     )
     max_deadline_seconds: Seconds = Field(
-        default=900.0, description="Longest deadline a caller may ask for"
+        default=900.0, description="Longest deadline a caller may request"
     )
     max_body_bytes: int = Field(
         default=1_048_576, ge=1_024, le=67_108_864, description="Largest request body"
@@ -75,25 +78,26 @@
         default=0.5,
         gt=0,
         le=1,
-        description="Largest share of the queue that one caller may hold",
+        description="Largest share of the queue that one caller may occupy",
     )
     claim_wait_seconds: Seconds = Field(
-        default=2.0, description="Wait of a repeat for the first run's answer"
+        default=2.0,
+        description="Wait of a repeated request for the answer of the first",
     )
     answer_retention_seconds: float = Field(
         default=86_400.0,
         gt=0,
         le=2_592_000,
-        description="How long a claim and its answer are kept for repeats",
+        description="Time a claim and its answer are stored for repeated requests",
     )
     inline_answer_bytes: int = Field(
         default=8_192,
         ge=0,
         le=131_072,
-        description="Largest kept answer that goes into its claim's row",
+        description="Largest answer stored in the row of its claim",
     )
     stall_seconds: Seconds = Field(
-        default=10.0, description="Silence after which a stream is given up"
+        default=10.0, description="Time without data after which a stream is ended"
     )
     cache_event_targets: int = Field(
         default=4,
@@ -105,22 +109,25 @@
         default=2.0,
         ge=0,
         le=600,
-        description="Time the balancer needs to notice a failing readiness",
+        description="Time the load balancer needs to react to a failed readiness check",
     )
 
 
 class PlacementSettings(StrictModel):
-    """How this node plans, when it holds a planning lease."""
+    """Planning intervals, used while this node holds a planning lease."""
 
-    interval_seconds: Seconds = Field(default=1.0, description="Between two plans")
-    lease_seconds: Seconds = Field(default=6.0, description="Lease time to live")
+    interval_seconds: Seconds = Field(
+        default=1.0, description="Interval between two plans"
+    )
+    lease_seconds: Seconds = Field(default=6.0, description="Time to live of a lease")
     refresh_seconds: Seconds = Field(
-        default=10.0, description="Between two reads of placement and configuration"
+        default=10.0,
+        description="Interval between two reads of placement and configuration",
     )
 
 
 class PeerTls(StrictModel):
-    """Keys for peer links; both sides of a link are checked."""
+    """TLS keys of peer links; both sides of a link authenticate."""
 
     certificate_file: Path
     key_file: Path
@@ -130,39 +137,44 @@
 class PeerSettings(StrictModel):
     """Links between nodes."""
 
-    heartbeat_seconds: Seconds = Field(default=1.0, description="Between heartbeats")
+    heartbeat_seconds: Seconds = Field(
+        default=1.0, description="Interval between heartbeats"
+    )
     suspect_seconds: Seconds = Field(
-        default=3.5, description="Silence after which a peer is suspected"
+        default=3.5,
+        description="Time without a heartbeat after which a peer is suspected",
     )
     max_message_bytes: int = Field(
-        default=4_194_304, ge=65_536, le=67_108_864, description="Largest message"
+        default=4_194_304, ge=65_536, le=67_108_864, description="Largest peer message"
     )
     seeds: tuple[str, ...] = Field(
         default=(),
-        description="Addresses of some peers, for a start while the store is away",
+        description="Addresses of some peers, to start while the store is unavailable",
+    )
+    tls: PeerTls | None = Field(
+        default=None, description="TLS keys; without them links are not encrypted"
     )
-    tls: PeerTls | None = Field(default=None, description="Keys; none means plain")
 
     @model_validator(mode="after")
-    def _some_heartbeats_may_be_lost(self) -> "PeerSettings":
-        least = HEARTBEATS_IN_SILENCE * self.heartbeat_seconds
-        if self.suspect_seconds < least:
+    def _check_suspect_seconds(self) -> "PeerSettings":
+        minimum = HEARTBEATS_IN_SILENCE * self.heartbeat_seconds
+        if self.suspect_seconds < minimum:
             raise ValueError(
                 f"suspect_seconds {self.suspect_seconds:g} must be at least "
-                f"{HEARTBEATS_IN_SILENCE} times heartbeat_seconds, {least:g}"
+                f"{HEARTBEATS_IN_SILENCE} times heartbeat_seconds, {minimum:g}"
             )
         return self
 
 
 class OperatorRole(Enum):
-    """What a token allows; ``change`` includes ``read``."""
+    """Permissions of a token; ``change`` includes ``read``."""
 
     READ = "read"
     CHANGE = "change"
 
 
 class OperatorToken(StrictModel):
-    """One operator's bearer token, given directly, in a file or the environment."""
+    """Bearer token of an operator: a literal, a file or an environment variable."""
 
     name: Name
     role: OperatorRole
@@ -171,16 +183,17 @@
     token_env: str | None = None
 
     @model_validator(mode="after")
-    def _one_source(self) -> "OperatorToken":
-        given = [self.token, self.token_file, self.token_env]
-        if sum(source is not None for source in given) != 1:
+    def _check_one_source(self) -> "OperatorToken":
+        sources = [self.token, self.token_file, self.token_env]
+        if sum(source is not None for source in sources) != 1:
             raise ValueError("exactly one of token, token_file, token_env")
         return self
 
     def secret(self) -> str:
-        """Return the token from whichever source was given.
+        """Return the token, read from its configured source.
 
-        Raises ``OSError`` or ``KeyError`` if that source does not exist.
+        Raises ``OSError`` if the file cannot be read and ``KeyError`` if the variable
+        is not set.
         """
         if self.token is not None:
             return self.token.get_secret_value()
@@ -190,22 +203,22 @@
 
 
 class OperatorSettings(StrictModel):
-    """Who may ask and change; without tokens only loopback is let in."""
+    """Access of operators; without tokens the listener must be on loopback."""
 
     tokens: tuple[OperatorToken, ...] = ()
 
 
 class LogSettings(StrictModel):
-    """Structured logs, one JSON object a line."""
+    """Structured logs with one JSON object per line."""
 
-    level: LogLevel = Field(default=LogLevel.CHANGE, description="What is logged")
+    level: LogLevel = Field(default=LogLevel.CHANGE, description="Verbosity of the log")
     destination: str = Field(
         default="stderr", description='"stderr", "stdout" or the path of a file'
     )
 
 
 class Settings(StrictModel):
-    """The whole settings file of ``runhatchd``."""
+    """The settings file of ``runhatchd``."""
 
     node: NodeSettings
     callers: Listener
@@ -219,7 +232,7 @@
     logs: LogSettings = LogSettings()
 
     @model_validator(mode="after")
-    def _open_only_with_tokens(self) -> "Settings":
+    def _check_operators_access(self) -> "Settings":
         loopback = ip_address(self.operators.host).is_loopback
         if not loopback and not self.access.tokens:
             raise ValueError(
--- a/packages/runhatch-server/src/runhatch_server/settings/_reference.py
+++ b/packages/runhatch-server/src/runhatch_server/settings/_reference.py
@@ -1,4 +1,4 @@
-"""The settings reference, generated from the models."""
+"""Generates the reference page of the settings from the models."""
 
 from pydantic import BaseModel
 
@@ -12,7 +12,7 @@
 
 
 def settings_reference() -> str:
-    """Return the page that lists every field of the settings file."""
+    """Return the Markdown page that lists all fields of the settings file."""
     sections = [HEAD]
     for name, field in Settings.model_fields.items():
         model = field.annotation
@@ -28,12 +28,14 @@
         lines += [model.__doc__.strip().splitlines()[0], ""]
     lines += ["| field | default | meaning |", "| --- | --- | --- |"]
     for field_name, field in model.model_fields.items():
-        default = "required" if field.is_required() else f"`{_show(field.default)}`"
+        default = (
+            "required" if field.is_required() else f"`{_format_default(field.default)}`"
+        )
         lines.append(f"| `{field_name}` | {default} | {field.description or ''} |")
     return "\n".join([*lines, ""])
 
 
-def _show(value: object) -> str:
+def _format_default(value: object) -> str:
     return str(getattr(value, "value", value))
 
 
