--- a/packages/runhatch-server/src/runhatch_server/operations/__init__.py
+++ b/packages/runhatch-server/src/runhatch_server/operations/__init__.py
@@ -1,4 +1,4 @@
-"""What operators see and do: queries, commands, configuration, health."""
+"""HTTP interface of operators: queries, commands, configuration and health."""
 
 from runhatch_server.operations._access import Access
 from runhatch_server.operations._app import OperatorApp
--- a/packages/runhatch-server/src/runhatch_server/operations/_access.py
+++ b/packages/runhatch-server/src/runhatch_server/operations/_access.py
@@ -1,4 +1,4 @@
-"""Who may ask and who may change: bearer tokens with roles."""
+"""Authentication of operators by bearer tokens with roles."""
 
 import hmac
 from dataclasses import dataclass
@@ -11,21 +11,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Operator:
-    """Who makes a call, and what is allowed to them."""
+    """The operator who makes a call, with their role."""
 
     name: str
     role: OperatorRole
 
     def may(self, role: OperatorRole) -> bool:
-        """Tell whether the operator's role includes ``role``."""
+        """Return whether the operator's role includes ``role``."""
         return self.role is OperatorRole.CHANGE or role is OperatorRole.READ
 
 
 class Access:
-    """Finds the operator behind a call.
+    """Identify the operator who makes a call.
 
-    Without any tokens everybody is let in; the settings see to it that the
-    listener is then on loopback only.
+    Without configured tokens every call is allowed; the settings then require a
+    listener on a loopback address.
     """
 
     def __init__(self, settings: OperatorSettings) -> None:
@@ -35,13 +35,13 @@
         ]
 
     def identify(self, authorization: str) -> Operator | None:
-        """Return the operator whose token ``authorization`` carries."""
+        """Return the operator of the token in ``authorization``, or None."""
         if not self._tokens:
             return Operator(LOCAL_OPERATOR, OperatorRole.CHANGE)
         given = authorization.removeprefix(SCHEME).encode()
         found = None
         for operator, secret in self._tokens:
-            # All are compared, so that the time tells nothing.
+            # Compares all tokens, to be safe against timing attacks.
             if hmac.compare_digest(given, secret):
                 found = operator
         return found
--- a/packages/runhatch-server/src/runhatch_server/operations/_app.py
+++ b/packages/runhatch-server/src/runhatch_server/operations/_app.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP interface as a WSGI application."""
+"""WSGI application of the operators' HTTP interface."""
 
 import json
 from collections.abc import Callable, Iterable, Mapping
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """One answer to an operator."""
+    """An HTTP response to an operator."""
 
     status: int
     body: bytes
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One call, read and attributed."""
+    """An authenticated call with its body and query arguments."""
 
     operator: Operator
     body: bytes
@@ -54,7 +54,7 @@
 
 
 class ApplyBody(StrictModel):
-    """A new configuration, based on revision ``base``."""
+    """A new configuration based on revision ``base``."""
 
     base: int = Field(ge=0)
     document: dict[str, object]
@@ -71,7 +71,7 @@
 
 
 class OperatorApp:
-    """Answers operators, monitors and the command line."""
+    """Serves operators, monitoring and the command line."""
 
     def __init__(
         self,
@@ -95,13 +95,13 @@
         read, change = OperatorRole.READ, OperatorRole.CHANGE
         self._endpoints = {
             ("GET", "/metrics"): _Endpoint(read, self._show_metrics),
-            ("POST", "/v1/query"): _Endpoint(read, self._query),
-            ("POST", "/v1/command"): _Endpoint(change, self._command),
+            ("POST", "/v1/query"): _Endpoint(read, self._run_query),
+            ("POST", "/v1/command"): _Endpoint(change, self._run_command),
             ("GET", "/v1/configuration"): _Endpoint(read, self._show_configuration),
-            ("PUT", "/v1/configuration"): _Endpoint(change, self._apply),
-            ("GET", "/v1/history"): _Endpoint(read, self._history),
-            ("GET", "/v1/difference"): _Endpoint(read, self._difference),
-            ("GET", "/v1/plan"): _Endpoint(read, self._plan),
+            ("PUT", "/v1/configuration"): _Endpoint(change, self._apply_configuration),
+            ("GET", "/v1/history"): _Endpoint(read, self._show_history),
+            ("GET", "/v1/difference"): _Endpoint(read, self._show_difference),
+            ("GET", "/v1/plan"): _Endpoint(read, self._show_plan),
             ("GET", "/v1/explain/request"): _Endpoint(read, self._explain_request),
             ("GET", "/v1/explain/placement"): _Endpoint(read, self._explain_placement),
         }
@@ -109,7 +109,7 @@
     def __call__(
         self, environ: Environ, start_response: StartResponse
     ) -> Iterable[bytes]:
-        """Answer one call."""
+        """Respond to a WSGI call."""
         response = self._respond(environ)
         headers = [
             ("Content-Type", response.content_type),
@@ -124,20 +124,20 @@
             return Response(200, b"ok\n", TEXT)
         if path == "/readyz":
             ready = self._is_ready()
-            return Response(200, b"ok\n", TEXT) if ready else _not_ready()
+            return Response(200, b"ok\n", TEXT) if ready else _respond_not_ready()
         operator = self._access.identify(str(environ.get("HTTP_AUTHORIZATION", "")))
         if operator is None:
             return problem(
-                401, "unauthorized", "allowed: a bearer token of an operator"
+                401, "unauthorized", "allowed: the bearer token of an operator"
             )
         endpoint = self._endpoints.get((str(environ.get("REQUEST_METHOD")), path))
         if endpoint is None:
             return problem(404, "unknown_path", f"found {path[:80]!r}")
         if not operator.may(endpoint.role):
-            return problem(403, "forbidden", f"{operator.name} may only read")
-        return self._call(environ, endpoint, operator)
+            return problem(403, "forbidden", f"{operator.name} is only allowed to read")
+        return self._handle(environ, endpoint, operator)
 
-    def _call(
+    def _handle(
         self, environ: Environ, endpoint: _Endpoint, operator: Operator
     ) -> Response:
         length = int(str(environ.get("CONTENT_LENGTH") or "0"))
@@ -157,25 +157,25 @@
     def _show_metrics(self, call: Call) -> Response:
         return Response(200, self._metrics.exposition(), TEXT)
 
-    def _query(self, call: Call) -> Response:
+    def _run_query(self, call: Call) -> Response:
         query = Query.model_validate_json(call.body)
         records = self._inventory.records(query.noun)
         return _json({"records": run_query(query, records)})
 
-    def _command(self, call: Call) -> Response:
+    def _run_command(self, call: Call) -> Response:
         command = COMMANDS.validate_json(call.body)
         outcome = self._commands.run(command, call.operator.name)
-        return self._applied(call.operator, command.verb, outcome)
+        return self._respond_to_change(call.operator, command.verb, outcome)
 
-    def _apply(self, call: Call) -> Response:
-        wanted = ApplyBody.model_validate_json(call.body)
-        body = json.dumps(wanted.document).encode()
+    def _apply_configuration(self, call: Call) -> Response:
+        proposal = ApplyBody.model_validate_json(call.body)
+        body = json.dumps(proposal.document).encode()
         outcome = self._configuration.apply(
-            body, wanted.base, call.operator.name, wanted.note
+            body, proposal.base, call.operator.name, proposal.note
         )
-        return self._applied(call.operator, "apply", outcome)
+        return self._respond_to_change(call.operator, "apply", outcome)
 
-    def _applied(
+    def _respond_to_change(
         self, operator: Operator, verb: str, outcome: ApplyOutcome
     ) -> Response:
         log_change(
@@ -194,11 +194,11 @@
             case Unavailable(reason):
                 return problem(503, "store_unavailable", f"nothing changed: {reason}")
             case Unknown(reason):
-                detail = f"it may have changed, look at the history: {reason}"
+                detail = f"the change may be in force, check the history: {reason}"
                 return problem(504, "outcome_unknown", detail)
 
     def _show_configuration(self, call: Call) -> Response:
-        revision = self._revision(call.arguments.get("revision", "0"))
+        revision = self._read_revision(call.arguments.get("revision", "0"))
         if isinstance(revision, Response):
             return revision
         entry = revision.entry
@@ -212,7 +212,7 @@
             }
         )
 
-    def _history(self, call: Call) -> Response:
+    def _show_history(self, call: Call) -> Response:
         entries = self._configuration.log.history()
         if isinstance(entries, Unavailable):
             return problem(503, "store_unavailable", entries.reason)
@@ -230,9 +230,9 @@
             }
         )
 
-    def _difference(self, call: Call) -> Response:
-        old = self._revision(call.arguments.get("from", "0"))
-        new = self._revision(call.arguments.get("to", "0"))
+    def _show_difference(self, call: Call) -> Response:
+        old = self._read_revision(call.arguments.get("from", "0"))
+        new = self._read_revision(call.arguments.get("to", "0"))
         if isinstance(old, Response):
             return old
         if isinstance(new, Response):
@@ -240,7 +240,7 @@
         names = (f"revision {old.entry.number}", f"revision {new.entry.number}")
         return _json({"difference": difference(old.body, new.body, names)})
 
-    def _revision(self, number: str) -> Revision | Response:
+    def _read_revision(self, number: str) -> Revision | Response:
         if not number.isdecimal():
             return problem(
                 400, "invalid", f"revision: found {number!r}, allowed: a number"
@@ -252,11 +252,11 @@
             return problem(503, "store_unavailable", revision.reason)
         return problem(404, "unknown_revision", f"found {number}")
 
-    def _plan(self, call: Call) -> Response:
+    def _show_plan(self, call: Call) -> Response:
         pool = call.arguments.get("pool", "")
         planner = self._placement.planner(pool)
         if planner is None or planner.state is None:
-            return self._planned_elsewhere(pool)
+            return self._respond_planned_elsewhere(pool)
         actions = [
             {
                 "action": type(action).__name__,
@@ -273,7 +273,9 @@
         trace = self._traces.find(request_id)
         if trace is None:
             return problem(
-                404, "unknown_request", f"not among the last of this node: {request_id}"
+                404,
+                "unknown_request",
+                f"not among the last requests of this node: {request_id}",
             )
         lines = [
             f"{trace.route} for {trace.caller}, priority {trace.priority}: "
@@ -294,19 +296,19 @@
             return problem(404, "unknown_model", f"found {name!r}")
         planner = self._placement.planner(model.pool)
         if planner is None or planner.state is None:
-            return self._planned_elsewhere(model.pool)
+            return self._respond_planned_elsewhere(model.pool)
         return _json({"lines": explain(planner.state, model)})
 
-    def _planned_elsewhere(self, pool: str) -> Response:
+    def _respond_planned_elsewhere(self, pool: str) -> Response:
         record = self._placement.leases().get(pool)
-        holder = "nobody yet" if record is None else record.holder or "nobody now"
+        holder = "no node yet" if record is None else record.holder or "no node now"
         return problem(
             409, "planned_elsewhere", f"pool {pool!r} is planned by {holder}"
         )
 
 
 def problem(status: int, reason: str, detail: str) -> Response:
-    """Return a problem document for operators."""
+    """Return a problem document (RFC 9457) with ``reason`` and ``detail``."""
     document = {"status": status, "reason": reason, "detail": detail}
     return Response(status, json.dumps(document).encode(), PROBLEM)
 
@@ -318,5 +320,5 @@
 _DOCUMENT: TypeAdapter[dict[str, Any]] = TypeAdapter(dict[str, Any])
 
 
-def _not_ready() -> Response:
+def _respond_not_ready() -> Response:
     return Response(503, b"not ready\n", TEXT)
--- a/packages/runhatch-server/src/runhatch_server/operations/_commands.py
+++ b/packages/runhatch-server/src/runhatch_server/operations/_commands.py
@@ -1,4 +1,7 @@
-"""Commands: each is a change of the configuration, so it lasts and is agreed."""
+"""Operator commands, each of which is applied as a new configuration revision.
+
+So a command survives restarts and takes effect on every node.
+"""
 
 import json
 from collections.abc import Callable
@@ -19,21 +22,21 @@
 
 
 class DrainTarget(StrictModel):
-    """Give a target no new work, and move its models elsewhere."""
+    """Send a target no new requests, and move its models to other targets."""
 
     verb: Literal["drain"]
     target: str
 
 
 class UndrainTarget(StrictModel):
-    """Let a drained target take work again."""
+    """Let a drained target accept requests again."""
 
     verb: Literal["undrain"]
     target: str
 
 
 class LoadModel(StrictModel):
-    """Keep a replica of a model on a target."""
+    """Pin a replica of a model to a target."""
 
     verb: Literal["load"]
     model: str
@@ -41,7 +44,7 @@
 
 
 class UnloadModel(StrictModel):
-    """Keep a model off a target, once another replica serves."""
+    """Ban a model from a target, once another replica serves it."""
 
     verb: Literal["unload"]
     model: str
@@ -49,7 +52,7 @@
 
 
 class ReleaseModel(StrictModel):
-    """Leave it to the planner again whether a model is on a target."""
+    """Remove the pin or ban of a model on a target, so that the planner decides."""
 
     verb: Literal["release"]
     model: str
@@ -57,19 +60,19 @@
 
 
 class PausePlanner(StrictModel):
-    """Make no moves beyond what reachability needs."""
+    """Make only the moves that keep models reachable."""
 
     verb: Literal["pause"]
 
 
 class ResumePlanner(StrictModel):
-    """Make moves for value again."""
+    """Make moves that improve the placement again."""
 
     verb: Literal["resume"]
 
 
 class RestoreRevision(StrictModel):
-    """Put an earlier revision in force again, as a new one."""
+    """Apply the document of a previous revision as a new revision."""
 
     verb: Literal["restore"]
     revision: int = Field(ge=1)
@@ -90,13 +93,16 @@
 
 
 class CommandService:
-    """Carries out commands on one node."""
+    """Runs operator commands on this node."""
 
     def __init__(self, configuration: ConfigurationService) -> None:
         self._configuration = configuration
 
     def run(self, command: Command, author: str) -> ApplyOutcome:
-        """Apply the change that ``command`` asks for."""
+        """Apply the configuration change of ``command``.
+
+        Returns without a new revision if the configuration has it already.
+        """
         self._configuration.refresh()
         current = self._configuration.feed.current
         if current is None:
@@ -104,7 +110,7 @@
         document = json.loads(current.body)
         if isinstance(command, RestoreRevision):
             return self._restore(command, current.entry.number, author)
-        note = _edit(document, command)
+        note = _edit_document(document, command)
         body = json.dumps(document).encode()
         if document == json.loads(current.body):
             return Applied(current.entry.number)
@@ -123,8 +129,8 @@
         return self._configuration.apply(body, base, author, note)
 
 
-def _edit(document: Document, command: Command) -> str:
-    """Change ``document`` in place; returns the note for the history."""
+def _edit_document(document: Document, command: Command) -> str:
+    """Apply ``command`` to ``document`` in place; return the note for the history."""
     match command:
         case DrainTarget(target=target):
             drained = document.setdefault("drained_targets", [])
@@ -154,10 +160,10 @@
 
 
 def _move_pair(
-    document: Document, source: str, goal: str, model: str, target: str
+    document: Document, from_field: str, to_field: str, model: str, target: str
 ) -> None:
-    _remove_pair(document, source, model, target)
-    pairs = document.setdefault(goal, [])
+    _remove_pair(document, from_field, model, target)
+    pairs = document.setdefault(to_field, [])
     pair = {"model": model, "target": target}
     if pair not in pairs:
         pairs.append(pair)
@@ -165,9 +171,9 @@
 
 def _remove_pair(document: Document, field: str, model: str, target: str) -> None:
     pair = {"model": model, "target": target}
-    _remove(document, field, lambda found: found == pair)
+    _remove(document, field, lambda other: other == pair)
 
 
-def _remove(document: Document, field: str, gone: Callable[[Any], bool]) -> None:
+def _remove(document: Document, field: str, is_removed: Callable[[Any], bool]) -> None:
     if field in document:
-        document[field] = [entry for entry in document[field] if not gone(entry)]
+        document[field] = [entry for entry in document[field] if not is_removed(entry)]
--- a/packages/runhatch-server/src/runhatch_server/operations/_nouns.py
+++ b/packages/runhatch-server/src/runhatch_server/operations/_nouns.py
@@ -1,4 +1,4 @@
-"""The nouns of the operators' language, and the records behind each."""
+"""Nouns of the operators' query language, and the records of each noun."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
 
 
 class Noun(Enum):
-    """What can be shown."""
+    """A kind of record that can be queried."""
 
     MODELS = "models"
     ADAPTERS = "adapters"
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelRecord:
-    """A declared model, and where this node would route it."""
+    """A configured model with the targets this node routes it to."""
 
     name: str
     version: str
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdapterRecord:
-    """A declared adapter, and where this node would route it."""
+    """A configured adapter with the targets this node routes it to."""
 
     name: str
     version: str
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetRecord:
-    """A target: its place, and this node's requests and limit there."""
+    """A target with the outstanding requests and the limit of this node."""
 
     name: str
     pool: str
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeRecord:
-    """A node as this one sees it."""
+    """A node with its membership status as seen by this node."""
 
     name: str
     failure_domain: str
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseRecordView:
-    """A planning lease as this node last read it."""
+    """A planning lease as last read by this node."""
 
     pool: str
     holder: str
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderRecord:
-    """A charge in the ledger, and the order recorded with it."""
+    """A charge in the ledger with the order recorded for it."""
 
     pool: str
     target: str
@@ -100,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestRecord:
-    """One of the last requests of this node."""
+    """A recent request of this node."""
 
     id: str
     route: str
@@ -116,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RefusalRecord:
-    """How often this node refused for a reason."""
+    """Number of requests that this node refused for a reason."""
 
     reason: str
     status: int
@@ -125,7 +125,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationRecord:
-    """The revision in force on this node."""
+    """The configuration revision in force on this node."""
 
     revision: int
     author: str
@@ -147,7 +147,7 @@
 
 
 class Inventory:
-    """Gathers the records of each noun on one node."""
+    """Collects the records of each noun on this node."""
 
     def __init__(
         self,
@@ -168,7 +168,7 @@
         self._traces = traces
         self._metrics = metrics
         self._table = table
-        self._by_noun: dict[Noun, Callable[[], Sequence[Record]]] = {
+        self._readers: dict[Noun, Callable[[], Sequence[Record]]] = {
             Noun.MODELS: self._models,
             Noun.ADAPTERS: self._adapters,
             Noun.TARGETS: self._targets,
@@ -182,20 +182,20 @@
 
     def records(self, noun: Noun) -> Sequence[Record]:
         """Return all records of ``noun``."""
-        return self._by_noun[noun]()
+        return self._readers[noun]()
 
     @property
     def _deployment(self) -> Deployment:
         return self._picture.deployment
 
-    def _serving(self, name: str) -> tuple[str, ...]:
+    def _targets_of(self, name: str) -> tuple[str, ...]:
         hosts = self._picture.hosts(Route(RouteKind.MODEL, name))
         return tuple(sorted(host.target for host in hosts))
 
     def _models(self) -> Sequence[Record]:
         records = []
         for model in self._deployment.models:
-            targets = self._serving(model.name)
+            targets = self._targets_of(model.name)
             records.append(
                 ModelRecord(
                     model.name,
@@ -212,7 +212,7 @@
     def _adapters(self) -> Sequence[Record]:
         records = []
         for adapter in self._deployment.adapters:
-            targets = self._serving(adapter.name)
+            targets = self._targets_of(adapter.name)
             records.append(
                 AdapterRecord(
                     adapter.name,
@@ -227,7 +227,7 @@
 
     def _targets(self) -> Sequence[Record]:
         loads = self._dispatcher.loads()
-        units = {held.target: held.units for held in self._picture.hostings()}
+        units = {hosting.target: hosting.units for hosting in self._picture.hostings()}
         drained = self._deployment.drained_targets
         records = []
         for pool in self._deployment.pools:
@@ -274,14 +274,14 @@
             records += [
                 OrderRecord(
                     pool.name,
-                    held.row.target,
+                    versioned.row.target,
                     charge.unit,
                     charge.state.value,
                     charge.held_mb,
                     charge.order,
                 )
-                for held in rows
-                for charge in held.row.charges
+                for versioned in rows
+                for charge in versioned.row.charges
             ]
         return records
 
--- a/packages/runhatch-server/src/runhatch_server/operations/_query.py
+++ b/packages/runhatch-server/src/runhatch_server/operations/_query.py
@@ -1,4 +1,4 @@
-"""Filtering, ordering and limiting records for operators."""
+"""Filters, sorts and limits records for operator queries."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import asdict
@@ -16,11 +16,11 @@
 
 
 class QueryError(RunhatchError):
-    """A query names a field that its noun does not have."""
+    """A query names a field that the records of its noun do not have."""
 
 
 class Comparison(Enum):
-    """How a condition compares; ``HAS`` looks into lists and texts."""
+    """Comparison operators; ``HAS`` tests membership in lists and strings."""
 
     EQUAL = "="
     UNEQUAL = "!="
@@ -32,7 +32,7 @@
 
 
 class Condition(StrictModel):
-    """One condition on a field."""
+    """A condition on a field of a record."""
 
     field: str
     comparison: Comparison
@@ -40,7 +40,7 @@
 
 
 class Query(StrictModel):
-    """A query: all conditions must hold."""
+    """A query for the records that match all conditions."""
 
     noun: Noun
     where: tuple[Condition, ...] = ()
@@ -60,46 +60,46 @@
 
 
 def run_query(query: Query, records: Sequence[Record]) -> list[dict[str, object]]:
-    """Return the records that ``query`` asks for, as plain documents.
+    """Return the records that match ``query``, as dictionaries.
 
     Raises :class:`QueryError` if it names a field the records do not have.
     """
     documents = [asdict(record) for record in records]
     if documents:
         known = set(documents[0])
-        named = {condition.field for condition in query.where}
+        field_names = {condition.field for condition in query.where}
         if query.order_by is not None:
-            named.add(query.order_by)
-        unknown = sorted(named - known)
+            field_names.add(query.order_by)
+        unknown = sorted(field_names - known)
         if unknown:
             raise QueryError(
                 f"{query.noun.value}: found field {unknown[0]!r}, allowed: "
                 + ", ".join(sorted(known))
             )
     for condition in query.where:
-        documents = [d for d in documents if _holds(condition, d[condition.field])]
+        documents = [d for d in documents if _matches(condition, d[condition.field])]
     if query.order_by is not None:
         field = query.order_by
-        documents.sort(key=lambda d: _sortable(d[field]), reverse=query.descending)
+        documents.sort(key=lambda d: _sort_key(d[field]), reverse=query.descending)
     return documents[: query.limit]
 
 
-def _holds(condition: Condition, found: object) -> bool:
+def _matches(condition: Condition, actual: object) -> bool:
     if condition.comparison is Comparison.HAS:
-        if isinstance(found, list | tuple):
-            return condition.value in found
-        return str(condition.value) in str(found)
-    wanted = condition.value
-    if isinstance(found, bool):
-        wanted = str(wanted).lower() in ("true", "yes", "1")
-    elif isinstance(found, int | float) and not isinstance(wanted, int | float):
+        if isinstance(actual, list | tuple):
+            return condition.value in actual
+        return str(condition.value) in str(actual)
+    expected = condition.value
+    if isinstance(actual, bool):
+        expected = str(expected).lower() in ("true", "yes", "1")
+    elif isinstance(actual, int | float) and not isinstance(expected, int | float):
         return condition.comparison is Comparison.UNEQUAL
-    elif isinstance(found, str):
-        wanted = str(wanted)
-    return COMPARE[condition.comparison](found, wanted)
+    elif isinstance(actual, str):
+        expected = str(expected)
+    return COMPARE[condition.comparison](actual, expected)
 
 
-def _sortable(value: object) -> tuple[int, float, str]:
+def _sort_key(value: object) -> tuple[int, float, str]:
     if isinstance(value, int | float):
         return 0, float(value), ""
     if isinstance(value, list | tuple):
