--- a/packages/runhatch-cli/src/runhatch_cli/__init__.py
+++ b/packages/runhatch-cli/src/runhatch_cli/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' command line: ``runhatch``."""
+"""The ``runhatch`` command line for operators."""
 
 from runhatch_cli._language import Sentence, parse
 
--- a/packages/runhatch-cli/src/runhatch_cli/__main__.py
+++ b/packages/runhatch-cli/src/runhatch_cli/__main__.py
@@ -1,4 +1,4 @@
-"""The ``runhatch`` command."""
+"""Entry point and subcommands of ``runhatch``."""
 
 import sys
 from pathlib import Path
@@ -14,31 +14,31 @@
 from runhatch_cli._render import Output, show_document, show_records
 
 app = typer.Typer(
-    help="Ask and command a runhatch system.",
+    help="Query and control a runhatch system.",
     epilog='example: runhatch query "show models where loaded on w3"',
     no_args_is_help=True,
 )
-config = typer.Typer(help="Look at configurations.", no_args_is_help=True)
+config = typer.Typer(help="Show and compare configurations.", no_args_is_help=True)
 app.add_typer(config, name="config")
 
 NodeOption = Annotated[
     str,
     typer.Option("--node", envvar=NODE_VARIABLE, help="Operator address of any node."),
 ]
-OutputOption = Annotated[Output, typer.Option("--output", help="How to show it.")]
+OutputOption = Annotated[Output, typer.Option("--output", help="Output format.")]
 
 
 @app.command()
 def query(
-    sentence: Annotated[list[str], typer.Argument(help="A sentence of the language.")],
+    sentence: Annotated[list[str], typer.Argument(help="A query or command.")],
     node: NodeOption = DEFAULT_NODE,
     output: OutputOption = Output.TABLE,
 ) -> None:
-    """Ask or command in the language.
+    """Run a query or command written in the query language.
 
     Example: runhatch query "show requests where status != 200 limit 20"
     """
-    _say(NodeClient(node), parse(" ".join(sentence)), output)
+    _run_sentence(NodeClient(node), parse(" ".join(sentence)), output)
 
 
 @app.command()
@@ -46,16 +46,21 @@
     file: Annotated[Path, typer.Argument(help="Configuration, JSON with comments.")],
     node: NodeOption = DEFAULT_NODE,
     base: Annotated[
-        int | None, typer.Option(help="Revision the change is based on.")
+        int | None,
+        typer.Option(
+            help="Revision the change is based on; default: the one in force."
+        ),
     ] = None,
-    note: Annotated[str, typer.Option(help="What the history says.")] = "",
+    note: Annotated[str, typer.Option(help="Note for the history.")] = "",
     wait: Annotated[
         list[str] | None,
-        typer.Option(help="Wait until the node at this address has it; repeatable."),
+        typer.Option(
+            help="Wait until it is in force on the node at this address; repeatable."
+        ),
     ] = None,
-    seconds: Annotated[float, typer.Option(help="Longest wait.")] = 5.0,
+    seconds: Annotated[float, typer.Option(help="Maximum wait, in seconds.")] = 5.0,
 ) -> None:
-    """Put a configuration in force, whole or not at all.
+    """Apply a configuration atomically.
 
     Example: runhatch apply deployment.json5 --note "two more models"
     """
@@ -72,7 +77,7 @@
 def status(
     node: NodeOption = DEFAULT_NODE, output: OutputOption = Output.TABLE
 ) -> None:
-    """Show a node's view at a glance.
+    """Show a summary of the system as a node sees it.
 
     Example: runhatch status --node http://10.0.0.4:7402
     """
@@ -87,26 +92,28 @@
 @app.command()
 def explain(
     request_id: Annotated[str, typer.Argument(help="The request's id.")],
-    logs: Annotated[list[Path], typer.Argument(help="Logs of all nodes.")],
+    logs: Annotated[list[Path], typer.Argument(help="Log files of all nodes.")],
 ) -> None:
-    """Tell from logs why a request ended as it did.
+    """Explain from logs why a request ended as it did.
 
     Example: runhatch explain 9c41d07be2a35f68 logs/*.log
     """
-    found = explain_request(request_id, logs)
-    for line in found.lines:
+    explanation = explain_request(request_id, logs)
+    for line in explanation.lines:
         print(line)
-    if found.torn:
-        print(f"{found.torn} torn lines were passed over")
-    print(f"cause: {found.cause}")
+    if explanation.torn:
+        print(f"{explanation.torn} incomplete lines were skipped")
+    print(f"cause: {explanation.cause}")
 
 
 @config.command("show")
 def config_show(
     node: NodeOption = DEFAULT_NODE,
-    revision: Annotated[int, typer.Option(help="0 means the one in force.")] = 0,
+    revision: Annotated[
+        int, typer.Option(help="Number; 0 means the revision in force.")
+    ] = 0,
 ) -> None:
-    """Show a revision.
+    """Show a revision of the configuration.
 
     Example: runhatch config show --revision 12
     """
@@ -118,7 +125,7 @@
 def config_history(
     node: NodeOption = DEFAULT_NODE, output: OutputOption = Output.TABLE
 ) -> None:
-    """Show who changed what, and when.
+    """Show all revisions with author and time.
 
     Example: runhatch config history --output json
     """
@@ -127,11 +134,13 @@
 
 @config.command("diff")
 def config_diff(
-    old: Annotated[int, typer.Argument(help="Earlier revision.")],
-    new: Annotated[int, typer.Argument(help="Later revision, 0: in force.")] = 0,
+    old: Annotated[int, typer.Argument(help="Old revision.")],
+    new: Annotated[
+        int, typer.Argument(help="New revision; 0 means the revision in force.")
+    ] = 0,
     node: NodeOption = DEFAULT_NODE,
 ) -> None:
-    """Show what differs between two revisions.
+    """Show the differences between two revisions.
 
     Example: runhatch config diff 11 12
     """
@@ -142,7 +151,7 @@
 
 
 def main() -> None:
-    """Run the command line; each kind of failure has its exit code."""
+    """Run the command line; exits with the code of the error raised."""
     try:
         app()
     except CommandError as error:
@@ -150,7 +159,7 @@
         sys.exit(error.exit_code)
 
 
-def _say(node: NodeClient, sentence: Sentence, output: Output) -> None:
+def _run_sentence(node: NodeClient, sentence: Sentence, output: Output) -> None:
     match sentence.kind:
         case SentenceKind.QUERY:
             answer = node.post("/v1/query", sentence.document)
--- a/packages/runhatch-cli/src/runhatch_cli/_apply.py
+++ b/packages/runhatch-cli/src/runhatch_cli/_apply.py
@@ -1,4 +1,4 @@
-"""Applying a configuration file, and waiting until it is in force."""
+"""Applies a configuration file and waits until it is in force."""
 
 import json
 import time
@@ -20,16 +20,16 @@
 
 
 def read_document(path: Path) -> Document:
-    """Return the configuration in ``path``: JSON with comments.
+    """Return the configuration read from ``path``, JSON with comments.
 
-    Raises :class:`LanguageError` if it cannot be read.
+    Raises :class:`LanguageError` if it cannot be read or is no JSON object.
     """
     try:
         text = path.read_text()
     except OSError as error:
         raise LanguageError(f"{path}: {error.strerror}") from None
     try:
-        # The standard reader is far faster, and most files have no comments.
+        # The standard parser is much faster, and most files have no comments.
         document = json.loads(text)
     except ValueError:
         try:
@@ -44,7 +44,10 @@
 def apply_document(
     node: NodeClient, document: Document, base: int | None, note: str
 ) -> int:
-    """Apply ``document`` on top of ``base``, the current revision by default."""
+    """Apply ``document`` based on revision ``base``; return the new revision.
+
+    ``base`` defaults to the revision in force on ``node``.
+    """
     if base is None:
         base = current_revision(node)
     change = {"base": base, "document": document, "note": note}
@@ -52,30 +55,31 @@
 
 
 def current_revision(node: NodeClient) -> int:
-    """Return the revision in force on ``node``, 0 before the first."""
+    """Return the revision in force on ``node``, 0 if there is none."""
     records = node.post("/v1/query", {"noun": "configuration"})["records"]
     return int(records[0]["revision"]) if records else 0
 
 
 def wait_in_force(nodes: list[NodeClient], revision: int, seconds: float) -> float:
-    """Wait until all ``nodes`` have ``revision``; returns how long that took.
+    """Wait until all ``nodes`` have ``revision``; return the seconds it took.
 
-    Raises :class:`NotInForceError` naming the nodes that lack it in the end.
+    Raises :class:`NotInForceError`, which names the nodes that do not have it after
+    ``seconds``.
     """
     started = time.monotonic()
-    lacking = list(nodes)
-    while lacking:
-        lacking = [node for node in lacking if not _has(node, revision)]
+    pending = list(nodes)
+    while pending:
+        pending = [node for node in pending if not _has_revision(node, revision)]
         waited = time.monotonic() - started
-        if lacking and waited > seconds:
-            names = ", ".join(node.url for node in lacking)
+        if pending and waited > seconds:
+            names = ", ".join(node.url for node in pending)
             raise NotInForceError(f"revision {revision} is not in force on {names}")
-        if lacking:
+        if pending:
             time.sleep(LOOK_EVERY_SECONDS)
     return time.monotonic() - started
 
 
-def _has(node: NodeClient, revision: int) -> bool:
+def _has_revision(node: NodeClient, revision: int) -> bool:
     try:
         return current_revision(node) >= revision
     except RefusedError:
--- a/packages/runhatch-cli/src/runhatch_cli/_client.py
+++ b/packages/runhatch-cli/src/runhatch_cli/_client.py
@@ -1,4 +1,4 @@
-"""Calls to a node's operator listener."""
+"""HTTP client of a node's operator listener."""
 
 import http.client
 import json
@@ -20,28 +20,35 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeClient:
-    """One node, by the base address of its operator listener."""
+    """A node, identified by the base URL of its operator listener."""
 
     url: str
 
     def get(self, path: str, **arguments: str) -> Document:
-        """Read; raises :class:`CommandError` with the node's own words."""
+        """Send a GET request and return the JSON response.
+
+        Raises a subclass of :class:`CommandError` with the detail the node reports.
+        """
         query = f"?{urlencode(arguments)}" if arguments else ""
         return self._call("GET", path + query, None)
 
     def post(self, path: str, document: Document) -> Document:
-        """Ask or command."""
+        """Send a POST request with ``document``; see :meth:`get`."""
         return self._call("POST", path, document)
 
     def put(self, path: str, document: Document) -> Document:
-        """Replace."""
+        """Send a PUT request with ``document``; see :meth:`get`."""
         return self._call("PUT", path, document)
 
     def _call(self, method: str, path: str, document: Document | None) -> Document:
         parts = urlsplit(self.url)
-        secure = parts.scheme == "https"
-        kind = http.client.HTTPSConnection if secure else http.client.HTTPConnection
-        connection = kind(parts.hostname or "", parts.port, timeout=TIMEOUT_SECONDS)
+        is_https = parts.scheme == "https"
+        connection_type = (
+            http.client.HTTPSConnection if is_https else http.client.HTTPConnection
+        )
+        connection = connection_type(
+            parts.hostname or "", parts.port, timeout=TIMEOUT_SECONDS
+        )
         headers = {"Content-Type": "application/json"}
         token = os.environ.get(TOKEN_VARIABLE)
         if token:
--- a/packages/runhatch-cli/src/runhatch_cli/_errors.py
+++ b/packages/runhatch-cli/src/runhatch_cli/_errors.py
@@ -1,8 +1,8 @@
-"""The exception tree of the command line; each class has its exit code."""
+"""Exceptions of the command line, each class with its own exit code."""
 
 
 class CommandError(Exception):
-    """Base of all failures the command line reports in one line.
+    """Base class of all errors that the command line reports in one line.
 
     .. versionadded:: 0.1
     """
@@ -11,30 +11,30 @@
 
 
 class LanguageError(CommandError):
-    """The sentence is not in the language."""
+    """A sentence or a configuration file cannot be parsed or read."""
 
     exit_code = 2
 
 
 class RefusedError(CommandError):
-    """The node refused; nothing was changed."""
+    """The node rejected the request; nothing was changed."""
 
     exit_code = 4
 
 
 class ConflictError(RefusedError):
-    """Another change came first."""
+    """Another change was applied first, so the base revision is outdated."""
 
     exit_code = 5
 
 
 class UnreachableError(CommandError):
-    """No answer from the node; what was asked may have happened."""
+    """The node did not answer or failed; a change may have been applied."""
 
     exit_code = 6
 
 
 class NotInForceError(CommandError):
-    """The change was accepted and is not in force everywhere yet."""
+    """The change was accepted but is not yet in force on all nodes."""
 
     exit_code = 7
--- a/packages/runhatch-cli/src/runhatch_cli/_language.py
+++ b/packages/runhatch-cli/src/runhatch_cli/_language.py
@@ -1,4 +1,4 @@
-"""The language operators ask and command in, parsed by lark."""
+"""Parser of the operators' query and command language, built with lark."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -16,7 +16,7 @@
 
 
 class SentenceKind(Enum):
-    """Where a sentence is sent."""
+    """Kind of a sentence, which decides the endpoint it is sent to."""
 
     QUERY = "query"
     COMMAND = "command"
@@ -27,7 +27,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Sentence:
-    """One sentence; ``document`` is the body of a query or command."""
+    """A parsed sentence; ``document`` is the body of a query or command.
+
+    ``subject`` is the request id, the model or the pool of the other kinds.
+    """
 
     kind: SentenceKind
     document: Document = field(default_factory=dict)
@@ -35,9 +38,9 @@
 
 
 def parse(text: str) -> Sentence:
-    """Return the sentence in ``text``.
+    """Parse ``text`` and return the sentence.
 
-    Raises :class:`LanguageError` with the place and what may stand there.
+    Raises :class:`LanguageError` with the column, the word found and those allowed.
 
     >>> parse("show models where loaded on w3 limit 5").document["limit"]
     5
@@ -47,7 +50,7 @@
     try:
         tree = _parser().parse(text)
     except UnexpectedInput as error:
-        raise LanguageError(_explain(text, error)) from None
+        raise LanguageError(_format_error(text, error)) from None
     sentence: Sentence = _Builder().transform(tree)
     return sentence
 
@@ -58,7 +61,7 @@
     return Lark(grammar, parser="lalr")
 
 
-def _explain(text: str, error: UnexpectedInput) -> str:
+def _format_error(text: str, error: UnexpectedInput) -> str:
     at_end = isinstance(error, UnexpectedToken) and error.token.type == END
     column = len(text) + 1 if at_end else error.column
     found = text[column - 1 :].split(maxsplit=1)[:1]
@@ -74,7 +77,7 @@
 
 
 class _Builder(Transformer[Token, Any]):
-    """Turns the tree into a sentence, one rule a method."""
+    """Builds a sentence from the parse tree, with one method per grammar rule."""
 
     def start(self, children: list[Any]) -> Sentence:
         sentence: Sentence = children[0]
--- a/packages/runhatch-cli/src/runhatch_cli/_render.py
+++ b/packages/runhatch-cli/src/runhatch_cli/_render.py
@@ -1,4 +1,4 @@
-"""Answers as tables or JSON."""
+"""Prints responses as tables or JSON."""
 
 import json
 from enum import Enum
@@ -11,14 +11,14 @@
 
 
 class Output(Enum):
-    """How answers are shown."""
+    """Output format of responses."""
 
     TABLE = "table"
     JSON = "json"
 
 
 def show_records(records: list[Record], output: Output) -> None:
-    """Print ``records``, one a row."""
+    """Print ``records``, one per row."""
     if output is Output.JSON:
         print(json.dumps(records, indent=2))
         return
@@ -29,12 +29,12 @@
     for name in records[0]:
         table.add_column(name, overflow="fold")
     for record in records:
-        table.add_row(*(_cell(value) for value in record.values()))
+        table.add_row(*(_format_cell(value) for value in record.values()))
     Console(soft_wrap=False).print(table)
 
 
 def show_document(document: Record, output: Output) -> None:
-    """Print one document, or its lines if it has any."""
+    """Print ``document`` as JSON, or only its lines if it has any."""
     if output is Output.JSON:
         print(json.dumps(document, indent=2))
         return
@@ -46,7 +46,7 @@
         print(line)
 
 
-def _cell(value: object) -> str:
+def _format_cell(value: object) -> str:
     if isinstance(value, list):
         return " ".join(str(part) for part in value) or "-"
     return str(value)
