--- a/packages/runhatch-cli/tests/test_completion.py
+++ b/packages/runhatch-cli/tests/test_completion.py
@@ -1,4 +1,4 @@
-"""Completion in the shells."""
+"""Shell completion of the command line."""
 
 import os
 import subprocess
@@ -11,7 +11,7 @@
 
 
 class TestCompletion:
-    """What a shell is told to offer."""
+    """Completions offered to bash."""
 
     @pytest.mark.parametrize(
         ("words", "offered"),
@@ -22,8 +22,8 @@
             ("runhatch status --out", {"--output"}),
         ],
     )
-    def test_offers(self, words, offered):
-        """Commands and options are offered by what was typed so far."""
+    def test_offers_commands_and_options(self, words, offered):
+        """Commands and options that match the typed words are offered."""
         environment = {
             **os.environ,
             "_RUNHATCH_COMPLETE": "complete_bash",
--- a/packages/runhatch-cli/tests/test_language.py
+++ b/packages/runhatch-cli/tests/test_language.py
@@ -1,4 +1,4 @@
-"""The language: what is understood, and what is said of the rest."""
+"""Parsing of sentences of the operators' language."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 
 
 class TestParse:
-    """Sentences and the documents they become."""
+    """Documents of valid sentences and errors of invalid ones."""
 
     @pytest.mark.parametrize(
         ("text", "document"),
@@ -52,8 +52,8 @@
             ("pause", {"verb": "pause"}),
         ],
     )
-    def test_understands(self, text, document):
-        """A sentence becomes the document that a node takes."""
+    def test_valid_sentence(self, text, document):
+        """A sentence becomes the document that is sent to a node."""
         assert parse(text).document == document
 
     @pytest.mark.parametrize(
@@ -65,8 +65,8 @@
             ("show models limit many", "column 19: found 'many', allowed: int"),
         ],
     )
-    def test_says_where_and_what_is_allowed(self, text, words):
-        """A sentence that is not understood is answered with place and words."""
+    def test_error_names_column_and_allowed_words(self, text, words):
+        """The error of an invalid sentence names the column and the allowed words."""
         with pytest.raises(LanguageError) as caught:
             parse(text)
         assert words in str(caught.value)
--- a/packages/runhatch-server/tests/test_metrics.py
+++ b/packages/runhatch-server/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics: what is served, and the page that lists them."""
+"""The exposed metrics and their reference page."""
 
 from pathlib import Path
 
@@ -9,15 +9,16 @@
 
 
 class TestReference:
-    """The page that lists the metrics."""
+    """The reference page of the metrics."""
 
     def test_page_is_up_to_date(self):
-        """docs/operations/metrics.md is what the daemon keeps now."""
+        """docs/operations/metrics.md equals the generated page."""
         page = Path(__file__).parents[3] / "docs" / "operations" / "metrics.md"
         assert page.read_text() == metrics_reference()
 
     @pytest.mark.parametrize("family", Metrics().families, ids=lambda f: f.name)
-    def test_each_metric_listed_is_served(self, family):
+    def test_listed_metric_is_exposed(self, family):
+        """Every metric of the reference page is in the exposition."""
         base = family.name.removesuffix("_total")
 
         assert f"# HELP {base}" in Metrics().exposition().decode()
--- a/packages/runhatch-server/tests/test_settings.py
+++ b/packages/runhatch-server/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings files: every fault at once, in one line each."""
+"""Loading of settings files, which reports all faults, one line each."""
 
 import json
 from pathlib import Path
@@ -9,7 +9,7 @@
 from runhatch_server.settings import load_settings
 from runhatch_server.settings._reference import settings_reference
 
-SOUND = {
+VALID_SETTINGS = {
     "node": {"name": "n1", "failure_domain": "d1"},
     "callers": {"host": "127.0.0.1", "port": 7401},
     "operators": {"host": "127.0.0.1", "port": 7402},
@@ -21,31 +21,33 @@
 
 
 @pytest.fixture
-def write(tmp_path):
-    def write_file(document):
+def write_settings(tmp_path):
+    def write_settings_file(document):
         path = tmp_path / "node.json5"
         text = document if isinstance(document, str) else json.dumps(document)
         path.write_text(text)
         return path
 
-    return write_file
+    return write_settings_file
 
 
 class TestReference:
-    """The page that lists the settings."""
+    """The reference page of the settings."""
 
     def test_page_is_up_to_date(self):
-        """docs/operations/settings.md is what the models say now."""
+        """docs/operations/settings.md equals the page generated from the models."""
         page = Path(__file__).parents[3] / "docs" / "operations" / "settings.md"
         assert page.read_text() == settings_reference()
 
 
 class TestLoadSettings:
-    """What a settings file may say."""
+    """Valid and invalid settings files."""
 
-    def test_comments_and_defaults(self, write):
-        """Comments are allowed, and what is not said has a default."""
-        settings = load_settings(write("// a node\n" + json.dumps(SOUND)))
+    def test_comments_and_defaults(self, write_settings):
+        """Comments are allowed, and omitted fields have defaults."""
+        settings = load_settings(
+            write_settings("// a node\n" + json.dumps(VALID_SETTINGS))
+        )
         assert settings.serving.threads == 160
 
     @pytest.mark.parametrize(
@@ -75,28 +77,34 @@
             ),
         ],
     )
-    def test_names_the_fault(self, write, section, value, line):
-        """A fault is one line: field, found, allowed."""
+    def test_fault_names_field_and_value(self, write_settings, section, value, line):
+        """A fault line names the field, the value found and the values allowed."""
         with pytest.raises(SettingsError) as caught:
-            load_settings(write({**SOUND, section: value}))
+            load_settings(write_settings({**VALID_SETTINGS, section: value}))
         assert any(line in fault for fault in caught.value.faults)
 
-    def test_all_faults_at_once(self, write):
-        """Several faults are reported together."""
-        document = {**SOUND, "serving": {"threads": 0, "queue_limit": 0}, "x": 1}
+    def test_all_faults_are_reported_together(self, write_settings):
+        """All faults of a file are reported together."""
+        document = {
+            **VALID_SETTINGS,
+            "serving": {"threads": 0, "queue_limit": 0},
+            "x": 1,
+        }
         with pytest.raises(SettingsError) as caught:
-            load_settings(write(document))
+            load_settings(write_settings(document))
         assert len(caught.value.faults) == 3
 
-    def test_secrets_are_not_shown(self, write):
-        """A wrong token is not repeated in the fault."""
+    def test_fault_does_not_contain_token(self, write_settings):
+        """The fault of an invalid token does not contain the token."""
         tokens = [{"name": "o", "role": "read", "token": ["hunter2"]}]
         with pytest.raises(SettingsError) as caught:
-            load_settings(write({**SOUND, "access": {"tokens": tokens}}))
+            load_settings(
+                write_settings({**VALID_SETTINGS, "access": {"tokens": tokens}})
+            )
         assert "hunter2" not in str(caught.value)
 
     @pytest.mark.parametrize("text", ["{", "nonsense", ""])
-    def test_not_json(self, write, text):
-        """A file that is not JSON with comments says so."""
+    def test_file_is_not_json(self, write_settings, text):
+        """A file that is not JSON with comments is reported as such."""
         with pytest.raises(SettingsError, match="not JSON with comments"):
-            load_settings(write(text))
+            load_settings(write_settings(text))
