--- a/standins/src/runhatch_standins/__init__.py
+++ b/standins/src/runhatch_standins/__init__.py
@@ -1,4 +1,4 @@
-"""Small stand-ins for the outside world of runhatch; test support only."""
+"""Stand-ins for the external systems that runhatch uses, for tests only."""
 
 from runhatch_standins._history import Event, EventKind, check_history
 from runhatch_standins._launch import Launched, launch
--- a/standins/src/runhatch_standins/_engine_memory.py
+++ b/standins/src/runhatch_standins/_engine_memory.py
@@ -1,4 +1,7 @@
-"""An engine stand-in's memory and orders, checked independently of the ledger."""
+"""Memory and load orders of an engine stand-in.
+
+It detects overcommitted memory independently of runhatch's ledger.
+"""
 
 import http.client
 import random
@@ -19,7 +22,7 @@
 
 @dataclass(slots=True)
 class Held:
-    """A unit in memory; ``peak_mb`` is in use while it loads."""
+    """A unit in memory; it uses ``peak_mb`` more while it loads."""
 
     memory_mb: int
     peak_mb: int
@@ -28,7 +31,7 @@
 
 
 class Memory:
-    """What the engine holds, and whether it was ever asked for too much."""
+    """The units in an engine's memory; records when they exceed its capacity."""
 
     def __init__(
         self,
@@ -40,7 +43,7 @@
     ) -> None:
         self._journal = journal
         self._capacity = capacity_mb
-        self._refuses_old = refuses_old
+        self._rejects_old_fences = refuses_old
         self._weights = weights
         self._random = random.Random(seed)
         self._lock = threading.Lock()
@@ -51,24 +54,24 @@
         self.moves = 0
 
     def receive(self, order: dict[str, Any]) -> int:
-        """Take one order as it arrives; returns the HTTP status."""
-        if self._happens("order_loss"):
+        """Apply an order, subject to the faults; return the HTTP status."""
+        if self._draw_fault("order_loss"):
             return 202
         delay = float(self.faults["order_delay_seconds"])
         if delay > 0:
-            # Accepted, and acted on only later.
+            # Accepted now, applied later.
             wait = delay * self._random.random()
             threading.Timer(wait, self.apply, (order,)).start()
             return 202
         status = self.apply(order)
-        if self._happens("order_double"):
+        if self._draw_fault("order_double"):
             threading.Timer(1.0, self.apply, (order,)).start()
         return status
 
     def apply(self, order: dict[str, Any]) -> int:
-        """Act on one order."""
+        """Apply one order; return the HTTP status."""
         with self._lock:
-            if self._refuses_old and order["number"] < self.fence:
+            if self._rejects_old_fences and order["number"] < self.fence:
                 return 412
             self.fence = max(self.fence, order["number"])
             if order["kind"] == "load":
@@ -78,12 +81,12 @@
             return 202
 
     def serves(self, unit: str) -> bool:
-        """Tell whether requests for ``unit`` are taken."""
+        """Return whether ``unit`` is loaded."""
         held = self.held.get(unit)
         return held is not None and held.loaded
 
     def report(self) -> dict[str, Any]:
-        """Return the memory's part of the report."""
+        """Return the memory's fields of the engine's report."""
         with self._lock:
             return {
                 "fence": self.fence,
@@ -108,12 +111,14 @@
         )
         self.most_mb = max(self.most_mb, used)
         if used > self._capacity:
-            self._note(f"{unit}: {used} MB of {self._capacity} MB")
+            self._record_violation(f"{unit}: {used} MB of {self._capacity} MB")
         self.moves += 1
-        threading.Thread(target=self._fetch, args=(unit, held), daemon=True).start()
+        threading.Thread(
+            target=self._fetch_weights, args=(unit, held), daemon=True
+        ).start()
         return 202
 
-    def _fetch(self, unit: str, held: Held) -> None:
+    def _fetch_weights(self, unit: str, held: Held) -> None:
         if self._weights is not None:
             parts = urlsplit(self._weights)
             connection = http.client.HTTPConnection(parts.hostname or "", parts.port)
@@ -133,9 +138,9 @@
         for name in [n for n, held in self.held.items() if held.base == unit]:
             del self.held[name]
 
-    def _note(self, violation: str) -> None:
+    def _record_violation(self, violation: str) -> None:
         entry = {"what": "overcommitted", "prompt": "", "violation": violation}
         self._journal.append(entry)
 
-    def _happens(self, fault: str) -> bool:
+    def _draw_fault(self, fault: str) -> bool:
         return self._random.random() < float(self.faults[fault])
--- a/standins/src/runhatch_standins/_engine_runs.py
+++ b/standins/src/runhatch_standins/_engine_runs.py
@@ -1,4 +1,4 @@
-"""An engine stand-in's running requests: slots, priorities, prefix cache, tokens."""
+"""Requests of an engine stand-in: slots, priorities, prefix cache and tokens."""
 
 import heapq
 import itertools
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True)
 class Run:
-    """One request as the engine runs it; token times are fixed at its start."""
+    """One request in the engine; its token times are fixed when it starts."""
 
     request_id: str
     unit: str
@@ -44,7 +44,10 @@
     began: threading.Event = field(default_factory=threading.Event)
 
     def ready_at(self, index: int) -> float:
-        """Return when the token at ``index``, counted from ``first``, is there."""
+        """Return when the token at ``index``, counted from ``first``, is ready.
+
+        The result is in seconds of the monotonic clock.
+        """
         return self.started + self.prefill + self.per_token * (index + 1)
 
     def text(self, index: int) -> str:
@@ -53,7 +56,7 @@
 
 
 class Runs:
-    """Slots given by priority, and the prefix cache they share."""
+    """Slots assigned by priority, and the prefix cache shared by all requests."""
 
     def __init__(
         self, slots: int, queue: int, per_token: float, prefill_per_block: float
@@ -61,22 +64,22 @@
         self._slots = slots
         self._queue = queue
         self._per_token = per_token
-        self._prefill = prefill_per_block
+        self._prefill_per_block = prefill_per_block
         self._lock = threading.Lock()
         self._waiting: list[tuple[int, int, Run]] = []
-        self._order = itertools.count()
+        self._arrival_numbers = itertools.count()
         self._cache: OrderedDict[str, None] = OrderedDict()
         self.slow = 1.0
         self.running = 0
         self.runs: OrderedDict[str, Run] = OrderedDict()
         self.cache_events: deque[CacheEvent] = deque(maxlen=KEEP_EVENTS)
-        self._sequence = itertools.count()
+        self._event_numbers = itertools.count()
         self.cached_blocks = 0
         self.asked_blocks = 0
 
     @property
     def waiting(self) -> int:
-        """Requests that wait for a slot."""
+        """Number of requests that wait for a slot."""
         return len(self._waiting)
 
     def begin(
@@ -88,7 +91,7 @@
         priority: int,
         chat: bool,
     ) -> Run | None:
-        """Take a request; ``None`` if the queue is full."""
+        """Queue a request and wait for its start; ``None`` if the queue is full."""
         first_prompt, offset = split_continuation(prompt)
         run = Run(request_id, unit, first_prompt, offset, tokens, chat)
         with self._lock:
@@ -97,13 +100,13 @@
             self.runs[request_id] = run
             while len(self.runs) > KEEP_RUNS:
                 self.runs.popitem(last=False)
-            heapq.heappush(self._waiting, (priority, next(self._order), run))
+            heapq.heappush(self._waiting, (priority, next(self._arrival_numbers), run))
             self._start_waiting()
         run.began.wait()
         return run
 
     def end(self, run: Run) -> None:
-        """Give the slot back, once."""
+        """Release the slot of ``run``; repeated calls have no effect."""
         with self._lock:
             if run.finished:
                 return
@@ -116,12 +119,14 @@
             run = heapq.heappop(self._waiting)[2]
             self.running += 1
             run.started = time.monotonic()
-            run.prefill = self._prefill * self._missing_blocks(run) * self.slow
+            run.prefill = (
+                self._prefill_per_block * self._cache_missing_blocks(run) * self.slow
+            )
             run.per_token = self._per_token * self.slow
             run.began.set()
 
-    def _missing_blocks(self, run: Run) -> int:
-        """Count the prompt's blocks that are not cached, and cache them."""
+    def _cache_missing_blocks(self, run: Run) -> int:
+        """Count the prompt's blocks missing from the cache, and cache them."""
         missing = 0
         for end in range(BLOCK, len(run.prompt) + 1, BLOCK):
             block = _block_name(run.unit, run.prompt[:end])
@@ -130,20 +135,20 @@
                 self.cached_blocks += 1
             else:
                 missing += 1
-                self._cache_event(block, stored=True)
+                self._publish_cache_event(block, stored=True)
             self._cache[block] = None
             self._cache.move_to_end(block)
         while len(self._cache) > CACHED_BLOCKS:
             dropped, _ = self._cache.popitem(last=False)
-            self._cache_event(dropped, stored=False)
+            self._publish_cache_event(dropped, stored=False)
         return missing
 
-    def _cache_event(self, block: str, stored: bool) -> None:
-        event = CacheEvent(time.monotonic(), next(self._sequence), block, stored)
+    def _publish_cache_event(self, block: str, stored: bool) -> None:
+        event = CacheEvent(time.monotonic(), next(self._event_numbers), block, stored)
         self.cache_events.append(event)
 
 
 def _block_name(unit: str, text: str) -> str:
-    """Return the published name: a hash of the model and all text of the prefix."""
+    """Return a block's published name: a hash of the model and the whole prefix."""
     model = unit.rpartition("@")[0]
     return blake2b(f"{model}\0{text}".encode(), digest_size=8).hexdigest()
--- a/standins/src/runhatch_standins/engine.py
+++ b/standins/src/runhatch_standins/engine.py
@@ -1,7 +1,8 @@
-"""The model engine's stand-in, over HTTP, with its faults.
+"""A stand-in for a model engine, served over HTTP, with injectable faults.
 
-Serves the OpenAI-shaped calls, resumes streams by ``Last-Event-ID``, takes orders
-and cancellations, reports load and memory with a lag, and records what it ran.
+Implements the OpenAI-style completion endpoints, resumes streams by
+``Last-Event-ID``, accepts load orders and cancellations, reports load and memory
+with a configurable lag, and records the requests it ran.
 """
 
 import argparse
@@ -39,11 +40,11 @@
 
 
 class BrokenStream(Exception):
-    """Makes the server close the connection without the final chunk."""
+    """Raised in a response to close its connection before the final chunk."""
 
 
 class Engine:
-    """One engine: memory, runs, faults and a record."""
+    """One engine: its memory, its requests, its faults and its journal."""
 
     def __init__(self, memory: Memory, runs: Runs, journal: Journal) -> None:
         self._memory = memory
@@ -55,7 +56,7 @@
         self._faults = dict(NO_FAULTS)
 
     def routes(self) -> Routes:
-        """Return the application."""
+        """Return the WSGI application."""
         routes = Routes()
         routes.add("POST", "/v1/(chat/completions|completions)", self.complete)
         routes.add("GET", "/v1/streams/(.+)", self.resume)
@@ -69,18 +70,18 @@
         return routes
 
     def tell_faults(self, call: Call) -> Reply:
-        """Tell which faults are still to come."""
+        """Return the faults that are set; counted ones show how many remain."""
         return reply_json(self._faults)
 
     def set_faults(self, call: Call) -> Reply:
-        """Replace all faults; what is not named is healthy."""
+        """Replace all faults; reset those not named in the body to their defaults."""
         self._faults = {**NO_FAULTS, **call.json()}
         self._memory.faults = {name: self._faults[name] for name in NO_ORDER_FAULTS}
         self._runs.slow = float(self._faults["slow"])
         return reply_json(self._faults)
 
     def record(self, call: Call) -> Reply:
-        """Tell what was run, and what memory was used."""
+        """Return the journal, the peak memory use and the cache counts."""
         memory = self._memory
         entries = self._journal.entries()
         return reply_json(
@@ -95,11 +96,11 @@
         )
 
     def order(self, call: Call) -> Reply:
-        """Take an order."""
+        """Apply a load or unload order and return its status."""
         return Reply(self._memory.receive(call.json()))
 
     def state(self, call: Call) -> Reply:
-        """Tell the report, as old as the lag says."""
+        """Return the newest report that is at least ``state_lag_seconds`` old."""
         now = time.monotonic()
         current = {
             "incarnation": self._incarnation,
@@ -115,7 +116,7 @@
         return reply_json(old[-1] if old else current)
 
     def cache_events(self, call: Call) -> Reply:
-        """Tell what the prefix cache stored and dropped, late and with gaps."""
+        """Return the events of the prefix cache, with the lag and gaps that are set."""
         query = parse_qs(call.query)
         after = int(query.get("after", ["-1"])[0])
         limit = int(query.get("limit", ["1000"])[0])
@@ -124,7 +125,7 @@
         events = [
             {"sequence": e.sequence, "block": e.block, "stored": e.stored}
             for e in list(self._runs.cache_events)
-            # Which are lost is a matter of their numbers, the same each time.
+            # Loss depends only on the sequence number, so polls agree.
             if e.sequence > after and e.at <= seen and not _is_lost(e.sequence, gaps)
         ]
         published = [e.sequence for e in list(self._runs.cache_events) if e.at <= seen]
@@ -132,64 +133,64 @@
         return reply_json({"events": events[:limit], "last": last})
 
     def cancel(self, call: Call) -> Reply:
-        """Stop a request."""
+        """Cancel a request."""
         run = self._runs.runs.get(call.match.group(1))
         if run is not None:
             run.cancelled = True
         return Reply(204)
 
     def complete(self, call: Call) -> Reply:
-        """Run a request, streamed or whole."""
+        """Run a completion request, with a streamed or a complete response."""
         document = call.json()
-        refused = self._refuse(document)
-        if refused is not None:
-            return refused
+        rejection = self._rejection(document)
+        if rejection is not None:
+            return rejection
         request_id = call.headers.get("x-request-id", uuid.uuid4().hex)
         run = self._runs.begin(
             request_id,
             document["model"],
-            _prompt(document),
+            _build_prompt(document),
             int(document.get("max_tokens") or DEFAULT_TOKENS),
-            _urgency(call.headers.get("priority", "")),
+            _parse_priority(call.headers.get("priority", "")),
             call.match.group(1) == "chat/completions",
         )
         if run is None:
             return reply_json({"error": {"message": "the queue is full"}}, 429)
-        self._note(run, "began")
-        headers = self._headers(request_id)
+        self._record_run(run, "began")
+        headers = self._response_headers(request_id)
         if document.get("stream"):
-            events = self._events(run, 0)
+            events = self._stream_events(run, 0)
             return Reply(200, headers=(EVENT_STREAM, *headers), chunks=events)
-        return self._whole(run, headers)
+        return self._complete_response(run, headers)
 
     def resume(self, call: Call) -> Reply:
-        """Stream a run again from after the last event the caller has."""
+        """Resume a stream after the last event that the caller received."""
         run = self._runs.runs.get(call.match.group(1))
         if run is None or run.cancelled:
             return Reply(404)
         after = int(call.headers.get("last-event-id", "-1")) + 1
-        headers = (EVENT_STREAM, *self._headers(run.request_id))
-        return Reply(200, headers=headers, chunks=self._events(run, after))
+        headers = (EVENT_STREAM, *self._response_headers(run.request_id))
+        return Reply(200, headers=headers, chunks=self._stream_events(run, after))
 
-    def _refuse(self, document: dict[str, Any]) -> Reply | None:
+    def _rejection(self, document: dict[str, Any]) -> Reply | None:
         if self._faults["draining"]:
             return reply_json({"error": {"message": "draining"}}, 503)
-        if self._take("fail"):
+        if self._consume_fault("fail"):
             return reply_json({"error": {"message": "failed"}}, 500)
         if not self._memory.serves(str(document.get("model"))):
             return reply_json({"error": {"code": "model_not_found"}}, 404)
         return None
 
-    def _take(self, fault: str) -> bool:
-        """Use up one of a counted fault."""
+    def _consume_fault(self, fault: str) -> bool:
+        """Decrement a counted fault; return whether it was positive."""
         with self._lock:
             if int(self._faults[fault]) <= 0:
                 return False
             self._faults[fault] -= 1
             return True
 
-    def _headers(self, request_id: str) -> tuple[tuple[str, str], ...]:
-        echoed = "another" if self._take("wrong_ids") else request_id
+    def _response_headers(self, request_id: str) -> tuple[tuple[str, str], ...]:
+        response_id = "another" if self._consume_fault("wrong_ids") else request_id
         load = {
             "named_metrics": {
                 "num_requests_running": self._runs.running,
@@ -197,16 +198,18 @@
             }
         }
         return (
-            ("X-Request-Id", echoed),
+            ("X-Request-Id", response_id),
             ("endpoint-load-metrics", f"JSON {json.dumps(load)}"),
         )
 
-    def _whole(self, run: Run, headers: tuple[tuple[str, str], ...]) -> Reply:
+    def _complete_response(
+        self, run: Run, headers: tuple[tuple[str, str], ...]
+    ) -> Reply:
         for index in range(run.tokens):
             _wait_until(run.ready_at(index))
             if run.cancelled:
                 break
-        self._finish(run)
+        self._finish_run(run)
         text = "".join(run.text(index) for index in range(run.tokens))
         part = (
             {"message": {"role": "assistant", "content": text}}
@@ -226,39 +229,41 @@
         reply = reply_json(body)
         return Reply(200, reply.body, (*reply.headers, *headers))
 
-    def _events(self, run: Run, after: int) -> Iterator[bytes]:
-        breaks = self._take("break_streams")
+    def _stream_events(self, run: Run, after: int) -> Iterator[bytes]:
+        breaks_stream = self._consume_fault("break_streams")
         try:
             for index in range(after, run.tokens):
                 _wait_until(run.ready_at(index))
                 if run.cancelled:
                     return
-                if breaks and index >= after + int(self._faults["break_after"]):
+                if breaks_stream and index >= after + int(self._faults["break_after"]):
                     run.cancelled = bool(self._faults["forget_broken"])
                     raise BrokenStream(run.request_id)
-                yield _event(run, index)
-            yield _last_event(run)
+                yield _encode_event(run, index)
+            yield _encode_last_event(run)
             yield b"data: [DONE]\n\n"
-            self._finish(run)
+            self._finish_run(run)
         finally:
             if run.cancelled:
-                self._note(run, "cancelled")
+                self._record_run(run, "cancelled")
                 self._runs.end(run)
             elif not run.finished:
-                # The caller may resume; the run goes on without it.
-                threading.Thread(target=self._run_on, args=(run,), daemon=True).start()
+                # The caller may resume the stream, so generation continues.
+                threading.Thread(
+                    target=self._generate_detached, args=(run,), daemon=True
+                ).start()
 
-    def _run_on(self, run: Run) -> None:
+    def _generate_detached(self, run: Run) -> None:
         while not run.cancelled and time.monotonic() < run.ready_at(run.tokens):
             time.sleep(0.02)
-        self._finish(run)
+        self._finish_run(run)
 
-    def _finish(self, run: Run) -> None:
+    def _finish_run(self, run: Run) -> None:
         if not run.finished:
-            self._note(run, "cancelled" if run.cancelled else "finished")
+            self._record_run(run, "cancelled" if run.cancelled else "finished")
         self._runs.end(run)
 
-    def _note(self, run: Run, what: str) -> None:
+    def _record_run(self, run: Run, what: str) -> None:
         entry = {"id": run.request_id, "unit": run.unit, "prompt": run.prompt[:200]}
         self._journal.append({**entry, "what": what, "at": time.time()})
 
@@ -272,7 +277,7 @@
     }
 
 
-def _event(run: Run, index: int) -> bytes:
+def _encode_event(run: Run, index: int) -> bytes:
     text = run.text(index)
     part: dict[str, Any] = {"delta": {"content": text}} if run.chat else {"text": text}
     kind = "chat.completion.chunk" if run.chat else "text_completion"
@@ -281,7 +286,7 @@
     return f"id: {index}\ndata: {data}\n\n".encode()
 
 
-def _last_event(run: Run) -> bytes:
+def _encode_last_event(run: Run) -> bytes:
     part: dict[str, Any] = {"delta": {}} if run.chat else {"text": ""}
     kind = "chat.completion.chunk" if run.chat else "text_completion"
     choice = {"index": 0, "finish_reason": "stop", **part}
@@ -289,10 +294,10 @@
     return f"id: {run.tokens}\ndata: {data}\n\n".encode()
 
 
-def _prompt(document: dict[str, Any]) -> str:
+def _build_prompt(document: dict[str, Any]) -> str:
     if "prompt" in document:
         return str(document["prompt"])
-    # A continued assistant message comes last, as if appended to the prompt.
+    # A continued assistant message is the last one, appended to the prompt.
     return "\n".join(m["content"] for m in document["messages"][:-1]) + (
         (
             ""
@@ -303,7 +308,7 @@
     )
 
 
-def _urgency(priority: str) -> int:
+def _parse_priority(priority: str) -> int:
     return int(priority[2]) if priority.startswith("u=") else 3
 
 
@@ -312,13 +317,13 @@
 
 
 def _wait_until(moment: float) -> None:
-    left = moment - time.monotonic()
-    if left > 0:
-        time.sleep(left)
+    remaining = moment - time.monotonic()
+    if remaining > 0:
+        time.sleep(remaining)
 
 
 def main() -> None:
-    """Run the stand-in."""
+    """Run the stand-in from the command line."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--port", type=int, default=0)
     parser.add_argument("--memory-mb", type=int, default=80_000)
--- a/standins/src/runhatch_standins/plain_service.py
+++ b/standins/src/runhatch_standins/plain_service.py
@@ -1,4 +1,4 @@
-"""A plain service's stand-in: a booking service whose calls may not be repeated."""
+"""A stand-in for a plain service: bookings, whose calls are not idempotent."""
 
 import argparse
 import threading
@@ -20,7 +20,7 @@
 
 
 class BookingService:
-    """Books drums, and remembers every booking it made."""
+    """Books drums and records every booking."""
 
     def __init__(self, seconds: float, journal: Journal) -> None:
         self._seconds = seconds
@@ -30,7 +30,7 @@
         self._holds = Holds()
 
     def routes(self) -> Routes:
-        """Return the application."""
+        """Return the WSGI application."""
         routes = Routes()
         routes.add("POST", "/bookings", self.book)
         routes.add("GET", "/drums/(.+)", self.show)
@@ -40,37 +40,37 @@
         return routes
 
     def set_faults(self, call: Call) -> Reply:
-        """Replace all faults; what is not named is healthy."""
+        """Replace all faults; reset those not named in the body to their defaults."""
         self._faults = {**NO_FAULTS, **call.json()}
         self._holds.set(self._faults["hold"])
         return reply_json(self._faults)
 
     def book(self, call: Call) -> Reply:
-        """Book a drum; every call that gets here makes a booking."""
-        if self._take("refuse"):
+        """Book a drum; every call that is not refused makes a new booking."""
+        if self._consume_fault("refuse"):
             return reply_json({"error": "busy"}, 429)
         drum = call.json()["drum"]
         self._holds.pass_by(BOOK, "before")
         number = self._journal.append({"drum": drum, "at": time.time()})
         time.sleep(self._seconds + float(self._faults["slow_seconds"]))
         self._holds.pass_by(BOOK, "after")
-        if self._take("fail_after_run"):
+        if self._consume_fault("fail_after_run"):
             return reply_json({"error": "failed after booking"}, 500)
         return reply_json({"drum": drum, "booking": number}, 201)
 
     def show(self, call: Call) -> Reply:
-        """Tell about a drum; may be called any number of times."""
+        """Return the state of a drum; an idempotent call."""
         return reply_json({"drum": call.match.group(1), "free": True})
 
     def record(self, call: Call) -> Reply:
-        """Tell all bookings."""
+        """Return all bookings."""
         return reply_json({"bookings": self._journal.entries()})
 
     def stats(self, call: Call) -> Reply:
-        """Tell how many calls are held."""
+        """Return the number of calls held now."""
         return reply_json({"held": self._holds.held})
 
-    def _take(self, fault: str) -> bool:
+    def _consume_fault(self, fault: str) -> bool:
         with self._lock:
             if int(self._faults[fault]) <= 0:
                 return False
@@ -79,7 +79,7 @@
 
 
 def main() -> None:
-    """Run the stand-in."""
+    """Run the stand-in from the command line."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--port", type=int, default=0)
     parser.add_argument("--seconds", type=float, default=0.02)
