--- a/standins/src/runhatch_standins/_callers.py
+++ b/standins/src/runhatch_standins/_callers.py
@@ -1,4 +1,4 @@
-"""Callers for tests: they send a request through any node and note what came."""
+"""Callers for tests: send a request through any node and record the outcome."""
 
 import http.client
 import json
@@ -15,7 +15,7 @@
 
 
 class Shape(Enum):
-    """The kinds of requests that are mixed."""
+    """The kinds of requests that callers send."""
 
     WHOLE = "whole"
     STREAMED = "streamed"
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Wanted:
-    """One request, the same whichever node it is sent to."""
+    """One request, identical for every node it is sent to."""
 
     name: str
     shape: Shape
@@ -36,12 +36,12 @@
 
     @property
     def once(self) -> bool:
-        """Whether it may run at most once."""
+        """Whether the request may run at most once."""
         return self.shape in (Shape.BOOKING, Shape.ONCE)
 
     @property
     def expected(self) -> str:
-        """What a whole and own answer says, empty if not known beforehand."""
+        """The text of a complete, correct answer; empty if not known in advance."""
         if self.shape in (Shape.BOOKING, Shape.LOOKUP):
             return ""
         return expected_text(self.name, self.tokens)
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Got:
-    """What one sending brought; ``retry_after`` in seconds, 0 for none."""
+    """The outcome of one attempt; times in seconds, ``retry_after`` 0 for none."""
 
     event: Event
     status: int
@@ -64,7 +64,7 @@
     connection = http.client.HTTPConnection(
         parts.hostname or "", parts.port, timeout=TIMEOUT_SECONDS
     )
-    method, path, body, headers = _message(wanted)
+    method, path, body, headers = _build_request(wanted)
     try:
         connection.request(method, path, body, headers)
         response = connection.getresponse()
@@ -73,10 +73,14 @@
         return Got(Event(wanted.name, EventKind.BROKEN, wanted.once), 0)
     finally:
         connection.close()
-    again = int(response.getheader("Retry-After") or 0)
+    retry_after_seconds = int(response.getheader("Retry-After") or 0)
     if response.status >= 300:
-        return Got(_refused(wanted, answer), response.status, retry_after=again)
-    text = _text(wanted, answer)
+        return Got(
+            _refusal_event(wanted, answer),
+            response.status,
+            retry_after=retry_after_seconds,
+        )
+    text = _answer_text(wanted, answer)
     if text is None:
         return Got(Event(wanted.name, EventKind.BROKEN, wanted.once), response.status)
     event = Event(wanted.name, EventKind.ANSWERED, wanted.once, text, wanted.expected)
@@ -84,20 +88,21 @@
 
 
 def send_until_settled(urls: Sequence[str], wanted: Wanted) -> list[Got]:
-    """Send to one node after another, as a balancer does, until one settles it.
+    """Try one node after another, as a load balancer does, until one is conclusive.
 
-    A broken connection goes to the next node; so does a refusal as not run.
+    A broken connection or a refusal as not run is retried at the next node.
+    Returns the outcomes of all attempts.
     """
-    gots: list[Got] = []
+    outcomes: list[Got] = []
     for url in urls:
-        got = send(url, wanted)
-        gots.append(got)
-        if got.event.kind in (EventKind.ANSWERED, EventKind.REFUSED_UNKNOWN):
+        outcome = send(url, wanted)
+        outcomes.append(outcome)
+        if outcome.event.kind in (EventKind.ANSWERED, EventKind.REFUSED_UNKNOWN):
             break
-    return gots
+    return outcomes
 
 
-def _message(wanted: Wanted) -> tuple[str, str, str | None, dict[str, str]]:
+def _build_request(wanted: Wanted) -> tuple[str, str, str | None, dict[str, str]]:
     headers = {
         "Content-Type": "application/json",
         "Request-Deadline": f"{wanted.deadline:g}",
@@ -118,7 +123,7 @@
     return "POST", "/v1/chat/completions", json.dumps(document), headers
 
 
-def _refused(wanted: Wanted, answer: bytes) -> Event:
+def _refusal_event(wanted: Wanted, answer: bytes) -> Event:
     try:
         executed = json.loads(answer).get("executed")
     except ValueError:
@@ -127,8 +132,8 @@
     return Event(wanted.name, kind, wanted.once, answer.decode(errors="replace"))
 
 
-def _text(wanted: Wanted, answer: bytes) -> str | None:
-    """Return the answer's text, ``None`` if a stream ended without its terminal."""
+def _answer_text(wanted: Wanted, answer: bytes) -> str | None:
+    """Return the answer's text; ``None`` if a stream lacks its final event."""
     if wanted.shape in (Shape.BOOKING, Shape.LOOKUP):
         return answer.decode()
     if wanted.shape is not Shape.STREAMED:
--- a/standins/src/runhatch_standins/_holds.py
+++ b/standins/src/runhatch_standins/_holds.py
@@ -1,23 +1,23 @@
-"""Holding a stand-in's call at a named step, until it is let go."""
+"""Holds the calls of a stand-in at a chosen step until they are released."""
 
 import threading
 from dataclasses import dataclass
 from typing import Any
 
 LONGEST_HOLD = 20.0
-"""Seconds; a test that forgot to let go shall not hang."""
+"""Maximum seconds of a hold, so that a test that releases none does not hang."""
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One point in the handling of one kind of call."""
+    """A point in the handling of one kind of call: ``before`` or ``after`` it."""
 
     call: str
     when: str
 
 
 class Holds:
-    """At most one step at which calls are held; tells how many are."""
+    """Holds calls at one step at most, and counts them."""
 
     def __init__(self) -> None:
         self._held = 0
@@ -26,17 +26,20 @@
 
     @property
     def held(self) -> int:
-        """Calls held now."""
+        """Number of calls held now."""
         return self._held
 
     def set(self, document: dict[str, Any] | None) -> None:
-        """Hold at the step in ``document``, nowhere without one; let others go."""
+        """Hold calls at the step in ``document`` and release all others.
+
+        With ``None``, no call is held.
+        """
         with self._changed:
             self._step = None if document is None else Step(**document)
             self._changed.notify_all()
 
     def pass_by(self, call: str, when: str) -> None:
-        """Wait here while calls at this step are held."""
+        """Block while calls at this step are held."""
         step = Step(call, when)
         with self._changed:
             if self._step != step:
--- a/standins/src/runhatch_standins/_journal.py
+++ b/standins/src/runhatch_standins/_journal.py
@@ -1,4 +1,4 @@
-"""What a stand-in did, kept across its restarts if it has a file."""
+"""A log of what a stand-in did, which survives restarts if it has a file."""
 
 import json
 import threading
@@ -9,7 +9,7 @@
 
 
 class Journal:
-    """Entries in order; a line of the file is written before the call returns."""
+    """Entries in order; each is written to the file before ``append`` returns."""
 
     def __init__(self, path: Path | None) -> None:
         self._lock = threading.Lock()
@@ -22,7 +22,7 @@
             self._file = path.open("a")
 
     def append(self, entry: Entry) -> int:
-        """Keep ``entry``; returns how many there are now."""
+        """Append ``entry`` and return the number of entries."""
         with self._lock:
             self._entries.append(entry)
             if self._file is not None:
--- a/standins/src/runhatch_standins/_launch.py
+++ b/standins/src/runhatch_standins/_launch.py
@@ -1,4 +1,4 @@
-"""Starting processes for tests and demos, each told by its own process id."""
+"""Starts processes for tests and demos, and signals them by process id."""
 
 import os
 import signal
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class Launched:
-    """A process started here, and the ports it printed."""
+    """A child process and the lines it printed."""
 
     name: str
     process: subprocess.Popen[str]
@@ -24,33 +24,33 @@
 
     @property
     def port(self) -> int:
-        """The first port it printed."""
+        """The first port in the first line."""
         return self.ports[0]
 
     @property
     def ports(self) -> list[int]:
-        """All ports in its first line."""
+        """All ports in the first line."""
         words = self.lines[0].replace(",", " ").split()
         return [int(word) for word in words if word.isdecimal()]
 
     @property
     def url(self) -> str:
-        """Its address."""
+        """The base URL of the process."""
         return f"http://127.0.0.1:{self.port}"
 
     def signal(self, number: int) -> None:
-        """Send it a signal; nothing happens if it has ended."""
+        """Send a signal, unless the process has exited."""
         if self.process.poll() is None:
             os.kill(self.process.pid, number)
 
     def kill(self) -> None:
-        """End it at once and wait."""
+        """Kill the process and wait for its exit."""
         self.signal(signal.SIGCONT)
         self.signal(signal.SIGKILL)
         self.process.wait()
 
     def terminate(self, seconds: float) -> int:
-        """Ask it to end; returns its exit status, kills it after ``seconds``."""
+        """Terminate the process, kill it after ``seconds``; return its exit status."""
         self.signal(signal.SIGTERM)
         try:
             return self.process.wait(seconds)
@@ -66,9 +66,10 @@
     errors: Path | None = None,
     variables: Mapping[str, str] | None = None,
 ) -> Launched:
-    """Start ``python -m module`` and wait for its first line, which tells its port.
+    """Start ``python -m module`` and wait for its first line, which has its port.
 
-    Raises ``RuntimeError`` with what it wrote if it ends or stays silent.
+    Raises ``RuntimeError`` with its error output if it exits or prints no line
+    within ``START_SECONDS``.
     """
     with tempfile.TemporaryFile("w+") if errors is None else errors.open("w+") as log:
         process = subprocess.Popen(
@@ -83,22 +84,26 @@
 
 def _await_start(name: str, process: "subprocess.Popen[str]", log: IO[str]) -> Launched:
     launched = Launched(name, process)
-    first = threading.Event()
-    reader = threading.Thread(target=_read, args=(launched, first), daemon=True)
+    first_line = threading.Event()
+    reader = threading.Thread(
+        target=_read_lines, args=(launched, first_line), daemon=True
+    )
     reader.start()
-    if not first.wait(START_SECONDS) or not launched.lines:
-        # What it wrote ends when it does.
-        how = f"ended with {process.wait()}" if first.is_set() else "is silent"
+    if not first_line.wait(START_SECONDS) or not launched.lines:
+        # The end of its output means that the process exits.
+        problem = (
+            f"ended with {process.wait()}" if first_line.is_set() else "printed nothing"
+        )
         launched.kill()
         log.seek(0)
-        raise RuntimeError(f"{name} did not start, {how}: {log.read()}")
+        raise RuntimeError(f"{name} did not start, {problem}: {log.read()}")
     return launched
 
 
-def _read(launched: Launched, first: threading.Event) -> None:
+def _read_lines(launched: Launched, first_line: threading.Event) -> None:
     stdout = launched.process.stdout
     assert stdout is not None
     for line in stdout:
         launched.lines.append(line.rstrip())
-        first.set()
-    first.set()
+        first_line.set()
+    first_line.set()
--- a/standins/src/runhatch_standins/_peer_group.py
+++ b/standins/src/runhatch_standins/_peer_group.py
@@ -1,6 +1,6 @@
-"""Many nodes' memberships over a wire in memory, on a clock that is moved.
+"""Simulates many nodes' memberships over an in-memory network and a manual clock.
 
-The peer services and memberships are the real ones; only the sockets are not.
+The peer services and memberships are real; only the sockets are simulated.
 """
 
 import random
@@ -22,17 +22,17 @@
 HOP = timedelta(milliseconds=20)
 HOPS_A_ROUND = 30
 LIST_EVERY = 2
-"""Rounds between two reads of the platform's list."""
+"""Rounds between two reads of the platform's VM list."""
 
 Cut = Callable[[Vm, Vm], bool]
 
 
-def _ignore() -> None:
-    """Tell nobody: no target ends here."""
+def _ignore_crash() -> None:
+    """Ignore a crash notification; no target exits in the simulation."""
 
 
 class WiredNode:
-    """One node: its membership, its peer service and its links."""
+    """One simulated node: its membership, its peer service and its links."""
 
     def __init__(self, vm: Vm, group: "PeerGroup") -> None:
         self.vm = vm
@@ -48,54 +48,54 @@
             lambda _: None,
             lambda _: False,
             list,
-            CrashWatch(group.clock, TargetLives(vm.name), group.metrics, _ignore),
+            CrashWatch(group.clock, TargetLives(vm.name), group.metrics, _ignore_crash),
             group.clock,
             seed=group.seed,
         )
         self.service.attach(self)
         self._group = group
-        self._kept: dict[str, list[Fact]] = {}
+        self._queued_by_address: dict[str, list[Fact]] = {}
 
     def keep(self, addresses: frozenset[str]) -> None:
-        """Keep links to exactly ``addresses``."""
-        for address in set(self._kept) - addresses:
-            facts = self._kept.pop(address)
-            self._post(address, [*facts, LinkClosed()], linked=True)
-        for address in addresses - set(self._kept):
-            self._kept[address] = []
+        """Open and close links so that exactly ``addresses`` are linked."""
+        for address in set(self._queued_by_address) - addresses:
+            facts = self._queued_by_address.pop(address)
+            self._send(address, [*facts, LinkClosed()], linked=True)
+        for address in addresses - set(self._queued_by_address):
+            self._queued_by_address[address] = []
 
     def tell_all(self, fact: Fact) -> None:
-        """Queue ``fact`` for every kept peer."""
-        for facts in self._kept.values():
+        """Queue ``fact`` for every linked peer."""
+        for facts in self._queued_by_address.values():
             facts.append(fact)
 
     def tell(self, address: str, facts: list[Fact]) -> None:
-        """Queue ``facts`` for a kept peer, or send them to another."""
-        if address in self._kept:
-            self._kept[address] += facts
+        """Queue ``facts`` for a linked peer; send them at once to any other."""
+        if address in self._queued_by_address:
+            self._queued_by_address[address] += facts
         else:
-            self._post(address, facts, linked=False)
+            self._send(address, facts, linked=False)
 
     def hold(self, address: str) -> None:
-        """Do nothing: what is told to one address is sent at once here."""
+        """Do nothing; facts for unlinked peers are sent at once here."""
 
     def flush(self, heartbeat: bool) -> None:
-        """Send what is queued; with ``heartbeat`` also where nothing is."""
-        for address, facts in self._kept.items():
+        """Send queued facts; with ``heartbeat``, also an empty message if none are."""
+        for address, facts in self._queued_by_address.items():
             if facts or heartbeat:
-                self._kept[address] = []
-                self._post(address, facts, linked=True)
+                self._queued_by_address[address] = []
+                self._send(address, facts, linked=True)
 
-    def _post(self, address: str, facts: list[Fact], linked: bool) -> None:
+    def _send(self, address: str, facts: list[Fact], linked: bool) -> None:
         envelope = Envelope(VERSION, self.service.own(), linked, list(facts))
         self._group.post(self.vm, address, envelope)
 
 
 class PeerGroup:
-    """Nodes that can be killed, stopped and cut off from each other.
+    """Nodes that can be killed, stopped and partitioned from each other.
 
-    ``cut(sender, receiver)`` says which messages are lost.  A VM of ``leaving`` is
-    the last to read that it is, so here it never does.
+    ``cut(sender, receiver)`` returns whether a message is lost.  A VM in ``leaving``
+    never reads its own entry there, as it is the last VM to learn of its drain.
     """
 
     def __init__(self, vms: list[Vm], seed: int = 1) -> None:
@@ -111,61 +111,61 @@
         self.bytes = 0
         self._vms = vms
         self._by_address = {vm.address: vm.name for vm in vms}
-        self._inboxes: defaultdict[str, list[Envelope]] = defaultdict(list)
+        self._in_flight: defaultdict[str, list[Envelope]] = defaultdict(list)
         self._random = random.Random(seed)
-        self._rounds = 0
+        self._round_number = 0
 
     def running(self) -> list[WiredNode]:
-        """Return the nodes that take part, in an order that changes."""
+        """Return the nodes neither dead nor stopped, in random order."""
         names = sorted(set(self.nodes) - self.dead - self.stopped)
         self._random.shuffle(names)
         return [self.nodes[name] for name in names]
 
     def post(self, sender: Vm, address: str, envelope: Envelope) -> None:
-        """Put ``envelope`` on its way, unless it is lost."""
+        """Send ``envelope``, unless it is lost."""
         name = self._by_address[address]
         size = len(ENCODER.encode(envelope))
         self.messages += 1
         self.bytes += size
         if name not in self.dead and not self.cut(sender, self.nodes[name].vm):
-            self._inboxes[name].append(envelope)
+            self._in_flight[name].append(envelope)
 
     def run(self, rounds: int) -> None:
-        """Let everybody make ``rounds`` rounds, one a second."""
+        """Run ``rounds`` rounds of one second on all nodes."""
         for _ in range(rounds):
-            self._round()
+            self._run_round()
 
     def suspicions(self, suspected: frozenset[str] | set[str]) -> int:
-        """Return how many running nodes hold one of ``suspected`` for not alive."""
+        """Count the pairs of a running node and a node of ``suspected`` it suspects."""
         return sum(
             node.membership.standing(name) is not Standing.ALIVE
             for node in self.running()
             for name in suspected - {node.vm.name}
         )
 
-    def _round(self) -> None:
+    def _run_round(self) -> None:
         listing = [Vm(vm.name, vm.failure_domain, vm.address) for vm in self._vms]
         for node in self.running():
-            if self._rounds % LIST_EVERY == 0:
+            if self._round_number % LIST_EVERY == 0:
                 leaving = self.leaving - {node.vm.name}
                 node.membership.listed(listing, leaving)
             node.service.keep_links()
             node.service.look_round()
             node.flush(heartbeat=True)
-        self._rounds += 1
-        spent = timedelta()
+        self._round_number += 1
+        elapsed = timedelta()
         for _ in range(HOPS_A_ROUND):
             if not self._deliver():
                 break
             self.clock.advance(HOP)
-            spent += HOP
-        self.clock.advance(ROUND - spent)
+            elapsed += HOP
+        self.clock.advance(ROUND - elapsed)
 
     def _deliver(self) -> bool:
-        """Hand over what is under way, and send what that sets off."""
+        """Deliver messages and send the replies; return whether any arrived."""
         arrived = False
         for node in self.running():
-            envelopes = self._inboxes.pop(node.vm.name, [])
+            envelopes = self._in_flight.pop(node.vm.name, [])
             arrived = arrived or bool(envelopes)
             for envelope in envelopes:
                 node.service.receive(envelope)
@@ -174,18 +174,18 @@
 
 
 def group_of(count: int, domains: int = 10, regions: int = 3) -> PeerGroup:
-    """Return ``count`` nodes over failure domains named by region."""
+    """Return ``count`` nodes spread over failure domains that are named by region."""
     vms = [
-        Vm(f"n{i:03d}", _domain(i % domains, regions), f"10.0.0.1:{i}", 100 + i)
+        Vm(f"n{i:03d}", _domain_name(i % domains, regions), f"10.0.0.1:{i}", 100 + i)
         for i in range(count)
     ]
     return PeerGroup(vms)
 
 
-def _domain(index: int, regions: int) -> str:
+def _domain_name(index: int, regions: int) -> str:
     return f"r{index % regions}-d{index}"
 
 
 def region(vm: Vm) -> str:
-    """Return the region in a domain's name."""
+    """Return the region of a VM, taken from the name of its failure domain."""
     return vm.failure_domain.partition("-")[0]
--- a/standins/src/runhatch_standins/_tcp_relay.py
+++ b/standins/src/runhatch_standins/_tcp_relay.py
@@ -1,4 +1,4 @@
-"""A TCP relay that cuts, freezes or refuses connections on demand."""
+"""A TCP relay that closes, freezes or refuses connections on demand."""
 
 import socket
 import threading
@@ -10,7 +10,7 @@
 
 
 class LinkFault(Enum):
-    """What the relay does with connections."""
+    """The fault that the relay injects into connections."""
 
     NONE = "none"
     REFUSE = "refuse"
@@ -19,106 +19,113 @@
 
 
 class TcpRelay:
-    """Passes connections on to a loopback port, but for the fault set.
+    """Relays connections to a loopback port, subject to the injected fault.
 
-    ``CUT_ANSWER`` closes each connection after ``after`` bytes of its answer.
+    ``CUT_ANSWER`` closes each connection after ``after`` bytes of its response.
     """
 
     def __init__(self, target_port: int) -> None:
         self._target = target_port
         self._listener = socket.create_server(("127.0.0.1", 0), backlog=512)
         self._lock = threading.Lock()
-        self._open: set[socket.socket] = set()
-        self._healthy = threading.Event()
-        self._healthy.set()
+        self._open_sockets: set[socket.socket] = set()
+        self._not_frozen = threading.Event()
+        self._not_frozen.set()
         self._fault = LinkFault.NONE
-        self._after = 0
-        self._pace: float | None = None
-        self._pacing = threading.Lock()
+        self._response_limit = 0
+        self._bytes_per_second: float | None = None
+        self._bandwidth_lock = threading.Lock()
         self.answered = 0
-        """Bytes of answers that were passed on."""
+        """Number of response bytes relayed."""
         self.port: int = self._listener.getsockname()[1]
-        threading.Thread(target=self._accept, daemon=True).start()
+        threading.Thread(target=self._accept_connections, daemon=True).start()
 
     def inject(self, fault: LinkFault, after: int = 0) -> None:
-        """Set the fault; connections that stand are refused or frozen too."""
+        """Set the fault; refusing and freezing also apply to open connections."""
         self._fault = fault
-        self._after = after
+        self._response_limit = after
         if fault is LinkFault.FREEZE:
-            self._healthy.clear()
+            self._not_frozen.clear()
         else:
-            self._healthy.set()
+            self._not_frozen.set()
         if fault is LinkFault.REFUSE:
-            self._cut_all()
+            self._close_connections()
 
     def slow_down(self, bytes_per_second: float | None) -> None:
-        """Pass answers on at this pace, all connections together; ``None``: freely."""
-        self._pace = bytes_per_second
+        """Limit the bandwidth of all responses together; ``None`` removes the limit."""
+        self._bytes_per_second = bytes_per_second
 
     def close(self) -> None:
-        """Close everything."""
-        self._healthy.set()
+        """Close the listener and all connections."""
+        self._not_frozen.set()
         _close(self._listener)
-        self._cut_all()
+        self._close_connections()
 
-    def _cut_all(self) -> None:
+    def _close_connections(self) -> None:
         with self._lock:
-            for each in self._open:
-                _close(each)
-            self._open.clear()
+            for sock in self._open_sockets:
+                _close(sock)
+            self._open_sockets.clear()
 
-    def _accept(self) -> None:
+    def _accept_connections(self) -> None:
         while True:
             try:
-                near, _ = self._listener.accept()
+                client, _ = self._listener.accept()
             except OSError:
                 return
             if self._fault is LinkFault.REFUSE:
-                _close(near)
+                _close(client)
                 continue
             try:
-                far = socket.create_connection(("127.0.0.1", self._target), 5)
-                far.settimeout(None)
+                target = socket.create_connection(("127.0.0.1", self._target), 5)
+                target.settimeout(None)
             except OSError:
-                _close(near)
+                _close(client)
                 continue
             with self._lock:
-                self._open |= {near, far}
-            for source, sink, counted in ((near, far, False), (far, near, True)):
-                arguments = (source, sink, counted)
-                threading.Thread(target=self._pump, args=arguments, daemon=True).start()
-
-    def _pump(self, source: socket.socket, sink: socket.socket, counted: bool) -> None:
-        passed = 0
+                self._open_sockets |= {client, target}
+            for source, sink, is_response in (
+                (client, target, False),
+                (target, client, True),
+            ):
+                arguments = (source, sink, is_response)
+                threading.Thread(
+                    target=self._relay_bytes, args=arguments, daemon=True
+                ).start()
+
+    def _relay_bytes(
+        self, source: socket.socket, sink: socket.socket, is_response: bool
+    ) -> None:
+        relayed = 0
         with suppress(OSError):
             while chunk := source.recv(CHUNK):
-                self._healthy.wait()
-                if counted and self._fault is LinkFault.CUT_ANSWER:
-                    chunk = chunk[: max(0, self._after - passed)]
-                    passed += len(chunk)
+                self._not_frozen.wait()
+                if is_response and self._fault is LinkFault.CUT_ANSWER:
+                    chunk = chunk[: max(0, self._response_limit - relayed)]
+                    relayed += len(chunk)
                     sink.sendall(chunk)
-                    if passed >= self._after:
+                    if relayed >= self._response_limit:
                         break
                     continue
-                if counted:
-                    self._wait_for_turn(len(chunk))
+                if is_response:
+                    self._limit_bandwidth(len(chunk))
                 sink.sendall(chunk)
-                if counted:
+                if is_response:
                     self.answered += len(chunk)
         with self._lock:
-            self._open -= {source, sink}
+            self._open_sockets -= {source, sink}
         _close(source)
         _close(sink)
 
-    def _wait_for_turn(self, size: int) -> None:
-        """Take as long as ``size`` bytes take on the link."""
-        if self._pace is not None:
-            with self._pacing:
-                time.sleep(size / self._pace)
+    def _limit_bandwidth(self, size: int) -> None:
+        """Sleep as long as ``size`` bytes take at the limited bandwidth."""
+        if self._bytes_per_second is not None:
+            with self._bandwidth_lock:
+                time.sleep(size / self._bytes_per_second)
 
 
-def _close(each: socket.socket) -> None:
+def _close(sock: socket.socket) -> None:
     with suppress(OSError):
-        each.shutdown(socket.SHUT_RDWR)
+        sock.shutdown(socket.SHUT_RDWR)
     with suppress(OSError):
-        each.close()
+        sock.close()
--- a/standins/src/runhatch_standins/_text.py
+++ b/standins/src/runhatch_standins/_text.py
@@ -1,13 +1,14 @@
-"""The text an engine stand-in generates: a function of the prompt alone.
+"""Generates the text of an engine stand-in, a function of the prompt alone.
 
-Whoever knows the prompt can check that an answer is its own, whole and in order.
+A checker that knows the prompt can detect answers to other prompts, missing tokens
+and reordered ones.
 """
 
 import re
 import zlib
 
 DEFAULT_TOKENS = 8
-_TAIL = re.compile(r"(?:[0-9a-f]{8}-\d+ )+$")
+_GENERATED_TOKENS = re.compile(r"(?:[0-9a-f]{8}-\d+ )+$")
 
 
 def token(prompt: str, index: int) -> str:
@@ -16,7 +17,7 @@
 
 
 def expected_text(prompt: str, tokens: int = DEFAULT_TOKENS) -> str:
-    """Return the whole answer to ``prompt``.
+    """Return the complete answer to ``prompt``.
 
     >>> expected_text("a", 2)
     'e8b7be43-0 e8b7be43-1 '
@@ -25,12 +26,12 @@
 
 
 def split_continuation(prompt: str) -> tuple[str, int]:
-    """Return the first prompt and how many tokens were appended to it.
+    """Split ``prompt`` into the original prompt and the number of tokens after it.
 
     >>> split_continuation("a" + expected_text("a", 2))
     ('a', 2)
     """
-    match = _TAIL.search(prompt)
+    match = _GENERATED_TOKENS.search(prompt)
     if match is None:
         return prompt, 0
     first = prompt[: match.start()]
--- a/standins/src/runhatch_standins/_wsgi.py
+++ b/standins/src/runhatch_standins/_wsgi.py
@@ -1,4 +1,4 @@
-"""What the stand-ins share: a small WSGI application with routes, on waitress."""
+"""A small WSGI application with routes, served by waitress, for all stand-ins."""
 
 import json
 import re
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """A whole reply, or one whose ``chunks`` are sent as they come."""
+    """A complete reply, or one whose ``chunks`` are streamed."""
 
     status: int
     body: bytes = b""
@@ -44,36 +44,36 @@
 
 
 def reply_json(document: object, status: int = 200) -> Reply:
-    """Return a JSON reply."""
+    """Return a reply with ``document`` as its JSON body."""
     return Reply(status, json.dumps(document).encode(), JSON)
 
 
 @dataclass(slots=True)
 class Routes:
-    """A WSGI application made of patterns and handlers."""
+    """A WSGI application that dispatches calls by method and path pattern."""
 
     table: list[tuple[str, re.Pattern[str], Handler]] = field(default_factory=list)
 
     def add(self, method: str, pattern: str, handler: Handler) -> None:
-        """Have ``handler`` answer ``method`` on paths that match ``pattern``."""
+        """Register ``handler`` for ``method`` on paths that match ``pattern``."""
         self.table.append((method, re.compile(pattern), handler))
 
     def __call__(
         self, environ: Mapping[str, Any], start_response: Callable[..., object]
     ) -> Iterable[bytes]:
         """Answer one call."""
-        reply = self._answer(environ)
+        reply = self._dispatch(environ)
         headers = list(reply.headers)
         if reply.chunks is None:
             headers.append(("Content-Length", str(len(reply.body))))
         start_response(f"{reply.status} Status", headers)
         return [reply.body] if reply.chunks is None else reply.chunks
 
-    def _answer(self, environ: Mapping[str, Any]) -> Reply:
+    def _dispatch(self, environ: Mapping[str, Any]) -> Reply:
         method, path = str(environ["REQUEST_METHOD"]), str(environ["PATH_INFO"])
-        for wanted, pattern, handler in self.table:
+        for route_method, pattern, handler in self.table:
             match = pattern.fullmatch(path)
-            if wanted == method and match:
+            if route_method == method and match:
                 length = int(environ.get("CONTENT_LENGTH") or 0)
                 body = cast(BinaryIO, environ["wsgi.input"]).read(length)
                 headers = {
@@ -92,9 +92,9 @@
     threads: int = THREADS,
     on_bound: Callable[[int], None] = lambda port: None,
 ) -> None:
-    """Serve ``app`` on loopback until killed; prints the port first.
+    """Serve ``app`` on loopback until killed; print the port first.
 
-    With ``port`` 0 the system chooses one; ``on_bound`` is told it.
+    With ``port`` 0 the system chooses a port; ``on_bound`` is called with it.
     """
     server = create_server(
         app,
--- a/standins/src/runhatch_standins/worker.py
+++ b/standins/src/runhatch_standins/worker.py
@@ -1,7 +1,7 @@
-"""A target of the platform: an engine or a plain service, by the published calls.
+"""A stand-in for a target: an engine or a plain service, with the published API.
 
-It registers itself in the store, takes orders, reports, and serves any path.
-``GET /journal`` tells what it ran, ``POST /faults`` sets faults.
+It registers itself in the store, accepts orders, reports its models and serves any
+path.  ``GET /journal`` returns what it ran, and ``POST /faults`` sets faults.
 """
 
 import argparse
@@ -20,18 +20,18 @@
 EVENT_SECONDS = 0.01
 LOAD_SECONDS = 0.3
 CRASHED = 70
-"""Exit status of a target that a request has crashed."""
+"""Exit status after a request crashed the process."""
 NO_FAULTS: dict[str, Any] = {
     "status": 0,
     "hang_seconds": 0.0,
     "lose_orders": False,
-    # Requests are turned away, and none wanted for so long.
+    # Refuse requests with this value in ``Retry-After``.
     "rest_seconds": 0.0,
-    # Its answers say that it leaves, its entry does not yet.
+    # Announce draining in responses, but not yet in the entry.
     "leaving": False,
-    # Text in a path at which the process ends, as if the request had crashed it.
+    # Text in a path that makes the process exit, as if the request crashed it.
     "ends_on": "",
-    # Planted to see that checkers find them.
+    # Violations, to test that the checkers detect them.
     "run_twice": False,
     "wrong_body": False,
     "untrue_refusal": False,
@@ -44,13 +44,13 @@
     "shared_fence": (0, "-other"),
     "two_holders": (1, "-other"),
 }
-"""By planted fault, how another order that came with each differs from it."""
+"""By fault, the fence increment and holder suffix of a forged second order."""
 Document = dict[str, Any]
 
 
 @dataclass(slots=True)
 class Run:
-    """One request that was run."""
+    """One request that the target ran."""
 
     attempt_id: str
     model: str
@@ -60,7 +60,7 @@
 
 @dataclass(slots=True)
 class Worker:
-    """State and faults of one target."""
+    """The state and the faults of one target."""
 
     store_url: str
     service: str
@@ -73,24 +73,24 @@
     busy: bool = False
     runs: list[Run] = field(default_factory=list)
     arrivals: list[str] = field(default_factory=list)
-    """Attempts that came, also those that were turned away."""
+    """Attempt ids received, including those of refused attempts."""
     orders_given: list[Document] = field(default_factory=list)
-    """Orders that came, also those that were not carried out."""
+    """Orders received, including those not carried out."""
     order_times: list[float] = field(default_factory=list)
-    """When each of them came, by the monotonic clock of its VM."""
+    """Arrival times of ``orders_given``, in seconds of its VM's monotonic clock."""
     restart_times: list[float] = field(default_factory=list)
-    """When it started again and knew nothing of what was before, by the same clock."""
+    """Times of restarts, each of which lost all state, by the same clock."""
     arrival_times: list[float] = field(default_factory=list)
-    """When each attempt came, by the same clock."""
+    """Arrival times of ``arrivals``, by the same clock."""
     rate_limit: str = ""
-    """Requests a second that it takes from all gateways together, by its answers."""
+    """Requests per second from all gateways together, as announced in responses."""
     faults: Document = field(default_factory=lambda: dict(NO_FAULTS))
     lock: threading.Lock = field(default_factory=threading.Lock)
     born_ms: int = field(default_factory=lambda: time.time_ns() // 1_000_000)
-    """Unix time of its start."""
+    """Unix time of its start in milliseconds."""
 
     def routes(self) -> Routes:
-        """Return the application."""
+        """Return the WSGI application."""
         routes = Routes()
         routes.add("GET", "/api/report", self.report)
         routes.add("POST", "/api/order", self.order)
@@ -105,16 +105,16 @@
         return routes
 
     def bound(self, port: int) -> None:
-        """Register at ``port``, where this target listens now."""
+        """Set the port this target listens on, and register."""
         self.port = port
         self.register()
 
     def register(self) -> None:
-        """Write this target's entry."""
+        """Write this target's entry to the store."""
         entry = {
             "service": self.service,
             "address": f"127.0.0.1:{self.port}",
-            # The published name of the failure domain.
+            # ``zone`` is the published name of the failure domain.
             "zone": self.failure_domain,
             "version": "v1",
             "slots": 8,
@@ -122,17 +122,17 @@
             "cold_left_ms": 0,
             "sequence": self.orders,
             "born": self.born_ms,
-            "models": self._held(),
+            "models": self._loaded_models(),
             "available": {"in_memory": [], "on_disk": sorted(self.models)},
         }
         row = {"table": "servers", "key": self.identity, "document": entry}
         call_json(self.store_url, "PUT", "/rows", {"puts": [row]})
 
     def report(self, call: Call) -> Reply:
-        """Tell what is held."""
+        """Return the loaded models and the number of accepted orders."""
         return reply_json(
             {
-                "models": self._held(),
+                "models": self._loaded_models(),
                 "busy": self.busy,
                 "sequence": self.orders,
                 "born": self.born_ms,
@@ -140,11 +140,11 @@
         )
 
     def order(self, call: Call) -> Reply:
-        """Carry out an order, unless another came between."""
+        """Carry out an order, unless another one was accepted in the meantime."""
         document = call.json()
         if call.headers.get("x-runhatch-expect-instance") != self.identity:
             return Reply(421)
-        self._keep_order(document)
+        self._record_order(document)
         if self.faults["lose_orders"]:
             return Reply(500)
         with self.lock:
@@ -161,7 +161,7 @@
         return Reply(202)
 
     def journal(self, call: Call) -> Reply:
-        """Tell what was run."""
+        """Return the runs, arrivals, orders and restarts."""
         runs = [[run.attempt_id, run.model, run.ended] for run in self.runs]
         with self.lock:
             orders, order_times = [*self.orders_given], [*self.order_times]
@@ -178,28 +178,28 @@
         )
 
     def set_faults(self, call: Call) -> Reply:
-        """Replace all faults; what is not named is healthy."""
+        """Replace all faults; reset those not named in the body to their defaults."""
         self.faults = {**NO_FAULTS, **call.json()}
         return reply_json(self.faults)
 
     def name_limit(self, call: Call) -> Reply:
-        """Name another rate limit in all answers, or none, whatever the faults."""
+        """Set the rate limit announced in responses; an empty one removes it."""
         self.rate_limit = str(call.json()["named"])
         return reply_json({})
 
     def drain(self, call: Call) -> Reply:
-        """Announce that no new work is wanted."""
+        """Mark the target as draining in its entry."""
         self.state = "draining"
         self.register()
         return reply_json({})
 
     def register_again(self, call: Call) -> Reply:
-        """Write the entry once more, as targets do now and then."""
+        """Write the entry again, as targets do periodically."""
         self.register()
         return reply_json({})
 
     def restart(self, call: Call) -> Reply:
-        """Start again under the same name, empty; the journal stays."""
+        """Simulate a restart under the same name; only the journal is kept."""
         with self.lock:
             self.restart_times.append(time.monotonic())
             self.models = {}
@@ -209,20 +209,22 @@
         return reply_json({})
 
     def serve(self, call: Call) -> Reply:
-        """Run one request."""
+        """Serve one request, subject to the faults."""
         attempt_id = call.headers.get("x-runhatch-attempt-id", "")
         model, _, adapter = call.headers.get("x-runhatch-model", "").partition("/")
         expected = call.headers.get("x-runhatch-expect-instance", self.identity)
-        if expected != self.identity or not self._holds(model, adapter):
+        if expected != self.identity or not self._serves(model, adapter):
             return Reply(421, headers=(("X-Runhatch-Attempt-Id", attempt_id),))
         if not attempt_id:
             return Reply(400, headers=NOT_RUN)
         self.arrivals.append(attempt_id)
         self.arrival_times.append(time.monotonic())
         if self.faults["rest_seconds"]:
-            rest = ("Retry-After", str(self.faults["rest_seconds"]))
-            named = ("X-Runhatch-Attempt-Id", attempt_id)
-            return Reply(503, headers=(*NOT_RUN, rest, named, *self._limit()))
+            backoff = ("Retry-After", str(self.faults["rest_seconds"]))
+            identity = ("X-Runhatch-Attempt-Id", attempt_id)
+            return Reply(
+                503, headers=(*NOT_RUN, backoff, identity, *self._rate_limit_header())
+            )
         run = Run(attempt_id, model)
         self.runs.append(run)
         if self.faults["ends_on"] and self.faults["ends_on"] in call.path:
@@ -231,7 +233,7 @@
         headers: tuple[tuple[str, str], ...] = (
             ("X-Runhatch-Attempt-Id", attempt_id),
             ("X-Runhatch-Response-Seal", f"seal-{self.identity}"),
-            *self._limit(),
+            *self._rate_limit_header(),
         )
         if self.faults["leaving"]:
             headers += (("Server-Leaving", "1"),)
@@ -249,24 +251,27 @@
             return Reply(200, f"{call.path} {attempt_id}".encode(), headers)
         count = int(call.headers.get("x-runhatch-token-count", "0,8").split(",")[1])
         first = int(call.headers.get("last-event-id", "0"))
-        events = self._events(run, first, count)
+        events = self._stream_events(run, first, count)
         stream = (*headers, ("Content-Type", "text/event-stream"))
         return Reply(200, headers=stream, chunks=events)
 
-    def _keep_order(self, document: Document) -> None:
-        kept = [document]
-        for planted, (more, suffix) in PLANTED_ORDERS.items():
-            if self.faults[planted]:
-                fence, holder = document["fence"] + more, document["holder"] + suffix
-                kept.append({**document, "fence": fence, "holder": holder})
+    def _record_order(self, document: Document) -> None:
+        recorded = [document]
+        for fault, (increment, suffix) in PLANTED_ORDERS.items():
+            if self.faults[fault]:
+                fence, holder = (
+                    document["fence"] + increment,
+                    document["holder"] + suffix,
+                )
+                recorded.append({**document, "fence": fence, "holder": holder})
         with self.lock:
-            self.orders_given += kept
-            self.order_times += [time.monotonic()] * len(kept)
+            self.orders_given += recorded
+            self.order_times += [time.monotonic()] * len(recorded)
 
-    def _limit(self) -> tuple[tuple[str, str], ...]:
+    def _rate_limit_header(self) -> tuple[tuple[str, str], ...]:
         return (("Server-Limit", self.rate_limit),) if self.rate_limit else ()
 
-    def _events(self, run: Run, first: int, count: int) -> Iterator[bytes]:
+    def _stream_events(self, run: Run, first: int, count: int) -> Iterator[bytes]:
         run.ended = "left"
         for number in range(first + 1, count + 1):
             time.sleep(EVENT_SECONDS)
@@ -284,12 +289,12 @@
             self.busy = False
         self.register()
 
-    def _holds(self, model: str, adapter: str) -> bool:
+    def _serves(self, model: str, adapter: str) -> bool:
         if not model:
             return True
         return model in self.models and (not adapter or adapter in self.models[model])
 
-    def _held(self) -> list[Document]:
+    def _loaded_models(self) -> list[Document]:
         return [
             {"name": model, "version": 1, "adapters": sorted(adapters)}
             for model, adapters in sorted(self.models.items())
