--- a/standins/src/runhatch_standins/_order_checks.py
+++ b/standins/src/runhatch_standins/_order_checks.py
@@ -1,4 +1,4 @@
-"""Checking the orders that targets were given against who may order them."""
+"""Checks that each target received orders from one lease holder at a time."""
 
 from bisect import bisect_right
 from collections import defaultdict
@@ -8,15 +8,15 @@
 from typing import Any
 
 RESUMED_SECONDS = 0.3
-"""What a sender had begun before it was paused may arrive so long after."""
+"""How long after a sender resumes its orders from before the pause may arrive."""
 
 
 @dataclass(frozen=True, slots=True)
 class GivenOrder:
-    """One order as a target got it.
+    """One order as a target received it.
 
-    ``life`` counts how often the target had started again, ``at`` is the arrival
-    in seconds of the monotonic clock.
+    ``life`` counts the restarts of the target before it; ``at`` is its arrival, in
+    seconds of the monotonic clock.
     """
 
     target: str
@@ -27,14 +27,14 @@
 
 
 def given_orders(target: str, journal: Mapping[str, Any]) -> list[GivenOrder]:
-    """Return the orders that the journal of ``target`` tells, as they came."""
+    """Return the orders in the journal of ``target`` in order of arrival."""
     restarts = journal["restart_times"]
-    came = zip(journal["orders"], journal["order_times"], strict=True)
+    arrivals = zip(journal["orders"], journal["order_times"], strict=True)
     return [
         GivenOrder(
             target, bisect_right(restarts, at), at, order["fence"], order["holder"]
         )
-        for order, at in came
+        for order, at in arrivals
     ]
 
 
@@ -45,31 +45,37 @@
 ) -> list[str]:
     """Return a line for each violation.
 
-    ``resumed`` tells when senders ran again after a pause, ``between`` how many
-    seconds must lie between the orders of two holders.
+    ``resumed`` has the times at which paused senders resumed, by holder.  The orders
+    of two holders must be at least ``between`` seconds apart.
 
     >>> given = [GivenOrder("e", 0, 1.0, 2, "a"), GivenOrder("e", 0, 5.0, 1, "a")]
     >>> check_orders(given, {}, 3.0)
-    ['e, life 0: fence 1 of a at 5.000 after 2 of a']
+    ['e, incarnation 0: fence 1 of a at 5.000 after 2 of a']
     """
-    lives: dict[tuple[str, int], list[GivenOrder]] = defaultdict(list)
+    by_incarnation: dict[tuple[str, int], list[GivenOrder]] = defaultdict(list)
     for order in orders:
-        if not _is_late(order, resumed):
-            lives[order.target, order.life].append(order)
+        if not _was_sent_before_pause(order, resumed):
+            by_incarnation[order.target, order.life].append(order)
     violations = []
-    for (target, life), given in lives.items():
-        given.sort(key=lambda order: order.at)
-        found = [*_fallen(given), *_shared(given), *_in_turns(given, between)]
-        violations += [f"{target}, life {life}: {line}" for line in found]
+    for (target, life), received in by_incarnation.items():
+        received.sort(key=lambda order: order.at)
+        lines = [
+            *_decreasing_fences(received),
+            *_shared_fences(received),
+            *_early_handovers(received, between),
+        ]
+        violations += [f"{target}, incarnation {life}: {line}" for line in lines]
     return violations
 
 
-def _is_late(order: GivenOrder, resumed: Mapping[str, Sequence[float]]) -> bool:
-    since = resumed.get(order.holder, ())
-    return any(at <= order.at <= at + RESUMED_SECONDS for at in since)
+def _was_sent_before_pause(
+    order: GivenOrder, resumed: Mapping[str, Sequence[float]]
+) -> bool:
+    resume_times = resumed.get(order.holder, ())
+    return any(at <= order.at <= at + RESUMED_SECONDS for at in resume_times)
 
 
-def _fallen(given: Sequence[GivenOrder]) -> list[str]:
+def _decreasing_fences(given: Sequence[GivenOrder]) -> list[str]:
     return [
         f"fence {later.fence} of {later.holder} at {later.at:.3f} after "
         f"{earlier.fence} of {earlier.holder}"
@@ -78,7 +84,7 @@
     ]
 
 
-def _shared(given: Sequence[GivenOrder]) -> list[str]:
+def _shared_fences(given: Sequence[GivenOrder]) -> list[str]:
     holders: dict[int, set[str]] = defaultdict(set)
     for order in given:
         holders[order.fence].add(order.holder)
@@ -89,7 +95,7 @@
     ]
 
 
-def _in_turns(given: Sequence[GivenOrder], between: float) -> list[str]:
+def _early_handovers(given: Sequence[GivenOrder], between: float) -> list[str]:
     return [
         f"{later.holder} orders by {later.fence} at {later.at:.3f}, "
         f"{later.at - earlier.at:.3f} s after {earlier.holder} by {earlier.fence}"
--- a/standins/tests/test_gateway_soak.py
+++ b/standins/tests/test_gateway_soak.py
@@ -84,7 +84,7 @@
         ("planted", "found"),
         [
             ("run_twice", ["may run once"]),
-            ("wrong_body", ["its own is"]),
+            ("wrong_body", ["instead of"]),
             ("untrue_refusal", ["refused as not run, ran", "does not serve"]),
             ("lower_fence", [": fence 0 of n1 at"]),
             ("shared_fence", ["fence 1 has holders n1, n1-other"]),
--- a/standins/tests/test_history.py
+++ b/standins/tests/test_history.py
@@ -39,8 +39,8 @@
             ([once(NO)], 1, "refused as not run, ran 1 times"),
             ([Event("r", NO)], 1, "refused as not run"),
             ([once(ANSWERED, "a")], 0, "nothing ran"),
-            ([Event("r", ANSWERED, answer="y", expected="x")], 1, "its own is 'x'"),
-            ([Event("r", ANSWERED, answer="x", expected="xx")], 1, "its own is 'xx'"),
+            ([Event("r", ANSWERED, answer="y", expected="x")], 1, "instead of 'x'"),
+            ([Event("r", ANSWERED, answer="x", expected="xx")], 1, "instead of 'xx'"),
         ],
     )
     def test_planted(self, events, runs, words):
--- a/standins/tests/test_order_checks.py
+++ b/standins/tests/test_order_checks.py
@@ -59,32 +59,32 @@
         [
             pytest.param(
                 [(1.0, 2, "a"), (1.5, 1, "a")],
-                "e, life 0: fence 1 of a at 1.500 after 2 of a",
+                "e, incarnation 0: fence 1 of a at 1.500 after 2 of a",
                 id="a lower fence of one holder",
             ),
             pytest.param(
                 [(1.0, 2, "a"), (9.0, 1, "b")],
-                "e, life 0: fence 1 of b at 9.000 after 2 of a",
+                "e, incarnation 0: fence 1 of b at 9.000 after 2 of a",
                 id="a lower fence of another holder",
             ),
             pytest.param(
                 [(1.0, 9, "a", 0), (1.5, 2, "a", 1), (1.6, 1, "a", 1)],
-                "e, life 1: fence 1 of a at 1.600 after 2 of a",
+                "e, incarnation 1: fence 1 of a at 1.600 after 2 of a",
                 id="a lower fence in a later life",
             ),
             pytest.param(
                 [(1.0, 1, "a"), (9.0, 1, "b")],
-                "e, life 0: fence 1 has holders a, b",
+                "e, incarnation 0: fence 1 has holders a, b",
                 id="one fence of two holders",
             ),
             pytest.param(
                 [(1.0, 1, "a"), (3.9, 2, "b")],
-                "e, life 0: b orders by 2 at 3.900, 2.900 s after a by 1",
+                "e, incarnation 0: b orders by 2 at 3.900, 2.900 s after a by 1",
                 id="another holder too early",
             ),
             pytest.param(
                 [(1.0, 1, "a"), (9.0, 2, "b"), (9.5, 3, "a")],
-                "e, life 0: a orders by 3 at 9.500, 0.500 s after b by 2",
+                "e, incarnation 0: a orders by 3 at 9.500, 0.500 s after b by 2",
                 id="the first holder again too early",
             ),
         ],
