--- a/standins/src/runhatch_standins/_tcp_relay.py
+++ b/standins/src/runhatch_standins/_tcp_relay.py
@@ -77,16 +77,16 @@
                 _close(client)
                 continue
             try:
-                target = socket.create_connection(("127.0.0.1", self._target), 5)
-                target.settimeout(None)
+                server = socket.create_connection(("127.0.0.1", self._target), 5)
+                server.settimeout(None)
             except OSError:
                 _close(client)
                 continue
             with self._lock:
-                self._open_sockets |= {client, target}
+                self._open_sockets |= {client, server}
             for source, sink, is_response in (
-                (client, target, False),
-                (target, client, True),
+                (client, server, False),
+                (server, client, True),
             ):
                 arguments = (source, sink, is_response)
                 threading.Thread(
--- a/standins/src/runhatch_standins/worker.py
+++ b/standins/src/runhatch_standins/worker.py
@@ -221,9 +221,10 @@
         self.arrival_times.append(time.monotonic())
         if self.faults["rest_seconds"]:
             backoff = ("Retry-After", str(self.faults["rest_seconds"]))
-            identity = ("X-Runhatch-Attempt-Id", attempt_id)
+            attempt_header = ("X-Runhatch-Attempt-Id", attempt_id)
             return Reply(
-                503, headers=(*NOT_RUN, backoff, identity, *self._rate_limit_header())
+                503,
+                headers=(*NOT_RUN, backoff, attempt_header, *self._rate_limit_header()),
             )
         run = Run(attempt_id, model)
         self.runs.append(run)
