--- a/benchmarks/bench_overload.py
+++ b/benchmarks/bench_overload.py
@@ -1,6 +1,6 @@
-"""Requests in time at and beyond the targets' capacity, against two baselines.
+"""Goodput at and beyond the targets' capacity, compared with two baselines.
 
-Runs the daemon's dispatcher on the replay's clock, so that capacity is exact.
+Runs the real dispatcher on a simulated clock, so that the capacity is exact.
 """
 
 import random
@@ -17,7 +17,7 @@
 
 
 def main() -> None:
-    """Run and report."""
+    """Run the benchmark and write its report."""
     random.seed(SEED)
     report = Report("overload", "In time at and beyond capacity", "make bench-overload")
     size = replace(TUMEN, models=6, adapters=0)
@@ -34,10 +34,10 @@
                 refused=result.refused,
                 late=result.late,
             )
-    report.note(
-        "Load 1 is what all slots carry. Every model is on every worker, so only "
+    report.add_note(
+        "Load 1 is the capacity of all slots. Every model is on every worker, so only "
         "routing and admission differ. In time a second is the goodput. Round "
-        "robin and least outstanding take every request and queue at the engines; "
+        "robin and least outstanding admit every request and queue at the engines; "
         f"deadline {timedelta(seconds=8).total_seconds():g} s."
     )
     report.write()
--- a/benchmarks/bench_placement.py
+++ b/benchmarks/bench_placement.py
@@ -1,4 +1,4 @@
-"""Attainment per accelerator and moves, against baselines and a bound."""
+"""Attainment per accelerator and moves, compared with baselines and a bound."""
 
 import argparse
 from concurrent.futures import ProcessPoolExecutor
@@ -26,7 +26,7 @@
 
 
 def measure(size: Size, seconds: float, load: float) -> dict[str, list[Result]]:
-    """Return the results of each placement, by seed."""
+    """Return the results of all seeds by placement."""
     results: dict[str, list[Result]] = {}
     with ProcessPoolExecutor(len(SEEDS)) as pool:
         by_seed = pool.map(
@@ -38,14 +38,17 @@
 
 
 def measure_seed(seed: int, size: Size, seconds: float, load: float) -> list[Result]:
-    """Return the results of one seed."""
+    """Return the results of all placements and the bound for one seed."""
     workload = make_workload(size, seed, seconds, load)
-    results = [replay(workload, kind(workload.deployment), seed) for kind in PLACEMENTS]
+    results = [
+        replay(workload, placement_class(workload.deployment), seed)
+        for placement_class in PLACEMENTS
+    ]
     return [*results, pooled_bound(workload)]
 
 
 def main() -> None:
-    """Run and report."""
+    """Run the benchmark and write its report."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--seconds", type=float, default=SECONDS)
     parser.add_argument("--load", type=float, default=LOAD)
@@ -58,11 +61,11 @@
     )
     for size in (TUMEN, ASSOCIATION):
         results = measure(size, arguments.seconds, arguments.load)
-        for name, found in results.items():
+        for name, seed_results in results.items():
             shares = sorted(
-                r.attainment_per_accelerator * r.accelerators for r in found
+                r.attainment_per_accelerator * r.accelerators for r in seed_results
             )
-            moves = sorted(result.moves for result in found)
+            moves = sorted(result.moves for result in seed_results)
             report.add(
                 deployment=size.name,
                 placement=name,
@@ -71,9 +74,9 @@
                 per_accelerator=round(median(shares) / size.workers, 5),
                 moves=median(moves),
                 moves_spread=f"{moves[0]} to {moves[-1]}",
-                requests=median(result.requests for result in found),
+                requests=median(result.requests for result in seed_results),
             )
-    report.note(
+    report.add_note(
         "Medians of seeds 1 to 5. In time: share of requests answered before their "
         "deadline. The bound serves every model on every worker."
     )
--- a/benchmarks/bench_routing.py
+++ b/benchmarks/bench_routing.py
@@ -1,4 +1,4 @@
-"""Prefix affinity on and off, with cache events; a slowed target, a target gone."""
+"""Prefix affinity with and without cache events, and detection of target faults."""
 
 import statistics
 from dataclasses import replace
@@ -12,7 +12,7 @@
 FAULTY = "w0"
 SLOWED = 10.0
 NOTICED_SHARE = 0.5
-"""A fault is noticed once the target gets this share of an even one's requests."""
+"""A fault counts as detected below this share of an even share of requests."""
 WINDOW = 2.0
 AFFINITIES = {
     "off": RoutingSize(affinity=False),
@@ -25,7 +25,7 @@
 
 
 def affinity_rows() -> None:
-    """Report hits and first tokens for each way of knowing caches."""
+    """Report prefix hits and first tokens by source of cache knowledge."""
     report = Report("affinity", "Prefix affinity", "make bench-routing")
     for load, rate in (("half", 40.0), ("nearly full", 75.0)):
         for name, size in AFFINITIES.items():
@@ -36,23 +36,25 @@
             report.add(
                 load=load,
                 affinity=name,
-                prefix_hits=_median([r.cached_blocks / r.asked_blocks for r in runs]),
+                prefix_hits=_median(
+                    [r.cached_blocks / r.requested_blocks for r in runs]
+                ),
                 first_token_p50_ms=_median([_percentile(r, 50) for r in runs]),
                 first_token_p95_ms=_median([_percentile(r, 95) for r in runs]),
                 in_time=_median([r.in_time / r.requests for r in runs]),
                 requests=sum(r.requests for r in runs),
             )
-    report.note(
+    report.add_note(
         "9 workers of 8 slots and 9 nodes, 120 s, prompts of 8 blocks in 200 groups "
-        "of uneven use (Zipf), 300 blocks cached a worker, 20 ms prefill a block "
+        "of uneven use (Zipf), 300 blocks cached per worker, 20 ms prefill per block "
         "that is not cached, then 0.6 s of tokens. Medians of seeds 1 to 5, on a "
-        "clock that is moved."
+        "simulated clock."
     )
     report.write()
 
 
 def fault_rows() -> None:
-    """Report what a target's fault costs and when it is noticed."""
+    """Report the cost of a target's fault and its detection time."""
     report = Report("faults", "A target slowed or gone", "make bench-routing")
     for fault in ("none", "slowed tenfold", "gone"):
         runs = [_run_fault(fault, seed) for seed in SEEDS]
@@ -62,18 +64,22 @@
             refused=sum(r.refused for r in runs),
             failed_attempts=sum(r.failed_attempts for r in runs),
             misses=sum(r.requests - r.in_time for r in runs),
-            noticed_s=_median([_noticed(r) for r in runs]) if fault != "none" else "",
-            back_s=_median([_back(r) for r in runs]) if fault != "none" else "",
+            noticed_s=_median([_detection_seconds(r) for r in runs])
+            if fault != "none"
+            else "",
+            back_s=_median([_recovery_seconds(r) for r in runs])
+            if fault != "none"
+            else "",
             first_token_p95_ms=_median([_percentile(r, 95) for r in runs]),
             requests=sum(r.requests for r in runs),
         )
-    report.note(
+    report.add_note(
         f"As above at 50 requests a second. One of 9 workers has the fault from "
-        f"{FAULT_AT:g} to {FAULT_UNTIL:g} s of 140. Noticed: the first two "
-        "seconds in which it gets less than half of an even share. Back: seconds "
-        "after the fault until it gets that again. In time during: of the requests "
-        "that came during the fault; misses are of all seeds. A connection to a "
-        "target that is gone takes a second to fail."
+        f"{FAULT_AT:g} to {FAULT_UNTIL:g} s of 140. Noticed: seconds until the first "
+        "2 s window in which it gets less than half of an even share. Back: seconds "
+        "after the fault until it gets that again. In time during: share of the "
+        "requests that arrived during the fault; misses are of all seeds. A "
+        "connection to a target that is gone takes a second to fail."
     )
     report.write()
 
@@ -83,40 +89,42 @@
     engine = replay.engines[FAULTY]
 
     def begin() -> None:
-        engine.slow = SLOWED if fault == "slowed tenfold" else 1.0
-        engine.dead = fault == "gone"
+        engine.slowdown = SLOWED if fault == "slowed tenfold" else 1.0
+        engine.failed = fault == "gone"
 
     def end() -> None:
-        engine.slow = 1.0
-        engine.dead = False
+        engine.slowdown = 1.0
+        engine.failed = False
 
-    replay.at(FAULT_AT, begin)
-    replay.at(FAULT_UNTIL, end)
+    replay.schedule(FAULT_AT, begin)
+    replay.schedule(FAULT_UNTIL, end)
     return replay.run()
 
 
-def _share(result: RoutingResult, start: float) -> float:
-    """Return the faulty target's part of an even share in one window."""
+def _relative_share(result: RoutingResult, start: float) -> float:
+    """Return the faulty target's requests in a window, relative to an even share."""
     window = [w for at, w in result.arrivals_by_worker if start <= at < start + WINDOW]
     return 9 * window.count(FAULTY) / max(1, len(window))
 
 
 def _in_time_during(result: RoutingResult) -> float:
-    """Return the share in time of the requests that came during the fault."""
-    came = [met for at, met in result.outcomes if FAULT_AT <= at < FAULT_UNTIL]
-    return sum(came) / len(came)
+    """Return the share in time of the requests that arrived during the fault."""
+    in_time_flags = [
+        in_time for at, in_time in result.outcomes if FAULT_AT <= at < FAULT_UNTIL
+    ]
+    return sum(in_time_flags) / len(in_time_flags)
 
 
-def _noticed(result: RoutingResult) -> float:
+def _detection_seconds(result: RoutingResult) -> float:
     seconds = np.arange(FAULT_AT, FAULT_UNTIL, WINDOW)
-    found = [s for s in seconds if _share(result, s) < NOTICED_SHARE]
-    return float(found[0] - FAULT_AT) if found else float("nan")
+    matches = [s for s in seconds if _relative_share(result, s) < NOTICED_SHARE]
+    return float(matches[0] - FAULT_AT) if matches else float("nan")
 
 
-def _back(result: RoutingResult) -> float:
+def _recovery_seconds(result: RoutingResult) -> float:
     seconds = np.arange(FAULT_UNTIL, 140.0, WINDOW)
-    found = [s for s in seconds if _share(result, s) >= NOTICED_SHARE]
-    return float(found[0] - FAULT_UNTIL) if found else float("nan")
+    matches = [s for s in seconds if _relative_share(result, s) >= NOTICED_SHARE]
+    return float(matches[0] - FAULT_UNTIL) if matches else float("nan")
 
 
 def _percentile(result: RoutingResult, percent: float) -> float:
--- a/benchmarks/replay/__init__.py
+++ b/benchmarks/replay/__init__.py
@@ -1,7 +1,7 @@
-"""A small replay: the real planner and router against stand-in targets.
+"""Replays workloads with the real planner and router against simulated targets.
 
-It runs on a clock of its own and is no simulator of a cluster: entry nodes share
-their picture at once, and nothing fails.
+It runs on a simulated clock.  It does not simulate a cluster: entry nodes share their
+picture immediately, and nothing fails.
 """
 
 from replay._bound import pooled_bound
--- a/benchmarks/replay/_bound.py
+++ b/benchmarks/replay/_bound.py
@@ -7,18 +7,20 @@
 
 
 def pooled_bound(workload: Workload) -> Result:
-    """Serve in order of arrival on all slots, passing over what would be late.
+    """Serve requests in order of arrival on all slots, skipping those that end late.
 
-    No placement can do better: it loads nothing, waits for nothing, and spends
-    no slot on a request that ends late.
+    No placement can do better, as there are no loads and no waits for them, and no
+    slot is used for a request that ends late.
     """
     workers = workload.size.workers
-    free = [0.0] * (workers * SLOTS)
+    free_at = [0.0] * (workers * SLOTS)
     in_time = 0
     for arrival in workload.arrivals:
-        start = max(arrival.at, free[0])
+        start = max(arrival.at, free_at[0])
         if start + arrival.service <= arrival.at + DEADLINE_SECONDS:
-            heapq.heapreplace(free, start + arrival.service)
+            heapq.heapreplace(free_at, start + arrival.service)
             in_time += 1
-    total = len(workload.arrivals)
-    return Result("bound", total, in_time, total - in_time, 0, 0, workers)
+    request_count = len(workload.arrivals)
+    return Result(
+        "bound", request_count, in_time, request_count - in_time, 0, 0, workers
+    )
--- a/benchmarks/replay/_placements.py
+++ b/benchmarks/replay/_placements.py
@@ -1,4 +1,4 @@
-"""Placements that are compared: runhatch's planner and two baselines."""
+"""The placements to compare: runhatch's planner and two baselines."""
 
 from collections.abc import Mapping
 from datetime import timedelta
@@ -23,18 +23,18 @@
 
 
 class Placement(Protocol):
-    """Decides loads and retirements."""
+    """Decides when units are loaded and retired."""
 
     name: str
 
     def step(
         self, now: timedelta, counts: dict[str, int], rows: Rows, ages: Ages
     ) -> list[Action]:
-        """Return what to do at ``now``, given requests since the last step."""
+        """Return the actions at ``now`` for the requests since the last step."""
 
 
 class RunhatchPlacement:
-    """The daemon's own planner and demand estimate."""
+    """The planner and demand estimate of the daemon."""
 
     name = "runhatch"
 
@@ -45,7 +45,7 @@
     def step(
         self, now: timedelta, counts: dict[str, int], rows: Rows, ages: Ages
     ) -> list[Action]:
-        """Plan as the lease holder does."""
+        """Return the plan that the lease holder would make."""
         self._demand.add(counts)
         self._demand.tick(now)
         state = PoolState(
@@ -64,7 +64,7 @@
 
 
 class EvenStatic:
-    """As many replicas of each model as fit, evenly, and no moves ever after."""
+    """Loads as many replicas of each model as fit, evenly, once at the start."""
 
     name = "even static"
 
@@ -74,14 +74,14 @@
     def step(
         self, now: timedelta, counts: dict[str, int], rows: Rows, ages: Ages
     ) -> list[Action]:
-        """Load at the start only."""
+        """Return loads at the start, and no action later."""
         if now > timedelta():
             return []
         return fill_evenly(self._deployment, rows)
 
 
 class FollowDemand:
-    """Replicas in proportion to the last seconds' demand, without hysteresis."""
+    """Sets replicas in proportion to recent demand, without hysteresis."""
 
     name = "follow demand"
     window = timedelta(seconds=10)
@@ -89,43 +89,43 @@
     def __init__(self, deployment: Deployment) -> None:
         self._deployment = deployment
         self._counts: dict[str, int] = {}
-        self._next = timedelta()
+        self._next_window = timedelta()
 
     def step(
         self, now: timedelta, counts: dict[str, int], rows: Rows, ages: Ages
     ) -> list[Action]:
-        """Move straight to the placement that the window asks for."""
+        """Return the actions to reach the placement for the last window's demand."""
         for name, count in counts.items():
             self._counts[name] = self._counts.get(name, 0) + count
         if now == timedelta():
             return fill_evenly(self._deployment, rows)
-        if now < self._next:
+        if now < self._next_window:
             return []
-        self._next = now + self.window
-        wanted = self._wanted(rows)
+        self._next_window = now + self.window
+        replicas = self._target_replicas(rows)
         self._counts.clear()
-        return self._towards(wanted, rows)
+        return self._actions_towards(replicas, rows)
 
-    def _wanted(self, rows: Rows) -> dict[str, int]:
+    def _target_replicas(self, rows: Rows) -> dict[str, int]:
         total = sum(self._counts.values()) or 1
-        spare = len(rows) * 2
+        extra_replicas = len(rows) * 2
         return {
             model.name: min(
                 len(rows),
-                1 + round(spare * self._counts.get(model.name, 0) / total),
+                1 + round(extra_replicas * self._counts.get(model.name, 0) / total),
             )
             for model in self._deployment.models
         }
 
-    def _towards(self, wanted: dict[str, int], rows: Rows) -> list[Action]:
+    def _actions_towards(self, replicas: dict[str, int], rows: Rows) -> list[Action]:
         actions: list[Action] = []
-        changed = dict(rows)
+        planned_rows = dict(rows)
         for model in self._deployment.models:
-            serving = _hosts(model, changed, ChargeState.SERVING)
-            for host in serving[wanted[model.name] :]:
-                charge = changed[host].find(model.unit)
+            serving = _hosts(model, planned_rows, ChargeState.SERVING)
+            for host in serving[replicas[model.name] :]:
+                charge = planned_rows[host].find(model.unit)
                 assert charge is not None
-                changed[host] = changed[host].with_charge(charge.unloading())
+                planned_rows[host] = planned_rows[host].with_charge(charge.unloading())
                 actions.append(RetireUnit(host, model.unit, "less demand"))
         busiest = sorted(
             self._deployment.models,
@@ -133,23 +133,23 @@
             reverse=True,
         )
         for model in busiest:
-            lacking = wanted[model.name] - len(_hosts(model, changed, *PRESENT))
-            for _ in range(lacking):
-                load = _load(self._deployment, model, changed)
+            missing = replicas[model.name] - len(_hosts(model, planned_rows, *PRESENT))
+            for _ in range(missing):
+                load = _plan_load(self._deployment, model, planned_rows)
                 if load is not None:
                     actions.append(load)
         return actions
 
 
 def fill_evenly(deployment: Deployment, rows: Rows) -> list[Action]:
-    """Return loads of every model once, then again while anything fits."""
+    """Return loads of one replica of each model in turn, until none fits."""
     actions: list[Action] = []
-    changed = dict(rows)
+    planned_rows = dict(rows)
     fits = True
     while fits:
         fits = False
         for model in deployment.models:
-            load = _load(deployment, model, changed)
+            load = _plan_load(deployment, model, planned_rows)
             if load is not None:
                 actions.append(load)
                 fits = True
@@ -157,15 +157,15 @@
 
 
 def _hosts(model: ModelSpec, rows: Rows, *states: ChargeState) -> list[str]:
-    found = []
+    host_names = []
     for name, row in rows.items():
         charge = row.find(model.unit)
         if charge is not None and charge.state in states:
-            found.append(name)
-    return found
+            host_names.append(name)
+    return host_names
 
 
-def _load(
+def _plan_load(
     deployment: Deployment, model: ModelSpec, rows: dict[str, LedgerRow]
 ) -> LoadUnit | None:
     adapters = sum(a.memory_mb for a in deployment.adapters_of(model.name))
--- a/benchmarks/replay/_routing.py
+++ b/benchmarks/replay/_routing.py
@@ -1,7 +1,6 @@
-"""Routing replayed alone: engines with prefix caches, slow ones and dead ones.
+"""Replays routing with prefix caches, slow engines and failed engines.
 
-The dispatchers and the cache intake are the daemon's; engines are stand-ins on a
-clock that is moved.
+The dispatchers and the cache intake are the daemon's; the engines are simulated.
 """
 
 import heapq
@@ -51,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingSize:
-    """How large the system is, and what is asked of it."""
+    """The size, settings and load of a replay; times in seconds."""
 
     workers: int = 9
     nodes: int = 9
@@ -69,70 +68,72 @@
 
 @dataclass(slots=True)
 class RoutingResult:
-    """What came of a replay; times in seconds."""
+    """The counts and times of a replay; times in seconds."""
 
     requests: int = 0
     in_time: int = 0
     refused: int = 0
     failed_attempts: int = 0
-    asked_blocks: int = 0
+    requested_blocks: int = 0
     cached_blocks: int = 0
     first_tokens: list[float] = field(default_factory=list)
     arrivals_by_worker: list[tuple[float, str]] = field(default_factory=list)
     outcomes: list[tuple[float, bool]] = field(default_factory=list)
-    """When each request came, and whether it was answered in time."""
+    """The arrival time of each request and whether it was answered in time."""
 
-    def close(self, request: CallerRequest, in_time: bool) -> None:
-        """Note what became of a request."""
+    def record_outcome(self, request: CallerRequest, in_time: bool) -> None:
+        """Record whether a request was answered in time."""
         self.in_time += in_time
         self.outcomes.append((request.received.total_seconds(), in_time))
 
 
 class StandInEngine(Slots):
-    """Slots, a queue, a cache of blocks and the events it publishes."""
+    """A simulated engine with a prefix cache that publishes events."""
 
     def __init__(self, size: RoutingSize) -> None:
         super().__init__(SLOTS)
-        self._routing = size
+        self._settings = size
         self._cache: OrderedDict[str, None] = OrderedDict()
         self._events: list[tuple[float, CacheEvent]] = []
-        self._numbers = itertools.count()
-        self.slow = 1.0
-        self.dead = False
+        self._sequence_numbers = itertools.count()
+        self.slowdown = 1.0
+        self.failed = False
         self.now: Callable[[], float] = lambda: 0.0
 
     def prefill(self, blocks: tuple[str, ...]) -> int:
-        """Return how many ``blocks`` are cached, and cache the others."""
+        """Cache ``blocks`` and return how many were already cached."""
         cached = sum(block in self._cache for block in blocks)
         for block in blocks:
             if block not in self._cache:
                 self._publish(block, True)
             self._cache[block] = None
             self._cache.move_to_end(block)
-        while len(self._cache) > self._routing.cache_blocks:
+        while len(self._cache) > self._settings.cache_blocks:
             dropped, _ = self._cache.popitem(last=False)
             self._publish(dropped, False)
         return cached
 
     def cache_events(self, after: int, limit: int) -> CacheEvents:
-        """Tell what was published, late and with gaps."""
-        seen = self.now() - self._routing.event_lag
+        """Return cache events after a sequence number, delayed and with gaps."""
+        seen = self.now() - self._settings.event_lag
         start = max(0, after + 1 - self._events[0][1].sequence) if self._events else 0
-        told = [
+        published = [
             e for at, e in itertools.islice(self._events, start, None) if at <= seen
         ]
-        last = told[-1].sequence if told else after
-        gaps = self._routing.event_gaps
-        kept = [e for e in told if random.Random(e.sequence).random() >= gaps]
-        return CacheEvents(tuple(kept[:limit]), last)
+        last = published[-1].sequence if published else after
+        gaps = self._settings.event_gaps
+        received_events = [
+            e for e in published if random.Random(e.sequence).random() >= gaps
+        ]
+        return CacheEvents(tuple(received_events[:limit]), last)
 
     def _publish(self, block: str, stored: bool) -> None:
-        event = CacheEvent(next(self._numbers), block, stored)
+        event = CacheEvent(next(self._sequence_numbers), block, stored)
         self._events.append((self.now(), event))
 
 
 class RoutingReplay:
-    """One run; ``at`` lets a caller plan a disturbance."""
+    """One replay; faults can be scheduled by ``schedule`` before ``run``."""
 
     def __init__(self, size: RoutingSize) -> None:
         self.size = size
@@ -140,7 +141,7 @@
         self._random = random.Random(size.seed)
         self._clock = ManualClock()
         self._events: list[tuple[float, int, Work]] = []
-        self._order = itertools.count()
+        self._event_numbers = itertools.count()
         deployment = parse_deployment(json.dumps(_document(size.workers)).encode())
         picture = Picture()
         picture.configure(deployment)
@@ -158,38 +159,38 @@
         ]
         self._budgets = [RetryBudget() for _ in self._nodes]
         if size.events:
-            self._start_intakes(picture)
+            self._schedule_intakes(picture)
 
     @property
     def now(self) -> float:
         """Seconds since the start."""
         return self._clock.elapsed().total_seconds()
 
-    def at(self, seconds: float, work: Work) -> None:
-        """Have ``work`` done at ``seconds``."""
-        heapq.heappush(self._events, (seconds, next(self._order), work))
+    def schedule(self, seconds: float, work: Work) -> None:
+        """Run ``work`` at ``seconds`` from the start."""
+        heapq.heappush(self._events, (seconds, next(self._event_numbers), work))
 
     def run(self) -> RoutingResult:
-        """Replay all arrivals and return what came of them."""
+        """Replay all arrivals and return the result."""
         groups = list(range(self.size.groups))
         weights = [1 / (rank + 1) for rank in groups]
         at = 0.0
         while (at := at + self._random.expovariate(self.size.rate)) < self.size.seconds:
             group = self._random.choices(groups, weights)[0]
             node = self._random.randrange(self.size.nodes)
-            self.at(at, lambda g=group, n=node: self._arrive(g, n))
+            self.schedule(at, lambda g=group, n=node: self._arrive(g, n))
         while self._events:
             seconds, _, work = heapq.heappop(self._events)
             self._clock._elapsed = timedelta(seconds=seconds)
             work()
         return self.result
 
-    def _start_intakes(self, picture: Picture) -> None:
+    def _schedule_intakes(self, picture: Picture) -> None:
         urls = {url: self.engines[name] for name, url in picture.target_urls().items()}
         for node in self._nodes:
             intake = CacheIntake(node, picture, Metrics(), 4, urls.__getitem__)
             for second in range(1, int(self.size.seconds)):
-                self.at(second, intake.read_round)
+                self.schedule(second, intake.read_round)
 
     def _arrive(self, group: int, node: int) -> None:
         self.result.requests += 1
@@ -199,17 +200,17 @@
             "", "caller", ROUTE, "POST", "/", 3, now, now + DEADLINE, True, None, b"",
             prefix=prefix_blocks("m", text),
         )  # fmt: skip
-        self._enter(request, node, frozenset())
+        self._enter_node(request, node, frozenset())
 
-    def _enter(
+    def _enter_node(
         self, request: CallerRequest, node: int, avoided: frozenset[str]
     ) -> None:
-        entered = self._nodes[node].enter(request, avoided)
-        if isinstance(entered, Waiter):
-            give_up = self.now + max(0.0, entered.patience.total_seconds())
-            self._poll(entered, request, node, avoided, give_up)
+        admission = self._nodes[node].enter(request, avoided)
+        if isinstance(admission, Waiter):
+            wait_until = self.now + max(0.0, admission.patience.total_seconds())
+            self._poll(admission, request, node, avoided, wait_until)
         else:
-            self._granted(entered, request, node, avoided)
+            self._apply_grant(admission, request, node, avoided)
 
     def _poll(
         self,
@@ -217,15 +218,17 @@
         request: CallerRequest,
         node: int,
         avoided: frozenset[str],
-        give_up: float,
+        wait_until: float,
     ) -> None:
-        if waiter.settled.is_set() or self.now >= give_up - POLL / 100:
-            self._granted(self._nodes[node].leave(waiter), request, node, avoided)
+        if waiter.settled.is_set() or self.now >= wait_until - POLL / 100:
+            self._apply_grant(self._nodes[node].leave(waiter), request, node, avoided)
             return
-        following = min(give_up, self.now + POLL)
-        self.at(following, lambda: self._poll(waiter, request, node, avoided, give_up))
+        next_poll = min(wait_until, self.now + POLL)
+        self.schedule(
+            next_poll, lambda: self._poll(waiter, request, node, avoided, wait_until)
+        )
 
-    def _granted(
+    def _apply_grant(
         self,
         grant: Grant | Refusal,
         request: CallerRequest,
@@ -233,35 +236,35 @@
         avoided: frozenset[str],
     ) -> None:
         if isinstance(grant, Refusal):
-            self._refused(request)
+            self._record_refusal(request)
             return
         name = grant.host.target
         self.result.arrivals_by_worker.append((self.now, name))
         engine = self.engines[name]
-        if engine.dead:
-            self.at(
+        if engine.failed:
+            self.schedule(
                 self.now + CONNECT_SECONDS,
-                lambda: self._failed(grant, request, node, avoided),
+                lambda: self._retry_failed(grant, request, node, avoided),
             )
             return
         sent = self.now
-        engine.begin(lambda: self._run(grant, request, node, engine, sent))
+        engine.begin(lambda: self._run_request(grant, request, node, engine, sent))
 
-    def _failed(
+    def _retry_failed(
         self, grant: Grant, request: CallerRequest, node: int, avoided: frozenset[str]
     ) -> None:
         self.result.failed_attempts += 1
         self._nodes[node].failed(grant, NotSent(AttemptReason.CONNECT_FAILED))
         if self._budgets[node].withdraw():
-            self._enter(request, node, avoided | {grant.host.target})
+            self._enter_node(request, node, avoided | {grant.host.target})
         else:
-            self._refused(request)
+            self._record_refusal(request)
 
-    def _refused(self, request: CallerRequest) -> None:
+    def _record_refusal(self, request: CallerRequest) -> None:
         self.result.refused += 1
-        self.result.close(request, in_time=False)
+        self.result.record_outcome(request, in_time=False)
 
-    def _run(
+    def _run_request(
         self,
         grant: Grant,
         request: CallerRequest,
@@ -270,29 +273,29 @@
         sent: float,
     ) -> None:
         cached = engine.prefill(request.prefix)
-        self.result.asked_blocks += len(request.prefix)
+        self.result.requested_blocks += len(request.prefix)
         self.result.cached_blocks += cached
-        prefill = PREFILL_PER_BLOCK * (len(request.prefix) - cached) * engine.slow
+        prefill = PREFILL_PER_BLOCK * (len(request.prefix) - cached) * engine.slowdown
         first = self.now + prefill
         received = request.received.total_seconds()
         self.result.first_tokens.append(first - received)
-        end = first + TOKENS_SECONDS * engine.slow
+        end = first + TOKENS_SECONDS * engine.slowdown
         deadline = request.deadline.total_seconds()
-        self.at(end, engine.end)
+        self.schedule(end, engine.end)
 
-        def finish() -> None:
+        def complete() -> None:
             load = ReportedLoad(engine.running, len(engine.queue))
             first_byte = timedelta(seconds=first - sent)
             self._nodes[node].completed(grant, first_byte, load)
             self._budgets[node].deposit()
-            self.result.close(request, in_time=True)
+            self.result.record_outcome(request, in_time=True)
 
-        def give_up() -> None:
+        def time_out() -> None:
             outcome = UnknownResult(AttemptReason.TIMED_OUT)
             self._nodes[node].failed(grant, outcome)
-            self.result.close(request, in_time=False)
+            self.result.record_outcome(request, in_time=False)
 
-        self.at(min(end, deadline), finish if end <= deadline else give_up)
+        self.schedule(min(end, deadline), complete if end <= deadline else time_out)
 
 
 def _document(workers: int) -> dict[str, object]:
--- a/benchmarks/replay/_run.py
+++ b/benchmarks/replay/_run.py
@@ -1,4 +1,4 @@
-"""Replaying one workload under one placement."""
+"""Replays a workload under one placement."""
 
 import heapq
 import itertools
@@ -30,15 +30,15 @@
 STEP = 1.0
 PREFILL = timedelta(milliseconds=100)
 ROUNDING = 1e-5
-"""The clock keeps whole microseconds; without this a poll could never end."""
+"""Seconds; the clock rounds to microseconds, which could prevent a poll's end."""
 LOAD_SECONDS = 15.0
 UNLOAD_SECONDS = 4.0
-"""Grace for routing to stop, and the unload itself."""
+"""Seconds until routing has stopped, plus the unload itself."""
 
 
 @dataclass(slots=True)
 class Result:
-    """What came of a replay."""
+    """The counts of a replay."""
 
     placement: str
     requests: int
@@ -50,12 +50,12 @@
 
     @property
     def attainment_per_accelerator(self) -> float:
-        """The share of requests served in time, by accelerator."""
+        """The share of requests answered in time, divided by the accelerators."""
         return self.in_time / self.requests / self.accelerators
 
 
 class Baseline(Enum):
-    """How requests are routed and admitted."""
+    """The routing and admission policy of a replay."""
 
     RUNHATCH = "runhatch"
     ROUND_ROBIN = "round robin"
@@ -67,17 +67,17 @@
         self, workload: Workload, placement: Placement, seed: int, baseline: Baseline
     ) -> None:
         self._baseline = baseline
-        self._turn = itertools.count()
+        self._round_robin = itertools.count()
         self._workload = workload
         self._placement = placement
         self._clock = ManualClock()
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        self._order = itertools.count()
+        self._event_numbers = itertools.count()
         targets = workload.deployment.pools[0].targets
         self._engines = {target.name: Slots(SLOTS) for target in targets}
         self._rows = {t.name: LedgerRow(t.name, t.memory_mb) for t in targets}
         self._versions: Counter[str] = Counter()
-        self._since: dict[tuple[str, str], timedelta] = {}
+        self._state_changed_at: dict[tuple[str, str], timedelta] = {}
         self._picture = Picture()
         self._picture.configure(workload.deployment)
         self._nodes = [
@@ -85,9 +85,9 @@
             for i in range(ENTRY_NODES)
         ]
         self._counts: Counter[str] = Counter()
-        self._loading = 0
-        self._pending: deque[tuple[str, str]] = deque()
-        self._permits = 0.0
+        self._loads_in_progress = 0
+        self._pending_loads: deque[tuple[str, str]] = deque()
+        self._load_permits = 0.0
         self._started = False
         accelerators = sum(target.accelerators for target in targets)
         self.result = Result(
@@ -95,36 +95,36 @@
         )
 
     def run(self) -> Result:
-        """Settle the first placement, then replay all arrivals."""
-        self._settle_first_placement()
+        """Load the first placement, then replay all arrivals."""
+        self._load_first_placement()
         for index, arrival in enumerate(self._workload.arrivals):
             node = self._nodes[index % ENTRY_NODES]
-            self._at(arrival.at, lambda a=arrival, n=node: self._arrive(a, n))
+            self._schedule(arrival.at, lambda a=arrival, n=node: self._arrive(a, n))
         steps = int(self._workload.seconds / STEP)
         for step in range(1, steps):
-            self._at(step * STEP, self._step)
+            self._schedule(step * STEP, self._run_step)
         while self._events:
             at, _, work = heapq.heappop(self._events)
             self._clock._elapsed = timedelta(seconds=at)
             work()
         return self.result
 
-    def _settle_first_placement(self) -> None:
-        """Load until nothing more is asked for, without counting moves."""
+    def _load_first_placement(self) -> None:
+        """Load units until no more are planned, without counting moves."""
         while True:
             actions = self._placement.step(timedelta(), {}, self._rows, {})
             loads = [action for action in actions if isinstance(action, LoadUnit)]
             for load in loads:
                 row = self._rows[load.target].with_charge(load.charge().serving())
-                self._write(row)
+                self._write_row(row)
             if not loads:
                 break
             if self._placement.name != "runhatch":
                 break
         self._started = True
 
-    def _at(self, seconds: float, work: Callable[[], None]) -> None:
-        heapq.heappush(self._events, (seconds, next(self._order), work))
+    def _schedule(self, seconds: float, work: Callable[[], None]) -> None:
+        heapq.heappush(self._events, (seconds, next(self._event_numbers), work))
 
     @property
     def _now(self) -> float:
@@ -147,31 +147,31 @@
             b"",
         )
         if self._baseline is not Baseline.RUNHATCH:
-            self._take_any(arrival, request)
+            self._send_unadmitted(arrival, request)
             return
-        entered = node.enter(request)
-        if isinstance(entered, Waiter):
-            give_up = self._now + max(0.0, entered.patience.total_seconds())
-            self._poll(entered, arrival, node, request, give_up)
+        admission = node.enter(request)
+        if isinstance(admission, Waiter):
+            wait_until = self._now + max(0.0, admission.patience.total_seconds())
+            self._poll(admission, arrival, node, request, wait_until)
         else:
-            self._begin(entered, arrival, node, request)
+            self._run_granted(admission, arrival, node, request)
 
-    def _take_any(self, arrival: Arrival, request: CallerRequest) -> None:
-        """Send to a host without admission, as the baseline chooses."""
+    def _send_unadmitted(self, arrival: Arrival, request: CallerRequest) -> None:
+        """Send a request to a host chosen by the baseline, without admission."""
         hosts = self._picture.hosts(request.route)
         engines = [self._engines[host.target] for host in hosts]
         if self._baseline is Baseline.ROUND_ROBIN:
-            engine = engines[next(self._turn) % len(engines)]
+            engine = engines[next(self._round_robin) % len(engines)]
         else:
             engine = min(engines, key=lambda e: e.running + len(e.queue))
 
         def end() -> None:
             engine.end()
-            self._judge(request)
+            self._record_answer(request)
 
-        engine.begin(lambda: self._at(self._now + arrival.service, end))
+        engine.begin(lambda: self._schedule(self._now + arrival.service, end))
 
-    def _judge(self, request: CallerRequest) -> None:
+    def _record_answer(self, request: CallerRequest) -> None:
         if self._clock.elapsed() <= request.deadline:
             self.result.in_time += 1
         else:
@@ -183,16 +183,18 @@
         arrival: Arrival,
         node: Dispatcher,
         request: CallerRequest,
-        give_up: float,
+        wait_until: float,
     ) -> None:
-        """Look every 20 ms whether the waiter was settled."""
-        if waiter.settled.is_set() or self._now >= give_up - ROUNDING:
-            self._begin(node.leave(waiter), arrival, node, request)
+        """Check every 20 ms whether the waiter is settled."""
+        if waiter.settled.is_set() or self._now >= wait_until - ROUNDING:
+            self._run_granted(node.leave(waiter), arrival, node, request)
             return
-        following = min(give_up, self._now + 0.02)
-        self._at(following, lambda: self._poll(waiter, arrival, node, request, give_up))
+        next_poll = min(wait_until, self._now + 0.02)
+        self._schedule(
+            next_poll, lambda: self._poll(waiter, arrival, node, request, wait_until)
+        )
 
-    def _begin(
+    def _run_granted(
         self,
         grant: Grant | Refusal,
         arrival: Arrival,
@@ -208,65 +210,69 @@
         def end() -> None:
             engine.end()
             load = ReportedLoad(engine.running, len(engine.queue))
-            took = self._clock.elapsed() - sent
-            # The first token comes after the engine's queue and the prefill.
-            queued = took - timedelta(seconds=arrival.service)
+            elapsed = self._clock.elapsed() - sent
+            # The first token follows the wait in the engine's queue and the prefill.
+            queued = elapsed - timedelta(seconds=arrival.service)
             node.completed(grant, queued + PREFILL, load)
-            self._judge(request)
+            self._record_answer(request)
 
-        engine.begin(lambda: self._at(self._now + arrival.service, end))
+        engine.begin(lambda: self._schedule(self._now + arrival.service, end))
 
-    def _step(self) -> None:
+    def _run_step(self) -> None:
         counts = dict(self._counts)
         self._counts.clear()
         now = self._clock.elapsed()
-        ages = {pair: now - since for pair, since in self._since.items()}
+        ages = {pair: now - since for pair, since in self._state_changed_at.items()}
         for action in self._placement.step(now, counts, self._rows, ages):
             row = self._rows[action.target]
             if isinstance(action, LoadUnit):
-                self._write(row.with_charge(action.charge()))
-                self._pending.append((action.target, action.unit))
+                self._write_row(row.with_charge(action.charge()))
+                self._pending_loads.append((action.target, action.unit))
                 self.result.moves += 1
                 continue
             charge = row.find(action.unit)
             assert charge is not None
-            self._write(row.with_charge(charge.unloading()))
+            self._write_row(row.with_charge(charge.unloading()))
             self.result.moves += 1
             target, unit = action.target, action.unit
-            self._at(
-                self._now + UNLOAD_SECONDS, lambda t=target, u=unit: self._drop(t, u)
+            self._schedule(
+                self._now + UNLOAD_SECONDS,
+                lambda t=target, u=unit: self._remove_unit(t, u),
             )
         self._begin_loads()
 
     def _begin_loads(self) -> None:
         size = self._workload.size
-        self._permits = min(2.0, self._permits + size.loads_per_second * STEP)
+        self._load_permits = min(2.0, self._load_permits + size.loads_per_second * STEP)
         while (
-            self._pending and self._permits >= 1 and self._loading < size.loads_at_once
+            self._pending_loads
+            and self._load_permits >= 1
+            and self._loads_in_progress < size.loads_at_once
         ):
-            self._permits -= 1
-            self._loading += 1
-            target, unit = self._pending.popleft()
-            self._at(
-                self._now + LOAD_SECONDS, lambda t=target, u=unit: self._loaded(t, u)
+            self._load_permits -= 1
+            self._loads_in_progress += 1
+            target, unit = self._pending_loads.popleft()
+            self._schedule(
+                self._now + LOAD_SECONDS,
+                lambda t=target, u=unit: self._finish_load(t, u),
             )
 
-    def _loaded(self, target: str, unit: str) -> None:
-        self._loading -= 1
+    def _finish_load(self, target: str, unit: str) -> None:
+        self._loads_in_progress -= 1
         charge = self._rows[target].find(unit)
         if charge is not None and charge.state is ChargeState.LOADING:
-            self._write(self._rows[target].with_charge(charge.serving()))
+            self._write_row(self._rows[target].with_charge(charge.serving()))
 
-    def _drop(self, target: str, unit: str) -> None:
-        self._write(self._rows[target].without([unit]))
-        self._since.pop((target, unit), None)
+    def _remove_unit(self, target: str, unit: str) -> None:
+        self._write_row(self._rows[target].without([unit]))
+        self._state_changed_at.pop((target, unit), None)
 
-    def _write(self, row: LedgerRow) -> None:
+    def _write_row(self, row: LedgerRow) -> None:
         row.check()
         for charge in row.charges:
-            known = self._rows[row.target].find(charge.unit)
-            if known is None or known.state is not charge.state:
-                self._since[row.target, charge.unit] = self._clock.elapsed()
+            previous = self._rows[row.target].find(charge.unit)
+            if previous is None or previous.state is not charge.state:
+                self._state_changed_at[row.target, charge.unit] = self._clock.elapsed()
         self._rows[row.target] = row
         self._versions[row.target] += 1
         self._picture.learn(hosting_of(VersionedRow(row, self._versions[row.target])))
@@ -280,5 +286,5 @@
     seed: int,
     baseline: Baseline = Baseline.RUNHATCH,
 ) -> Result:
-    """Replay ``workload`` under ``placement``, routed as ``baseline`` says."""
+    """Replay ``workload`` under ``placement`` with the routing of ``baseline``."""
     return _Replay(workload, placement, seed, baseline).run()
--- a/benchmarks/replay/_slots.py
+++ b/benchmarks/replay/_slots.py
@@ -1,4 +1,4 @@
-"""What a stand-in engine runs at once, and what waits there."""
+"""The running and the waiting requests of a simulated engine."""
 
 from collections import deque
 from collections.abc import Callable
@@ -15,7 +15,7 @@
         self.queue: deque[Work] = deque()
 
     def begin(self, start: Work) -> None:
-        """Start a request if a slot is free, else when one is."""
+        """Start a request, or queue it until a slot is free."""
         if self.running < self._size:
             self.running += 1
             start()
@@ -23,7 +23,7 @@
             self.queue.append(start)
 
     def end(self) -> None:
-        """Give a slot to who waits."""
+        """Release a slot to the next waiting request."""
         if self.queue:
             self.queue.popleft()()
         else:
--- a/benchmarks/replay/_workload.py
+++ b/benchmarks/replay/_workload.py
@@ -1,4 +1,4 @@
-"""Seeded bursts of requests over the models of one deployment."""
+"""Generates requests with bursts for the models of a deployment, from a seed."""
 
 import random
 from dataclasses import dataclass
@@ -12,16 +12,16 @@
 BURST_FACTOR = 10.0
 BURST_SECONDS = (60.0, 400.0)
 MODELS_IN_BURST = 0.06
-"""Share of models in a burst at any moment, on average."""
-MEMORY_FILLED = 0.7
-"""Share of all memory that one replica of every model takes."""
-POPULARITY = 0.9
-"""Exponent of the models' popularity by rank."""
+"""Average share of models that are in a burst."""
+MEMORY_SHARE = 0.7
+"""Share of all memory needed for one replica of every model."""
+POPULARITY_EXPONENT = 0.9
+"""Exponent of the Zipf distribution of popularity over the models' ranks."""
 
 
 @dataclass(frozen=True, slots=True)
 class Size:
-    """One deployment as it is today."""
+    """The size of a deployment and its limits on loads."""
 
     name: str
     workers: int
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Workload:
-    """A deployment and the requests that come to it."""
+    """A deployment and its requests."""
 
     size: Size
     deployment: Deployment
@@ -58,44 +58,48 @@
 def make_workload(
     size: Size, seed: int, seconds: float, load: float, bursts: bool = True
 ) -> Workload:
-    """Return requests whose mean work is ``load`` times what all slots carry.
+    """Return a workload with a mean load of ``load`` times the capacity of all slots.
 
-    Without ``bursts`` every model is small enough to be on every worker, and is
-    asked for evenly.
+    Without ``bursts`` every worker has memory for every model, and all models have
+    equal demand.
     """
-    source = random.Random(seed)
+    rng = random.Random(seed)
     names = [f"m{index}" for index in range(size.models)]
-    shares = [1 / (rank + 1) ** POPULARITY for rank in range(size.models)]
-    source.shuffle(shares)
+    shares = [1 / (rank + 1) ** POPULARITY_EXPONENT for rank in range(size.models)]
+    rng.shuffle(shares)
     if not bursts:
         shares = [1.0 for _ in names]
-    found = {name: _bursts(source, seconds) if bursts else [] for name in names}
-    grown = 1 + MODELS_IN_BURST * (BURST_FACTOR - 1) if bursts else 1.0
-    mean = load * size.workers * SLOTS / SERVICE_SECONDS / (sum(shares) * grown)
+    bursts_by_name = {
+        name: _make_bursts(rng, seconds) if bursts else [] for name in names
+    }
+    mean_growth = 1 + MODELS_IN_BURST * (BURST_FACTOR - 1) if bursts else 1.0
+    mean = load * size.workers * SLOTS / SERVICE_SECONDS / (sum(shares) * mean_growth)
     arrivals = []
     for name, share in zip(names, shares, strict=True):
-        arrivals += _arrivals(source, name, mean * share, found[name], seconds)
+        arrivals += _make_arrivals(
+            rng, name, mean * share, bursts_by_name[name], seconds
+        )
     arrivals.sort(key=lambda arrival: arrival.at)
-    filled = MEMORY_FILLED if bursts else MEMORY_FILLED / size.workers
-    deployment = _deployment(size, seed, filled)
+    memory_share = MEMORY_SHARE if bursts else MEMORY_SHARE / size.workers
+    deployment = _make_deployment(size, seed, memory_share)
     return Workload(size, deployment, tuple(arrivals), seconds)
 
 
-def _bursts(source: random.Random, seconds: float) -> list[tuple[float, float]]:
-    """Return begin and end of the times at which a model is asked for tenfold."""
+def _make_bursts(rng: random.Random, seconds: float) -> list[tuple[float, float]]:
+    """Return start and end times of a model's bursts, in which demand is tenfold."""
     mean_length = sum(BURST_SECONDS) / 2
     mean_gap = mean_length * (1 - MODELS_IN_BURST) / MODELS_IN_BURST
     bursts = []
-    at = source.expovariate(1 / mean_gap)
+    at = rng.expovariate(1 / mean_gap)
     while at < seconds:
-        end = at + source.uniform(*BURST_SECONDS)
+        end = at + rng.uniform(*BURST_SECONDS)
         bursts.append((at, end))
-        at = end + source.expovariate(1 / mean_gap)
+        at = end + rng.expovariate(1 / mean_gap)
     return bursts
 
 
-def _arrivals(
-    source: random.Random,
+def _make_arrivals(
+    rng: random.Random,
     name: str,
     rate: float,
     bursts: list[tuple[float, float]],
@@ -103,20 +107,20 @@
 ) -> list[Arrival]:
     arrivals = []
     at = 0.0
-    # Thinning: draw at the highest rate, keep what the present rate allows.
+    # Thinning: draw at the highest rate and accept in proportion to the rate.
     highest = rate * BURST_FACTOR
     while True:
-        at += source.expovariate(highest)
+        at += rng.expovariate(highest)
         if at >= seconds:
             return arrivals
         bursting = any(begin <= at < end for begin, end in bursts)
-        if bursting or source.random() < 1 / BURST_FACTOR:
-            service = source.lognormvariate(0, 0.4) * SERVICE_SECONDS
+        if bursting or rng.random() < 1 / BURST_FACTOR:
+            service = rng.lognormvariate(0, 0.4) * SERVICE_SECONDS
             arrivals.append(Arrival(at, name, service))
 
 
-def _deployment(size: Size, seed: int, filled: float) -> Deployment:
-    source = random.Random(seed + 1)
+def _make_deployment(size: Size, seed: int, memory_share: float) -> Deployment:
+    rng = random.Random(seed + 1)
     targets = [
         {
             "name": f"w{index}",
@@ -128,12 +132,12 @@
         }
         for index in range(size.workers)
     ]
-    mean = filled * size.workers * MEMORY_MB / size.models
+    mean = memory_share * size.workers * MEMORY_MB / size.models
     models = [
         {
             "name": f"m{index}",
             "pool": "pool",
-            "memory_mb": int(mean * source.uniform(0.6, 1.4)),
+            "memory_mb": int(mean * rng.uniform(0.6, 1.4)),
             "loading_peak_mb": 500,
             "service_seconds": SERVICE_SECONDS,
         }
