--- a/benchmarks/_relay_load.py
+++ b/benchmarks/_relay_load.py
@@ -1,4 +1,4 @@
-"""Callers that measure streams: first token, gaps, and processor time."""
+"""Callers that measure the first token and the gaps of streams."""
 
 import http.client
 import json
@@ -18,11 +18,11 @@
     first_token: float
     gaps: list[float] = field(default_factory=list)
     tokens: int = 0
-    whole: bool = False
+    complete: bool = False
 
 
 def read_stream(url: str, model: str, prompt: str, tokens: int) -> Stream | None:
-    """Send one streamed request; ``None`` if it was not answered."""
+    """Send one streaming request; return ``None`` if it fails."""
     parts = urlsplit(url)
     connection = http.client.HTTPConnection(
         str(parts.hostname), parts.port, timeout=TIMEOUT_SECONDS
@@ -42,14 +42,14 @@
         response = connection.getresponse()
         if response.status != 200:
             return None
-        return _read(response, started)
+        return _read_events(response, started)
     except (OSError, http.client.HTTPException):
         return None
     finally:
         connection.close()
 
 
-def _read(response: http.client.HTTPResponse, started: float) -> Stream:
+def _read_events(response: http.client.HTTPResponse, started: float) -> Stream:
     stream = Stream(0.0)
     last = started
     while chunk := response.read1(65_536):
@@ -61,37 +61,37 @@
             stream.gaps.append(now - last)
         last = now
         stream.tokens += events
-        stream.whole = stream.whole or b"[DONE]" in chunk
+        stream.complete = stream.complete or b"[DONE]" in chunk
     return stream
 
 
 def run_streams(
     url: str,
     models: list[str],
-    at_once: int,
+    concurrency: int,
     count: int,
     tokens: int,
     seed: int,
     spread: float,
 ) -> list[Stream]:
-    """Keep ``at_once`` streams in progress, ``count`` in all.
+    """Run ``count`` streams, ``concurrency`` of them at a time.
 
-    The first arrive at random within ``spread`` seconds; with none, and ``count``
-    equal to ``at_once``, all arrive in the same instant.
+    The first ones start at random within ``spread`` seconds.  With a spread of 0 and
+    ``count`` equal to ``concurrency``, all start at the same time.
     """
-    source = random.Random(seed)
+    rng = random.Random(seed)
     lock = threading.Lock()
     streams: list[Stream] = []
-    left = [count]
+    remaining = [count]
 
-    def caller(index: int, delay: float) -> None:
+    def run_caller(index: int, delay: float) -> None:
         time.sleep(delay)
         while True:
             with lock:
-                if left[0] <= 0:
+                if remaining[0] <= 0:
                     return
-                left[0] -= 1
-                number = left[0]
+                remaining[0] -= 1
+                number = remaining[0]
             model = models[number % len(models)]
             stream = read_stream(url, model, f"bench {index} {number}", tokens)
             if stream is not None:
@@ -99,8 +99,8 @@
                     streams.append(stream)
 
     threads = [
-        threading.Thread(target=caller, args=(i, source.uniform(0, spread)))
-        for i in range(at_once)
+        threading.Thread(target=run_caller, args=(i, rng.uniform(0, spread)))
+        for i in range(concurrency)
     ]
     for thread in threads:
         thread.start()
--- a/benchmarks/_reporting.py
+++ b/benchmarks/_reporting.py
@@ -1,4 +1,4 @@
-"""Figures as JSON lines, and as the tables of docs/measurements.md."""
+"""Writes figures as JSON lines and as the tables of docs/measurements.md."""
 
 import json
 import platform
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True)
 class Report:
-    """The figures of one benchmark."""
+    """The figures of one benchmark, one row per case."""
 
     name: str
     title: str
@@ -26,20 +26,20 @@
     notes: list[str] = field(default_factory=list)
 
     def add(self, **figures: object) -> None:
-        """Add one row, and print it as a JSON line."""
+        """Add a row of figures and print it as a JSON line."""
         self.rows.append(figures)
         print(json.dumps({"benchmark": self.name, **figures}), flush=True)
 
-    def note(self, text: str) -> None:
-        """Add a sentence below the table."""
+    def add_note(self, text: str) -> None:
+        """Add a paragraph below the table."""
         self.notes.append(text)
         print(json.dumps({"benchmark": self.name, "note": text}), flush=True)
 
     def write(self) -> None:
-        """Put the table into the page, in place of an earlier one."""
+        """Write the table to the page, replacing its previous version."""
         page = PAGE.read_text() if PAGE.exists() else HEAD
         begin, end = f"<!-- {self.name} -->", f"<!-- end {self.name} -->"
-        section = "\n".join([begin, self._section(), end])
+        section = "\n".join([begin, self._render_section(), end])
         pattern = re.compile(f"{re.escape(begin)}.*?{re.escape(end)}", re.DOTALL)
         if pattern.search(page):
             page = pattern.sub(lambda match: section, page)
@@ -47,22 +47,22 @@
             page = f"{page.rstrip()}\n\n{section}\n"
         PAGE.write_text(page)
 
-    def _section(self) -> str:
+    def _render_section(self) -> str:
         names = list(dict.fromkeys(name for row in self.rows for name in row))
-        at = datetime.now(UTC).strftime("%Y-%m-%d")
+        date = datetime.now(UTC).strftime("%Y-%m-%d")
         lines = [f"## {self.title}", ""]
-        lines += [f"`{self.command}`, {at}, Python {platform.python_version()}", ""]
+        lines += [f"`{self.command}`, {date}, Python {platform.python_version()}", ""]
         lines.append("| " + " | ".join(name.replace("_", " ") for name in names) + " |")
         lines.append("|" + " --- |" * len(names))
         for row in self.rows:
-            cells = [_cell(row.get(name, "")) for name in names]
+            cells = [_format_cell(row.get(name, "")) for name in names]
             lines.append("| " + " | ".join(cells) + " |")
         for text in self.notes:
             lines += ["", text]
         return "\n".join(lines)
 
 
-def _cell(value: object) -> str:
+def _format_cell(value: object) -> str:
     if isinstance(value, float):
         return f"{value:.4g}"
     return str(value)
--- a/benchmarks/bench_claims.py
+++ b/benchmarks/bench_claims.py
@@ -1,4 +1,4 @@
-"""Claims a second, and what group commit saves, against a table with a delay."""
+"""Claims per second, with and without group commit, on a table with latency."""
 
 import time
 from concurrent.futures import ThreadPoolExecutor
@@ -27,7 +27,7 @@
 
 
 class SlowTable(MemoryTable):
-    """A table whose every write takes as long as one in the next hall."""
+    """A table whose writes take as long as those to a store in another hall."""
 
     def transact(self, writes):
         time.sleep(CALL_SECONDS)
@@ -35,7 +35,7 @@
 
 
 class SingleCommitter:
-    """Commits each transaction by itself."""
+    """Commits each transaction separately."""
 
     def __init__(self, table):
         self._table = table
@@ -45,7 +45,7 @@
 
 
 def run(nodes: int, grouped: bool) -> tuple[float, float]:
-    """Return claims a second and calls to the table for each claim."""
+    """Return the claims per second and the table calls per claim."""
     table = SlowTable()
     committers: list[Committer] = [
         GroupCommitter(table) if grouped else SingleCommitter(table)
@@ -54,7 +54,7 @@
     clock = SystemClock()
     claims = [Claims(table, each, f"n{i}", clock) for i, each in enumerate(committers)]
 
-    def work(index: int) -> None:
+    def claim(index: int) -> None:
         node = claims[index % nodes]
         taken = node.take(f"key-{index}", "digest")
         assert isinstance(taken, Taken)
@@ -62,13 +62,13 @@
 
     started = time.perf_counter()
     with ThreadPoolExecutor(THREADS) as pool:
-        list(pool.map(work, range(CLAIMS)))
-    took = time.perf_counter() - started
-    return CLAIMS / took, table.writes / CLAIMS
+        list(pool.map(claim, range(CLAIMS)))
+    elapsed = time.perf_counter() - started
+    return CLAIMS / elapsed, table.writes / CLAIMS
 
 
 def count_store_writes(inline_bytes: int, at_once: int) -> dict[str, float]:
-    """Return what a keyed request writes to the store, by whole processes."""
+    """Return the store writes and latency of a keyed request in a real cluster."""
     serving = {"inline_answer_bytes": inline_bytes}
     cluster = start_cluster(Sizes(models=1, adapters=0), {"serving": serving})
     try:
@@ -79,13 +79,13 @@
         with ThreadPoolExecutor(at_once) as pool:
             wanted = [Wanted(f"b{i}", Shape.BOOKING, "") for i in range(KEYED)]
             times = sorted(
-                pool.map(lambda i: _time(urls[i % 3], wanted[i]), range(KEYED))
+                pool.map(lambda i: _request_ms(urls[i % 3], wanted[i]), range(KEYED))
             )
-        took = time.perf_counter() - started
+        elapsed = time.perf_counter() - started
         after = call(cluster.platform.url, "GET", "/stats")
     finally:
         cluster.close()
-    idle = IDLE_WRITES_A_SECOND * took
+    idle = IDLE_WRITES_A_SECOND * elapsed
     rows = (after["writes"] - before["writes"] - idle) / KEYED
     objects = (after["object_puts"] - before["object_puts"]) / KEYED
     return {
@@ -97,17 +97,17 @@
     }
 
 
-def _time(url: str, wanted: Wanted) -> float:
-    """Return the milliseconds of one request; raises unless it is answered."""
+def _request_ms(url: str, wanted: Wanted) -> float:
+    """Return the duration of one request in ms; raise ``RuntimeError`` if it fails."""
     started = time.perf_counter()
-    got = send(url, wanted)
-    if got.status != CREATED:
-        raise RuntimeError(f"{wanted.name}: status {got.status}")
+    outcome = send(url, wanted)
+    if outcome.status != CREATED:
+        raise RuntimeError(f"{wanted.name}: status {outcome.status}")
     return (time.perf_counter() - started) * 1_000
 
 
 def store_rows() -> None:
-    """Report what keeping small answers in their claims' rows saves."""
+    """Report the store writes saved by storing small answers in claim rows."""
     report = Report("kept", "Store writes of a keyed request", "make bench-claims")
     for inline_bytes in (0, 8_192):
         for at_once in (1, 32):
@@ -116,15 +116,15 @@
                 at_once=at_once,
                 **count_store_writes(inline_bytes, at_once),
             )
-    report.note(
+    report.add_note(
         f"{KEYED} bookings through three nodes to one plain service, 20 ms each; "
-        f"less {IDLE_WRITES_A_SECOND:g} writes a second of an idle system."
+        f"without the {IDLE_WRITES_A_SECOND:g} writes a second of an idle system."
     )
     report.write()
 
 
 def main() -> None:
-    """Run and report."""
+    """Run the benchmark and write its report."""
     store_rows()
     report = Report("claims", "Claims and group commit", "make bench-claims")
     for nodes in NODES:
@@ -136,9 +136,9 @@
                 claims_s=round(rate),
                 table_calls_a_claim=round(calls, 3),
             )
-    report.note(
-        f"{THREADS} requests at once over all nodes, {CALL_SECONDS * 1000:g} ms a call "
-        "to the table. A claim is two transactions: taken and done."
+    report.add_note(
+        f"{THREADS} concurrent requests over all nodes, {CALL_SECONDS * 1000:g} ms per "
+        "table call. A claim is two transactions: taken and done."
     )
     report.write()
 
--- a/benchmarks/bench_control.py
+++ b/benchmarks/bench_control.py
@@ -1,4 +1,4 @@
-"""How fast changes spread and leases are taken over, for 3, 6 and 9 nodes."""
+"""Propagation time of changes and takeover time of leases, by number of nodes."""
 
 import time
 from statistics import median
@@ -17,7 +17,7 @@
 
 
 def spread_times(cluster: Cluster) -> list[float]:
-    """Apply changes; the seconds until the last node had each in force."""
+    """Apply changes; return the seconds until all nodes had applied each."""
     urls = [cluster.operator_url(name) for name in cluster.nodes]
     times = []
     for index in range(CHANGES):
@@ -27,15 +27,15 @@
         change = {"base": current["revision"], "document": document}
         started = time.monotonic()
         revision = call(urls[0], "PUT", "/v1/configuration", change)["revision"]
-        lacking = set(urls)
-        while lacking and time.monotonic() - started < LONGEST_SECONDS:
-            lacking = {url for url in lacking if _revision(url) < revision}
+        outdated = set(urls)
+        while outdated and time.monotonic() - started < LONGEST_SECONDS:
+            outdated = {url for url in outdated if _revision(url) < revision}
         times.append(time.monotonic() - started)
     return times
 
 
 def takeover_time(cluster: Cluster) -> float:
-    """Kill the holder of the pool's lease; the seconds until another holds it."""
+    """Kill the holder of the pool's lease; return the seconds until its takeover."""
     name = next(iter(cluster.nodes))
     records = cluster.query(name, {"noun": "leases"})
     holder, epoch = records[0]["holder"], records[0]["epoch"]
@@ -47,17 +47,17 @@
         if records[0]["epoch"] > epoch and records[0]["holder"] != holder:
             break
         time.sleep(0.05)
-    took = time.monotonic() - started
+    elapsed = time.monotonic() - started
     cluster.start_node(holder)
-    return took
+    return elapsed
 
 
-def _a_change(
-    name: str, before: Counts, after: Counts, idle: Counts, changing: float
+def _calls_per_change(
+    name: str, before: Counts, after: Counts, idle: Counts, change_seconds: float
 ) -> float:
-    """Return the calls of one kind for each change, less those of an idle system."""
-    at_rest = (idle[name] - after[name]) / IDLE_SECONDS * changing
-    return round((after[name] - before[name] - at_rest) / CHANGES, 2)
+    """Return the store calls per change, without those of an idle system."""
+    idle_calls = (idle[name] - after[name]) / IDLE_SECONDS * change_seconds
+    return round((after[name] - before[name] - idle_calls) / CHANGES, 2)
 
 
 def _revision(url: str) -> int:
@@ -67,9 +67,9 @@
 
 
 def main() -> None:
-    """Run and report."""
+    """Run the benchmark and write its report."""
     report = Report("control", "Spread of changes and takeover", "make bench-control")
-    by_default = {
+    settings = {
         "serving": {"threads": 8},
         "placement": {
             "interval_seconds": 1,
@@ -79,7 +79,7 @@
     }
     for nodes in NODE_COUNTS:
         sizes = Sizes(nodes=nodes, engines=2, models=4, adapters=0)
-        cluster = start_cluster(sizes, by_default)
+        cluster = start_cluster(sizes, settings)
         try:
             cluster.apply(cluster.deployment(), "bench")
             cluster.wait_resident("n1", 30)
@@ -87,7 +87,7 @@
             before = call(cluster.platform.url, "GET", "/stats")
             started = time.monotonic()
             times = spread_times(cluster)
-            changing = time.monotonic() - started
+            change_seconds = time.monotonic() - started
             after = call(cluster.platform.url, "GET", "/stats")
             time.sleep(IDLE_SECONDS)
             idle = call(cluster.platform.url, "GET", "/stats")
@@ -100,18 +100,22 @@
             spread_most_s=round(max(times), 3),
             changes=CHANGES,
             takeover_s=round(takeover, 2),
-            reads_a_change=_a_change("reads", before, after, idle, changing),
-            writes_a_change=_a_change("writes", before, after, idle, changing),
-            object_gets_a_change=_a_change(
-                "object_gets", before, after, idle, changing
+            reads_a_change=_calls_per_change(
+                "reads", before, after, idle, change_seconds
+            ),
+            writes_a_change=_calls_per_change(
+                "writes", before, after, idle, change_seconds
+            ),
+            object_gets_a_change=_calls_per_change(
+                "object_gets", before, after, idle, change_seconds
             ),
         )
-    report.note(
-        "Spread: from the call that applies a change to the last node having it in "
-        "force. Takeover: from the holder's kill to another holding the lease, once "
-        "a size; the lease lives 6 s and a challenger waits 1.5 times that. Reads, "
-        "writes and objects got are of all nodes together for one change, less "
-        f"those of {IDLE_SECONDS:g} s without any."
+    report.add_note(
+        "Spread: from the call that applies a change until the last node has applied "
+        "it. Takeover: from the kill of the holder until another node holds the "
+        "lease, once per size; the lease lasts 6 s and a challenger waits 1.5 times "
+        "that. Reads, writes and objects read are the sum over all nodes for one "
+        f"change, without those of {IDLE_SECONDS:g} s of an idle system."
     )
     report.write()
 
--- a/benchmarks/bench_logs.py
+++ b/benchmarks/bench_logs.py
@@ -1,4 +1,4 @@
-"""Processor time of a request's record: no logs, by the queue, written at once."""
+"""Processor time of a request's record: no log, queued log or synchronous log."""
 
 import statistics
 import sys
@@ -21,7 +21,7 @@
 from runhatch_server.observability import LogLevel, LogQueue, Metrics
 
 REQUESTS = 1_500
-"""Requests of one trial; fewer than the queue takes, so that none is left out."""
+"""Requests per trial; fewer than the queue's capacity, so that none is dropped."""
 TRIALS = 15
 
 Destination = Callable[[dict[str, object]], None]
@@ -29,7 +29,7 @@
 
 
 def make_record(clock: SystemClock) -> RequestRecord:
-    """Return the record of a stream that was answered at its first target."""
+    """Return the record of a stream answered by its first target."""
     record = RequestRecord(make_request(clock))
     grant = Grant(1, make_target(), record.request, 80.0, seconds(0), 0, 4)
     record.attempt(grant, "status_200")
@@ -39,33 +39,33 @@
 
 
 def trial(log: Log, destination: Destination | None) -> tuple[float, float]:
-    """Return processor time and caller's time of a request, in microseconds."""
+    """Return the processor time and the delay of a request, in microseconds."""
     clock = SystemClock()
     recorder = RequestRecorder(Metrics(), clock)
     record = make_record(clock)
     if destination is not None:
         eliot.add_destinations(destination)
     with patch.object(_records, "log_change", log):
-        used = time.process_time()
-        begun = time.perf_counter()
+        cpu_seconds = time.process_time()
+        started = time.perf_counter()
         for _ in range(REQUESTS):
             recorder.ended(record)
-        waited = time.perf_counter() - begun
+        waited = time.perf_counter() - started
         if isinstance(destination, LogQueue):
             destination.flush(10.0)
             assert not destination.dropped
-        used = time.process_time() - used
+        cpu_seconds = time.process_time() - cpu_seconds
     if destination is not None:
         eliot.remove_destination(destination)
-    return used / REQUESTS * 1e6, waited / REQUESTS * 1e6
+    return cpu_seconds / REQUESTS * 1e6, waited / REQUESTS * 1e6
 
 
 def no_log(message_type: str, **fields: object) -> None:
-    """Log nothing."""
+    """Discard the message."""
 
 
 def main() -> None:
-    """Try each way in turn, again and again, so that the host's moods mix."""
+    """Run the methods in turn, so that variations of the host affect all alike."""
     report = Report("logs", "Logs of requests", "make bench-logs")
     log_change = _records.log_change
     with Path("/dev/null").open("w") as stream:
@@ -76,25 +76,25 @@
             stream.flush()
 
         queue = LogQueue(stream, LogLevel.REQUEST)
-        ways: dict[str, tuple[Log, Destination | None]] = {
+        methods: dict[str, tuple[Log, Destination | None]] = {
             "none": (no_log, None),
             "by the queue": (log_change, queue),
             "written at once": (log_change, write),
         }
-        results: dict[str, list[tuple[float, float]]] = {name: [] for name in ways}
+        results: dict[str, list[tuple[float, float]]] = {name: [] for name in methods}
         for _ in range(TRIALS):
-            for name, (log, destination) in ways.items():
+            for name, (log, destination) in methods.items():
                 results[name].append(trial(log, destination))
     for name, trials in results.items():
         report.add(
             logs=name,
-            processor_us=statistics.median(used for used, _ in trials),
+            processor_us=statistics.median(cpu_seconds for cpu_seconds, _ in trials),
             request_waits_us=statistics.median(waited for _, waited in trials),
         )
-    report.note(
-        f"Metrics and one line of a request that was answered, {REQUESTS} in a "
-        f"trial, medians of {TRIALS} trials of each in turn; into /dev/null, which "
-        "never makes anybody wait."
+    report.add_note(
+        f"Metrics and one log line of an answered request, {REQUESTS} requests per "
+        f"trial, medians of {TRIALS} alternating trials; written to /dev/null, which "
+        "never blocks."
     )
     report.write()
 
--- a/benchmarks/bench_membership.py
+++ b/benchmarks/bench_membership.py
@@ -1,4 +1,4 @@
-"""Who knows of a failure when, at what cost, and whom it wrongly suspects."""
+"""Detection time, traffic and false suspicions of failures in the membership."""
 
 from collections.abc import Callable
 
@@ -14,7 +14,7 @@
 
 
 def rounds_until(group: PeerGroup, done: Callable[[], bool]) -> int:
-    """Return the rounds, one a second, until ``done``; at most ``PATIENCE``."""
+    """Run rounds until ``done``, at most ``PATIENCE``; return their number."""
     for rounds in range(PATIENCE):
         if done():
             return rounds
@@ -67,17 +67,17 @@
 
 
 def measure(report: Report, size: int, failure: Callable[[PeerGroup], None]) -> None:
-    """Add one row: one failure in one group."""
+    """Add a row for one failure in a group of ``size`` nodes."""
     group = group_of(size)
     group.run(SETTLED)
-    messages, sent, started = group.messages, group.bytes, group.clock.elapsed()
+    messages, bytes_before, started = group.messages, group.bytes, group.clock.elapsed()
     failure(group)
-    during = len(group.running()) * len(group.dead)
-    wrong = group.suspicions(set(group.nodes) - group.dead)
+    expected_suspicions = len(group.running()) * len(group.dead)
+    false_suspicions = group.suspicions(set(group.nodes) - group.dead)
     settled = rounds_until(
         group,
         lambda: (
-            group.suspicions(group.dead) == during
+            group.suspicions(group.dead) == expected_suspicions
             and group.suspicions(set(group.nodes) - group.dead) == 0
         ),
     )
@@ -85,26 +85,26 @@
     report.add(
         failure=(failure.__doc__ or "").rstrip("."),
         nodes=size,
-        wrongly_suspected_share=round(wrong / size / (size - 1), 5),
+        wrongly_suspected_share=round(false_suspicions / size / (size - 1), 5),
         settled_s=settled,
         messages_node_s=round((group.messages - messages) / seconds / size, 2),
-        bytes_node_s=round((group.bytes - sent) / seconds / size, 1),
+        bytes_node_s=round((group.bytes - bytes_before) / seconds / size, 1),
     )
 
 
 def main() -> None:
-    """Run and report."""
+    """Run the benchmark and write its report."""
     report = Report("membership", "Membership under failures", "make bench-membership")
     for failure in FAILURES:
         for size in SIZES:
             measure(report, size, failure)
-    report.note(
-        "Real memberships and peer services over a wire in memory, a clock that is "
-        f"moved, one round a second. The pause and the one-way cut last {PAUSE} s, "
-        f"the parting {PARTED} s. Wrongly suspected: share of all beliefs about "
-        "living nodes when the failure ends (for deaths, when they happen). Settled: "
-        "seconds from then until every node believes what is so. Messages and bytes "
-        "are what a node sends a second over the failure and the settling."
+    report.add_note(
+        "Real memberships and peer services over an in-memory network and a manual "
+        f"clock, one round a second. The pause and the one-way cut last {PAUSE} s, "
+        f"the partition {PARTED} s. Wrongly suspected: share of all pairs of a node "
+        "and another live node when the failure ends (for deaths, when they happen). "
+        "Settled: seconds from then until every node has the correct states. "
+        "Messages and bytes are those sent per node and second until it has settled."
     )
     report.write()
 
--- a/benchmarks/bench_orders.py
+++ b/benchmarks/bench_orders.py
@@ -1,4 +1,4 @@
-"""What one round of planning costs the node that orders the targets, by size."""
+"""Processor time of one planning round for the node that orders the targets."""
 
 import random
 from datetime import timedelta
@@ -20,12 +20,12 @@
 from runhatch_server.routing import EngineModel, EngineSpec, LoadTimes
 
 SIZES = ((6, 26), (45, 196), (70, 305), (600, 860))
-"""Targets and models; the last is the size that the design is built towards."""
+"""Numbers of targets and models; the last pair is the size designed for."""
 HELD_EACH, COPIES_EACH = 3, 6
-"""Models that a target holds, and of which it keeps copies."""
+"""Models in memory and models with a copy on disk, per target."""
 ADAPTERS = 2
 MISSED_SHARE = 0.5
-"""Share of the models held nowhere that requests miss: demand has moved at once."""
+"""Share of the unloaded models that are requested, as after a shift of demand."""
 GOALS = (timedelta(seconds=0.8), timedelta(seconds=0.8), timedelta(seconds=8))
 NOW = timedelta(seconds=100)
 SERVICE = "engine"
@@ -39,10 +39,10 @@
     return EngineSpec(specs, 64, 228.0, 8, 130_000, 20.0)
 
 
-def _controls(targets: int, models: int, chance: random.Random) -> list[TargetControl]:
+def _controls(targets: int, models: int, rng: random.Random) -> list[TargetControl]:
     controls = []
     for index in range(targets):
-        copies = [f"m{each}" for each in chance.sample(range(models), COPIES_EACH)]
+        copies = [f"m{each}" for each in rng.sample(range(models), COPIES_EACH)]
         held = HeldModels({name: frozenset() for name in copies[:HELD_EACH]})
         target = Target(
             f"t{index}", SERVICE, "127.0.0.1", 1, "d1", 64, TargetState.READY, held
@@ -56,28 +56,30 @@
 
 
 def _demand(
-    controls: list[TargetControl], models: int, chance: random.Random
+    controls: list[TargetControl], models: int, rng: random.Random
 ) -> DemandBook:
     held = {name for control in controls for name in control.held}
     book = DemandBook()
     for index in range(models):
         name = f"m{index}"
-        missed = name not in held and chance.random() < MISSED_SHARE
-        for number in range(4):
-            priority = chance.randrange(len(GOALS))
-            adapter = f"a{1 + number % ADAPTERS}" if number >= ADAPTERS else ""
+        missed = name not in held and rng.random() < MISSED_SHARE
+        for request_index in range(4):
+            priority = rng.randrange(len(GOALS))
+            adapter = (
+                f"a{1 + request_index % ADAPTERS}" if request_index >= ADAPTERS else ""
+            )
             wanted = Wanted(SERVICE, name, adapter, priority, GOALS[priority])
-            at = NOW - timedelta(seconds=3 - number)
+            at = NOW - timedelta(seconds=3 - request_index)
             book.add("n1", DemandShare(wanted, 2, 2 if missed else 0, 150.0), at)
     return book
 
 
 def round_ms(targets: int, models: int) -> tuple[int, float]:
-    """Return models that are missed, and the milliseconds of one round's plan."""
-    chance = random.Random(targets)
+    """Return the number of missing models and the milliseconds of a round."""
+    rng = random.Random(targets)
     engine = _engine(models)
-    controls = _controls(targets, models, chance)
-    book = _demand(controls, models, chance)
+    controls = _controls(targets, models, rng)
+    book = _demand(controls, models, rng)
 
     def plan() -> None:
         view = FleetView(SERVICE, engine, controls, book, NOW)
@@ -85,12 +87,12 @@
         plan_models(view)
 
     view = FleetView(SERVICE, engine, controls, book, NOW)
-    made = plan_models(view)
-    return len(made.loads) + len(made.left), time_call(plan) * 1_000
+    model_plan = plan_models(view)
+    return len(model_plan.loads) + len(model_plan.left), time_call(plan) * 1_000
 
 
 def main() -> None:
-    """Write one row a size."""
+    """Write one row per size."""
     report = Report("orders", "One round of planning", "make bench-orders")
     for targets, models in SIZES:
         missed, milliseconds = round_ms(targets, models)
--- a/benchmarks/bench_permits.py
+++ b/benchmarks/bench_permits.py
@@ -1,4 +1,4 @@
-"""Processor time of permits for a target with a rate limit, at both ends."""
+"""Processor time of permits for a rate-limited target, at both nodes involved."""
 
 import statistics
 import time
@@ -20,16 +20,16 @@
 
 NODES = (9, 91, 195, 390)
 PERMITS = 2_000
-"""Permits of one trial."""
+"""Number of permits per trial."""
 TRIALS = 5
 RATE = 1_000_000.0
-"""A limit at which each question gets a permit."""
+"""Requests per second; high enough that every permit is granted."""
 
 
 def make_exchange(own: Vm, vms: list[Vm]) -> PermitExchange:
-    """Return the exchange of one node, whose messages go nowhere."""
+    """Return the permit exchange of one node, which discards its messages."""
 
-    def tell(address: str, fact: Fact) -> None:
+    def discard(address: str, fact: Fact) -> None:
         pass
 
     clock = SystemClock()
@@ -37,44 +37,44 @@
     membership.learn(MemberFact(vm, Standing.ALIVE) for vm in vms)
     limits = RateLimits(clock, Metrics())
     exchange = PermitExchange(
-        limits, membership, clock, tell, lambda fact: None, lambda: None
+        limits, membership, clock, discard, lambda fact: None, lambda: None
     )
     limits.heard("t", RATE, clock.elapsed())
     return exchange
 
 
 def trial(count: int) -> tuple[float, float]:
-    """Return the microseconds of asking for a permit, and of giving one out."""
+    """Return the microseconds to request a permit and to grant one."""
     vms = [Vm(f"n{i}", f"d{i % 3}", f"10.0.0.{i}:1", 1) for i in range(count)]
     ranked = rank("t", [vm.name for vm in vms])
     by_name = {vm.name: vm for vm in vms}
     allocator = make_exchange(by_name[ranked[0]], vms)
-    asking = make_exchange(by_name[ranked[1]], vms)
+    requester = make_exchange(by_name[ranked[1]], vms)
     sender = Member(ranked[1], "d0", by_name[ranked[1]].address, 1, Standing.ALIVE)
     fact = PermitAsked(0, LimitOfTarget("t", RATE, 0))
-    begun = time.process_time()
+    started = time.process_time()
     for _ in range(PERMITS):
-        asking.ask("t", 0)
-    asked = time.process_time()
+        requester.ask("t", 0)
+    requested = time.process_time()
     for _ in range(PERMITS):
         allocator.take_in(fact, sender)
-    given = time.process_time()
-    return (asked - begun) / PERMITS * 1e6, (given - asked) / PERMITS * 1e6
+    granted = time.process_time()
+    return (requested - started) / PERMITS * 1e6, (granted - requested) / PERMITS * 1e6
 
 
 def main() -> None:
-    """Measure both ends at several sizes."""
+    """Run the benchmark and write its report."""
     report = Report("permits", "Permits for limited targets", "make bench-permits")
     for count in NODES:
         trials = [trial(count) for _ in range(TRIALS)]
         report.add(
             nodes=count,
-            ask_us=round(statistics.median(asked for asked, _ in trials), 1),
-            give_us=round(statistics.median(given for _, given in trials), 1),
+            ask_us=round(statistics.median(request_us for request_us, _ in trials), 1),
+            give_us=round(statistics.median(grant_us for _, grant_us in trials), 1),
         )
-    report.note(
-        f"Processor time of one permit of {PERMITS} at the node that asks and at the "
-        f"one that gives it out, without the messages; medians of {TRIALS} trials."
+    report.add_note(
+        f"Processor time per permit, over {PERMITS} permits, at the requesting and at "
+        f"the granting node, without the messages; medians of {TRIALS} trials."
     )
     report.write()
 
--- a/benchmarks/bench_pictures.py
+++ b/benchmarks/bench_pictures.py
@@ -1,6 +1,6 @@
-"""Pictures pushed to every node, against stale ones corrected when they mislead.
+"""Compares pushing placement changes to all nodes with correcting stale pictures.
 
-The second way is that of LH*'s clients, whose image is adjusted by the answer to a
+The second method is that of LH* clients, whose image is adjusted by the answer to a
 misdirected request (Litwin, Neimat and Schneider; for a cluster of workstations see
 "Performance Evaluation of a Scalable Distributed Data Structure").
 """
@@ -23,14 +23,14 @@
 SECONDS = 1_200.0
 CHANGES_A_SECOND = (0.2, 1.0, 2.0)
 CROSSINGS = 12
-"""Links of one node that a pushed change crosses, in and out."""
+"""Messages per node and pushed change, in both directions."""
 QUESTION_BYTES = 90
-"""Asking for one target's hosting: an envelope with one small fact."""
+"""Size of a request for one target's hosting: an envelope with a small fact."""
 SEED = 11
 
 
 class Way(Enum):
-    """How a node's picture is kept."""
+    """How a node's picture of the placement is updated."""
 
     PUSHED = "pushed"
     CORRECTED = "corrected when it misleads"
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True)
 class Seen:
-    """What one node met."""
+    """The counts of one node."""
 
     requests: int = 0
     misdirected: int = 0
@@ -47,52 +47,52 @@
 
 
 class World:
-    """The placement as it is, and one node's picture of it."""
+    """The actual placement and one node's picture of it."""
 
     def __init__(self, deployment: Deployment, way: Way, seed: int) -> None:
         self._random = random.Random(seed)
         self._way = way
-        self._truth = {held.target: held for held in hostings(deployment)}
+        self._placement = {hosting.target: hosting for hosting in hostings(deployment)}
         self._picture = Picture()
         self._picture.configure(deployment)
-        for hosting in self._truth.values():
+        for hosting in self._placement.values():
             self._picture.learn(hosting)
         self._models = [model.unit for model in deployment.models]
-        self._pool = {
+        self._pool_units = {
             target.name: [m.unit for m in deployment.models if m.pool == pool.name]
             for pool in deployment.pools
             for target in pool.targets
         }
         self._replicas = dict.fromkeys(self._models, 0)
-        for hosting in self._truth.values():
+        for hosting in self._placement.values():
             for unit in set(hosting.units) & set(self._models):
                 self._replicas[unit] += 1
         self.seen = Seen()
 
     def change(self) -> None:
-        """Let one target gain a unit, or lose one that others have."""
-        target = self._random.choice([*self._truth])
-        held = self._truth[target]
-        models = [unit for unit in held.units if unit in self._replicas]
-        spare = [unit for unit in models if self._replicas[unit] > 1]
-        if spare and self._random.random() < 0.5:
-            unit = self._random.choice(spare)
-            units = tuple(u for u in held.units if u != unit)
+        """Add a unit to a target, or remove one that has other replicas."""
+        target = self._random.choice([*self._placement])
+        hosting = self._placement[target]
+        models = [unit for unit in hosting.units if unit in self._replicas]
+        removable = [unit for unit in models if self._replicas[unit] > 1]
+        if removable and self._random.random() < 0.5:
+            unit = self._random.choice(removable)
+            units = tuple(u for u in hosting.units if u != unit)
             self._replicas[unit] -= 1
         else:
-            unit = self._random.choice(self._pool[target])
+            unit = self._random.choice(self._pool_units[target])
             if unit in models:
                 return
-            units = (*held.units, unit)
+            units = (*hosting.units, unit)
             self._replicas[unit] += 1
-        fresh = Hosting(target, held.version + 1, units)
-        self._truth[target] = fresh
+        updated = Hosting(target, hosting.version + 1, units)
+        self._placement[target] = updated
         if self._way is Way.PUSHED:
-            self.seen.sent += CROSSINGS * _size(fresh)
-            self._picture.learn(fresh)
+            self.seen.sent += CROSSINGS * _encoded_size(updated)
+            self._picture.learn(updated)
 
     def request(self) -> None:
-        """Send one request where the picture says, and again if it misled."""
+        """Route one request by the picture, retrying when it is misdirected."""
         unit = self._random.choice(self._models)
         route = Route(RouteKind.MODEL, unit.rpartition("@")[0])
         self.seen.requests += 1
@@ -102,27 +102,27 @@
                 self.seen.unserved += 1
                 return
             target = self._random.choice(hosts).target
-            present = self._truth[target]
-            if unit in present.units:
+            current = self._placement[target]
+            if unit in current.units:
                 return
             self.seen.misdirected += 1
-            self.seen.sent += QUESTION_BYTES + _size(present)
-            self._picture.learn(present)
+            self.seen.sent += QUESTION_BYTES + _encoded_size(current)
+            self._picture.learn(current)
 
 
-def _size(hosting: Hosting) -> int:
+def _encoded_size(hosting: Hosting) -> int:
     fact = HostingFact(hosting.target, hosting.version, hosting.units)
     return len(ENCODER.encode([fact]))
 
 
 def run(deployment: Deployment, way: Way, rate: float, seed: int) -> Seen:
-    """Return what one node met in the set time."""
+    """Simulate one node for ``SECONDS`` and return its counts."""
     world = World(deployment, way, seed)
-    source = random.Random(seed)
+    rng = random.Random(seed)
     total = rate + REQUESTS_A_SECOND
     at = 0.0
-    while (at := at + source.expovariate(total)) < SECONDS:
-        if source.random() < rate / total:
+    while (at := at + rng.expovariate(total)) < SECONDS:
+        if rng.random() < rate / total:
             world.change()
         else:
             world.request()
@@ -130,29 +130,31 @@
 
 
 def main() -> None:
-    """Run and report."""
+    """Run the benchmark and write its report."""
     report = Report("pictures", "Pictures pushed or corrected", "make bench-pictures")
     deployment = parse_deployment(document(MODELS, WORKERS))
     for rate in CHANGES_A_SECOND:
         for way in Way:
-            found = [run(deployment, way, rate, SEED + i) for i in range(SAMPLED_NODES)]
-            requests = sum(seen.requests for seen in found)
-            misdirected = sum(seen.misdirected for seen in found)
+            counts = [
+                run(deployment, way, rate, SEED + i) for i in range(SAMPLED_NODES)
+            ]
+            requests = sum(seen.requests for seen in counts)
+            misdirected = sum(seen.misdirected for seen in counts)
             report.add(
                 changes_s=rate,
                 picture=way.value,
-                bytes_s=round(sum(s.sent for s in found) / SECONDS / SAMPLED_NODES, 1),
+                bytes_s=round(sum(s.sent for s in counts) / SECONDS / SAMPLED_NODES, 1),
                 misdirected_share=round(misdirected / requests, 5),
                 attempts_a_request=round(1 + misdirected / requests, 5),
-                unserved=sum(seen.unserved for seen in found),
+                unserved=sum(seen.unserved for seen in counts),
                 requests=requests,
             )
-    report.note(
+    report.add_note(
         f"{MODELS} models on {WORKERS} workers, one node's 8.7 requests a second, "
-        f"{SECONDS:g} s on a clock of its own, {SAMPLED_NODES} nodes. Pushed: a "
+        f"{SECONDS:g} s of simulated time, {SAMPLED_NODES} nodes. Pushed: a "
         f"change crosses {CROSSINGS} links of a node at once. Corrected: a "
-        "misdirected request brings the target's present hosting, and nothing else "
-        "tells of changes. Unserved: no host was left in the picture."
+        "misdirected request fetches the target's current hosting, and no other "
+        "message announces changes. Unserved: the picture had no host left."
     )
     report.write()
 
--- a/benchmarks/bench_relay.py
+++ b/benchmarks/bench_relay.py
@@ -1,4 +1,4 @@
-"""What the relay adds: first token and processor time a token, against direct."""
+"""Overhead of the relay: first token and processor time per token."""
 
 import random
 from concurrent.futures import ProcessPoolExecutor
@@ -21,9 +21,13 @@
 def load(
     url: str, models: list[str], at_once: int, seed: int, spread: float
 ) -> tuple[list[float], list[float], int, int]:
-    """Run callers in processes; first tokens, gaps, tokens, streams not whole."""
+    """Run callers in several processes.
+
+    Returns the times to first token, the gaps between tokens, the number of tokens
+    and the number of incomplete streams.
+    """
     shares = [
-        len(part) for part in np.array_split(np.arange(at_once), CALLER_PROCESSES)
+        len(chunk) for chunk in np.array_split(np.arange(at_once), CALLER_PROCESSES)
     ]
     shares = [share for share in shares if share]
     with ProcessPoolExecutor(len(shares)) as pool:
@@ -43,17 +47,17 @@
         streams: list[Stream] = [s for future in futures for s in future.result()]
     first = [stream.first_token for stream in streams]
     gaps = [gap for stream in streams for gap in stream.gaps]
-    broken = sum(not stream.whole for stream in streams)
-    return first, gaps, sum(stream.tokens for stream in streams), broken
+    incomplete = sum(not stream.complete for stream in streams)
+    return first, gaps, sum(stream.tokens for stream in streams), incomplete
 
 
 def percentile(values: list[float], share: float) -> float:
-    """Return a percentile in milliseconds."""
+    """Return a percentile of ``values``, which are seconds, in milliseconds."""
     return round(float(np.percentile(values, share)) * 1000, 2)
 
 
 def main() -> None:
-    """Run and report."""
+    """Run the benchmark and write its report."""
     random.seed(SEED)
     report = Report("relay", "One node between callers and engines", "make bench-relay")
     sizes = Sizes(
@@ -80,10 +84,10 @@
         for at_once, spread in CASES:
             first, _, _, _ = load(engine.url, direct, at_once, SEED, spread)
             before = cpu_seconds(pid)
-            through, gaps, tokens, broken = load(
+            through, gaps, tokens, incomplete = load(
                 cluster.caller_url("n1"), [*hosted], at_once, SEED, spread
             )
-            spent = cpu_seconds(pid) - before
+            used_seconds = cpu_seconds(pid) - before
             report.add(
                 streams=at_once,
                 arrive="at random" if spread else "at once",
@@ -93,16 +97,16 @@
                 through_p95_ms=percentile(through, 95),
                 added_p95_ms=round(percentile(through, 95) - percentile(first, 95), 2),
                 gap_p95_ms=percentile(gaps, 95),
-                cpu_us_a_token=round(spent / tokens * 1e6, 1),
-                not_whole=broken,
+                cpu_us_a_token=round(used_seconds / tokens * 1e6, 1),
+                not_whole=incomplete,
                 resident_mb=round(resident_mb(pid), 1),
             )
     finally:
         cluster.close()
-    report.note(
-        f"Each stream is {TOKENS} tokens {PER_TOKEN * 1000:g} ms apart. Callers, node "
-        "and engines share one machine; direct is one engine, through is one node in "
-        "front of three."
+    report.add_note(
+        f"Each stream has {TOKENS} tokens {PER_TOKEN * 1000:g} ms apart. Callers, node "
+        "and engines share one machine. Direct: one engine. Through: one node in "
+        "front of three engines."
     )
     report.write()
 
--- a/benchmarks/bench_slopes.py
+++ b/benchmarks/bench_slopes.py
@@ -1,4 +1,4 @@
-"""Slopes behind docs/CAPACITY.md: real code at four sizes and more."""
+"""Measures the slopes of docs/CAPACITY.md with the real code at several sizes."""
 
 import argparse
 import gc
@@ -38,11 +38,11 @@
 WATCH_SECONDS = 12.0
 READ_ENGINES = 4
 POOL_WORKERS = 60
-"""Workers to a pool at the target size: ten pools of sixty."""
+"""Workers per pool at the target size of ten pools."""
 
 
 def document(models: int, workers: int) -> bytes:
-    """Return a configuration of that size, adapters twice as many as models."""
+    """Return a configuration with two adapters per model, encoded as JSON."""
     pools = max(1, workers // POOL_WORKERS)
     by_pool: list[list[dict[str, object]]] = [[] for _ in range(pools)]
     for index in range(workers):
@@ -83,8 +83,8 @@
 
 
 def hostings(deployment: Deployment) -> list[Hosting]:
-    """Return a placement with each model on some three workers of its pool."""
-    found = []
+    """Return a placement with each model on about three workers of its pool."""
+    results = []
     for pool in deployment.pools:
         models = pool_models(deployment, pool)
         for index, target in enumerate(pool.targets):
@@ -93,13 +93,13 @@
                 model = models[(index * 4 + offset) % len(models)]
                 units += [model.unit]
                 units += [a.unit for a in deployment.adapters_of(model.name)]
-            found.append(Hosting(target.name, 1, tuple(units)))
-    return found
+            results.append(Hosting(target.name, 1, tuple(units)))
+    return results
 
 
 def measure_tables(size: tuple[int, int]) -> dict[str, float]:
-    """Return what tables of ``size`` cost one node."""
-    import eliot  # noqa: F401 - what the daemon imports counts
+    """Return the memory and processor time of one node's tables at ``size``."""
+    import eliot  # noqa: F401 - imported by the daemon, so part of its memory
     import json5  # noqa: F401
     import prometheus_client  # noqa: F401
     import pynng  # noqa: F401
@@ -111,8 +111,8 @@
     deployment = parse_deployment(body)
     picture = Picture()
     picture.configure(deployment)
-    placed = hostings(deployment)
-    for hosting in placed:
+    placement = hostings(deployment)
+    for hosting in placement:
         picture.learn(hosting)
     gc.collect()
     after = resident_mb(os.getpid())
@@ -120,7 +120,7 @@
 
     def learn() -> None:
         version[0] += 1
-        hosting = placed[version[0] % len(placed)]
+        hosting = placement[version[0] % len(placement)]
         units = hosting.units[version[0] % 2 :]
         picture.learn(replace(hosting, version=version[0], units=units))
 
@@ -134,7 +134,7 @@
 
 
 def pool_state(models: int, workers: int) -> PoolState:
-    """Return a settled pool of that size under even work."""
+    """Return the state of a fully loaded pool with evenly distributed work."""
     deployment = parse_deployment(document(models, workers))
     pool = deployment.pools[0]
     rows = {t.name: LedgerRow(t.name, t.memory_mb) for t in pool.targets}
@@ -151,7 +151,7 @@
 
 
 def measure_plan(size: tuple[int, int]) -> dict[str, float]:
-    """Return what one round of planning a pool of ``size`` costs."""
+    """Return the processor time of planning a pool of ``size`` once."""
     state = pool_state(*size)
     rows = [VersionedRow(row, 1) for row in state.rows.values()]
     return {
@@ -161,9 +161,9 @@
 
 
 def measure_nodes(nodes: int) -> dict[str, float]:
-    """Return what an idle node costs among ``nodes`` of them."""
-    # Few threads, to fit many nodes here; intervals as by default.
-    small = {
+    """Return the resource use of an idle node in a cluster of ``nodes`` nodes."""
+    # Few threads, so that many nodes fit on one machine; default intervals.
+    settings = {
         "serving": {"threads": 8},
         "placement": {
             "interval_seconds": 1,
@@ -171,7 +171,9 @@
             "refresh_seconds": 10,
         },
     }
-    cluster = start_cluster(Sizes(nodes=nodes, engines=2, models=4, adapters=2), small)
+    cluster = start_cluster(
+        Sizes(nodes=nodes, engines=2, models=4, adapters=2), settings
+    )
     try:
         cluster.apply(cluster.deployment(), "slopes")
         cluster.wait_resident("n1", 30)
@@ -179,16 +181,16 @@
         pids = [node.process.pid for node in cluster.nodes.values()]
         urls = [cluster.operator_url(name) for name in cluster.nodes]
         before = [cpu_seconds(pid) for pid in pids]
-        sent = [_peer_counts(url) for url in urls]
-        store = call(cluster.platform.url, "GET", "/stats")
+        peer_counts = [_peer_counts(url) for url in urls]
+        store_stats = call(cluster.platform.url, "GET", "/stats")
         time.sleep(WATCH_SECONDS)
         after = [cpu_seconds(pid) for pid in pids]
-        sent_after = [_peer_counts(url) for url in urls]
-        store_after = call(cluster.platform.url, "GET", "/stats")
+        peer_counts_after = [_peer_counts(url) for url in urls]
+        store_stats_after = call(cluster.platform.url, "GET", "/stats")
         memory = [resident_mb(pid) for pid in pids]
     finally:
         cluster.close()
-    pairs = zip(sent, sent_after, strict=True)
+    pairs = zip(peer_counts, peer_counts_after, strict=True)
     rates = [(b[0] - a[0], b[1] - a[1]) for a, b in pairs]
     cpu = [(b - a) / WATCH_SECONDS for a, b in zip(before, after, strict=True)]
     return {
@@ -197,13 +199,15 @@
         "messages_s": mean(m for m, _ in rates) / WATCH_SECONDS,
         "bytes_s": mean(b for _, b in rates) / WATCH_SECONDS,
         "resident_mb": mean(memory),
-        "store_reads_s": (store_after["reads"] - store["reads"]) / WATCH_SECONDS,
-        "store_writes_s": (store_after["writes"] - store["writes"]) / WATCH_SECONDS,
+        "store_reads_s": (store_stats_after["reads"] - store_stats["reads"])
+        / WATCH_SECONDS,
+        "store_writes_s": (store_stats_after["writes"] - store_stats["writes"])
+        / WATCH_SECONDS,
     }
 
 
 def _peer_counts(url: str) -> tuple[float, float]:
-    """Return messages and bytes that a node has sent and received."""
+    """Return the numbers of messages and bytes a node has sent and received."""
     import http.client
     from urllib.parse import urlsplit
 
@@ -223,65 +227,65 @@
 
 
 def report_tables() -> None:
-    """Measure tables in a fresh process for each size."""
+    """Report the cost of tables, measured in a new process for each size."""
     report = Report("tables", "Tables of one node by size", "make slopes")
-    found = []
+    results = []
     for size in TABLE_SIZES:
         with ProcessPoolExecutor(1, get_context("spawn")) as pool:
             figures = pool.submit(measure_tables, size).result()
-        found.append(figures)
+        results.append(figures)
         rounded = {name: round(value, 3) for name, value in figures.items()}
         report.add(models=size[0], workers=size[1], **rounded)
     models = [float(size[0]) for size in TABLE_SIZES]
     for name, unit in (("tables_mb", "MB"), ("parse_ms", "ms"), ("learn_ms", "ms")):
-        line = fit(models, [figures[name] for figures in found])
-        report.note(
+        line = fit(models, [figures[name] for figures in results])
+        report.add_note(
             f"{name}: {line.intercept:.3g} + {line.slope * 1000:.3g} {unit} for 1,000 "
-            f"models (root mean square off the line: {line.error:.2g} {unit})."
+            f"models (root mean square of residuals: {line.error:.2g} {unit})."
         )
     report.write()
 
 
 def report_plans() -> None:
-    """Measure planning."""
+    """Report the cost of planning by pool size."""
     report = Report("plans", "One round of planning a pool", "make slopes")
-    found = []
+    results = []
     for size in POOL_SIZES:
         figures = measure_plan(size)
-        found.append(figures)
+        results.append(figures)
         rounded = {name: round(value, 3) for name, value in figures.items()}
         report.add(models=size[0], workers=size[1], **rounded)
     workers = [float(size[1]) for size in POOL_SIZES]
-    line = fit(workers, [figures["plan_ms"] for figures in found])
-    report.note(
+    line = fit(workers, [figures["plan_ms"] for figures in results])
+    report.add_note(
         f"plan_ms: {line.intercept:.3g} + {line.slope:.3g} ms a worker (root mean "
-        f"square off the line: {line.error:.2g} ms)."
+        f"square of residuals: {line.error:.2g} ms)."
     )
     report.write()
 
 
 def report_nodes() -> None:
-    """Measure idle nodes."""
+    """Report the cost of idle nodes by cluster size."""
     report = Report("nodes", "An idle node among others", "make slopes")
-    found = []
+    results = []
     for nodes in NODE_COUNTS:
         figures = measure_nodes(nodes)
-        found.append(figures)
+        results.append(figures)
         rounded = {name: round(value, 3) for name, value in figures.items()}
         report.add(nodes=nodes, **rounded)
     counts = [float(nodes) for nodes in NODE_COUNTS]
     for name in ("store_reads_s", "store_writes_s", "resident_mb"):
-        line = fit(counts, [figures[name] for figures in found])
-        report.note(
+        line = fit(counts, [figures[name] for figures in results])
+        report.add_note(
             f"{name}: {line.intercept:.3g} + {line.slope:.3g} a node, so "
             f"{line.at(TARGET_NODES):.4g} at {TARGET_NODES} nodes (root mean square "
-            f"off the line: {line.error:.2g})."
+            f"of residuals: {line.error:.2g})."
         )
     report.write()
 
 
 def report_readings() -> None:
-    """Measure reading the reports of a pool's workers."""
+    """Report the cost of reading the reports of a pool's workers."""
     report = Report("readings", "Reading a pool's reports", "make slopes")
     with ExitStack() as stack:
         engines = [
@@ -294,18 +298,21 @@
             urls = [engines[i % READ_ENGINES].url for i in range(workers)]
             clients = [EngineClient(url) for url in urls]
             with ThreadPoolExecutor(8) as pool:
-                cost = time_call(lambda: list(pool.map(_read, clients)), least=1.0)  # noqa: B023
+                cost = time_call(
+                    lambda: list(pool.map(_read_report, clients)),  # noqa: B023
+                    min_seconds=1.0,
+                )
             costs.append(cost * 1000)
             report.add(workers=workers, readings_ms=round(cost * 1000, 3))
     line = fit([float(size[1]) for size in POOL_SIZES], costs)
-    report.note(
+    report.add_note(
         f"readings_ms: {line.intercept:.3g} + {line.slope:.3g} ms a worker (root mean "
-        f"square off the line: {line.error:.2g} ms)."
+        f"square of residuals: {line.error:.2g} ms)."
     )
     report.write()
 
 
-def _read(client: EngineClient) -> object:
+def _read_report(client: EngineClient) -> object:
     return client.report()
 
 
@@ -318,7 +325,7 @@
 
 
 def main() -> None:
-    """Run all reports, or those named."""
+    """Run all reports, or those given as arguments."""
     parser = argparse.ArgumentParser()
     parser.add_argument("reports", nargs="*", choices=[*REPORTS, []])
     for name in parser.parse_args().reports or REPORTS:
--- a/benchmarks/platform_compare.py
+++ b/benchmarks/platform_compare.py
@@ -1,9 +1,9 @@
-"""The same days played on two versions of the sources, and what differs.
+"""Compares the results of the same benchmark days on two versions of the code.
 
-``play BENCH SITE OUT WHY [DAY:SEED ...]`` plays days on the users' bench, whose program
-is BENCH, and keeps their reports in the folder OUT.  ``compare OLD NEW`` prints, over
-the days that two such folders share, the mean of each figure before and after and
-the spread of the difference.  Without days, a fixed list of seeds is played.
+``play BENCH SITE OUT WHY [DAY:SEED ...]`` runs days with the users' program BENCH and
+writes their reports to the folder OUT.  ``compare OLD NEW`` prints, over the days
+that both folders have, the mean of each figure before and after and the standard
+error of the difference.  Without days, a fixed list of days and seeds is run.
 """
 
 import json
@@ -16,36 +16,40 @@
 from typing import Any
 
 AT_ONCE = 7
-"""Days played at once; one core is left to the machine."""
+"""Days run concurrently; leaves one core to the rest of the machine."""
 DAYS = ("quiet-1", "trouble-1", "scale-1", "trouble-2", "scale-2", "trouble-3", "mix")
 SEEDS = (101, 202, 303, 404)
 LEAST_TOLD = 0.0003
-"""Prices whose change is below this share of a day's worth are left out."""
+"""Changes of prices below this share of a day's worth are not printed."""
 
 
 def play(bench: str, site: str, out: str, days: list[str], why: str) -> None:
-    """Play ``days``, each called DAY:SEED, several at once."""
+    """Run ``days``, each given as DAY:SEED, several at a time."""
     folder = Path(out)
     folder.mkdir(parents=True, exist_ok=True)
-    wanted = days or [f"{day}:{seed}" for day in DAYS for seed in SEEDS]
+    names = days or [f"{day}:{seed}" for day in DAYS for seed in SEEDS]
 
     def play_one(day: str) -> str:
         name, _, seed = day.partition(":")
         report = folder / f"{name}-{seed}.json"
         command = [bench, "run", site, name, "--seed", seed]
         command += ["--report", str(report), "--why", why]
-        done = subprocess.run(command, capture_output=True, text=True, check=False)
-        (folder / f"{name}-{seed}.txt").write_text(done.stdout + done.stderr)
-        return day if report.exists() else f"{day} gave no report: {done.stderr[-300:]}"
+        process = subprocess.run(command, capture_output=True, text=True, check=False)
+        (folder / f"{name}-{seed}.txt").write_text(process.stdout + process.stderr)
+        return (
+            day
+            if report.exists()
+            else f"{day} wrote no report: {process.stderr[-300:]}"
+        )
 
     with ThreadPoolExecutor(AT_ONCE) as executor:
-        for told in executor.map(play_one, wanted):
-            if "no report" in told:
-                print(told)
+        for result in executor.map(play_one, names):
+            if "no report" in result:
+                print(result)
 
 
 def figures(report: Mapping[str, Any]) -> Iterator[tuple[str, float]]:
-    """Yield the figures of one day by name."""
+    """Yield the names and values of one day's figures."""
     yield "worth", report["G"]
     for name in ("served", "refused", "failed"):
         yield name, report[name]
@@ -53,13 +57,13 @@
         yield f"part: {name}", share
     for name, _, price in report["prices"]:
         yield f"price: {name}", price
-    for one in report["classes"]:
-        yield f"class: {one['name']}", one["worth"]
+    for request_class in report["classes"]:
+        yield f"class: {request_class['name']}", request_class["worth"]
     yield "rules broken", float(len(report["breaks"]))
 
 
 def reports(folder: str) -> dict[str, dict[str, float]]:
-    """Return the figures of each day in ``folder``."""
+    """Return the figures of each day in ``folder`` by name."""
     return {
         path.stem: dict(figures(json.loads(path.read_text())))
         for path in sorted(Path(folder).glob("*.json"))
@@ -67,7 +71,7 @@
 
 
 def compare(old: str, new: str) -> None:
-    """Print what differs between two folders, over the days that both have."""
+    """Print the differences between two folders over the days that both have."""
     before, after = reports(old), reports(new)
     days = sorted(before.keys() & after.keys())
     print(f"{len(days)} days in both")
@@ -87,7 +91,7 @@
 
 
 def main() -> None:
-    """Run the command that the arguments name."""
+    """Run the command given in the arguments."""
     match sys.argv[1:]:
         case ["play", bench, site, out, why, *days]:
             play(bench, site, out, days, why)
--- a/benchmarks/platform_days.py
+++ b/benchmarks/platform_days.py
@@ -1,9 +1,9 @@
-"""Tables of the days played on the users' bench, from the entries in ``journal/``.
+"""Prints tables of the benchmark days recorded in ``journal/``.
 
-``python benchmarks/platform_days.py [SITE] [SINCE]`` prints one line a day: the
-entry, the day and its seed, its worth and upper mark, rules broken and the kinds of
-trouble in it.  Days played more than once are summed up below with their mean and
-spread, and the kinds of trouble with how often they were played.
+``python benchmarks/platform_days.py [SITE] [SINCE]`` prints one line per day:
+the entry, the day and its seed, its worth and upper mark, the rules broken and the
+kinds of trouble in it.  The mean and spread of repeated days follow, then the number
+of days with each kind of trouble.
 """
 
 import json
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlayedDay:
-    """One day of one entry; ``mark`` is the worth that counts as full."""
+    """One day of a journal entry; ``mark`` is the worth that counts as full marks."""
 
     entry: str
     site: str
@@ -40,10 +40,10 @@
         if site not in played_site or path.stem < since:
             continue
         for day in entry.get("days") or []:
-            yield _day(path.stem, played_site, day)
+            yield _parse_day(path.stem, played_site, day)
 
 
-def _day(entry: str, site: str, day: dict[str, Any]) -> PlayedDay:
+def _parse_day(entry: str, site: str, day: dict[str, Any]) -> PlayedDay:
     return PlayedDay(
         entry,
         site,
@@ -57,15 +57,15 @@
 
 
 def main() -> None:
-    """Print the tables."""
+    """Print the tables of the days selected by the arguments."""
     site, since, *_ = [*sys.argv[1:], "", ""]
     by_day: dict[tuple[str, str], list[float]] = defaultdict(list)
     troubles: Counter[str] = Counter()
     for day in played_days(site, since):
         by_day[day.site, day.name].append(day.worth)
         troubles.update(day.troubles)
-        told = f"{day.entry} {day.site} {day.name} {day.seed} {day.worth:.3f}"
-        print(f"{told} {day.mark} {day.broken} {','.join(day.troubles)}")
+        result = f"{day.entry} {day.site} {day.name} {day.seed} {day.worth:.3f}"
+        print(f"{result} {day.mark} {day.broken} {','.join(day.troubles)}")
     print("\nsite day plays mean spread")
     for (played_site, name), worths in sorted(by_day.items()):
         if len(worths) > 1:
--- a/benchmarks/platform_kinds.py
+++ b/benchmarks/platform_kinds.py
@@ -1,8 +1,9 @@
-"""Days of one's own on the users' platform: each kind of trouble, twice in a day.
+"""Writes benchmark days that each have one kind of trouble, twice.
 
-``python benchmarks/platform_kinds.py SITE FOLDER`` writes one day a kind into FOLDER,
-with the traffic of the site's first day, early and late; kinds that hurt together are
-paired.  The days are played with the users' bench like those of the site.
+``python benchmarks/platform_kinds.py SITE FOLDER`` writes one day per kind to FOLDER,
+with the traffic of the site's first day and the trouble early and late in it, and
+days with pairs of kinds that aggravate each other.  The days are run with the users'
+benchmark program like those of the site.
 """
 
 import sys
@@ -11,7 +12,7 @@
 from typing import Any
 
 EARLY, LATE = 4.0, 17.0
-"""Seconds from the start of traffic; a day lasts some 34."""
+"""Seconds from the start of traffic; a day lasts about 34 seconds."""
 FAULTS: tuple[dict[str, Any], ...] = (
     {"kind": "burst", "x": 2.0, "for_s": 4.0},
     {"kind": "retry_abuse", "share": 0.3, "x": 3.0, "for_s": 5.0},
@@ -67,7 +68,7 @@
 
 
 def shown(value: object) -> str:
-    """Return ``value`` as TOML."""
+    """Return ``value`` formatted as TOML."""
     if isinstance(value, dict):
         return "{ " + ", ".join(f"{k} = {shown(v)}" for k, v in value.items()) + " }"
     if isinstance(value, list):
@@ -84,7 +85,7 @@
     plan: list[dict[str, Any]],
     faults: list[dict[str, Any]],
 ) -> None:
-    """Write one day like ``base`` but for its name and its troubles."""
+    """Write a day like ``base`` with another name and other troubles."""
     day = {**base, "name": name, "plan": plan, "faults": faults}
     for mark in ("one", "zero", "goal", "floor_classes", "floor_zones", "closing"):
         day.pop(mark, None)
@@ -93,12 +94,12 @@
 
 
 def twice(trouble: dict[str, Any]) -> list[dict[str, Any]]:
-    """Return ``trouble`` early and late in the day."""
+    """Return ``trouble`` scheduled early and late in the day."""
     return [{"at": at, **trouble} for at in (EARLY, LATE)]
 
 
 def main() -> None:
-    """Write the days."""
+    """Write the days to the folder given in the arguments."""
     site, target = Path(sys.argv[1]), Path(sys.argv[2])
     target.mkdir(parents=True, exist_ok=True)
     base = tomllib.loads(site.read_text())["day"][0]
--- a/benchmarks/platform_losses.py
+++ b/benchmarks/platform_losses.py
@@ -1,9 +1,9 @@
-"""Where answers in time are lost, from the request lines of gateways.
+"""Prints why requests were not answered in time, from the request logs of gateways.
 
-``python benchmarks/platform_losses.py LOG...`` reads what they wrote and prints, for
-requests that a model serves, how many were not answered in time: by reason and route,
-by reason and two seconds of the day, and the models and targets that lost most.  Each
-request that was lost counts once in each table, so that each sums to the whole loss.
+``python benchmarks/platform_losses.py LOG...`` reads the logs and counts the requests
+for models that were not answered in time: by reason and route, by reason, by
+two-second window, and by the models and targets with the most losses.  Each lost
+request counts once in each table, so that all tables have the same total.
 """
 
 import json
@@ -30,12 +30,12 @@
 
 
 def lines(paths: Iterable[str], *types: str) -> Iterator[dict[str, Any]]:
-    """Yield the lines of these types; what a collector puts before is passed over."""
-    wanted = tuple(f'"message_type": "{each}"' for each in types)
+    """Yield log messages of these types, ignoring prefixes added by a log collector."""
+    patterns = tuple(f'"message_type": "{each}"' for each in types)
     for path in paths:
         for raw in Path(path).read_text(errors="replace").splitlines():
             _, brace, rest = raw.partition("{")
-            if not any(each in rest for each in wanted):
+            if not any(each in rest for each in patterns):
                 continue
             try:
                 yield json.loads(brace + rest)
@@ -44,7 +44,7 @@
 
 
 def reason(line: dict[str, Any]) -> str:
-    """Return why an answer was not in time."""
+    """Return why a request was not answered in time."""
     if line["outcome"] != "answered":
         return str(line["outcome"])
     if line["status"] >= 300:
@@ -53,10 +53,10 @@
     return "paused too long" if began is not None and began <= goal else "began late"
 
 
-def lost(found: list[dict[str, Any]]) -> Iterator[Lost]:
-    """Yield the requests of models that were not answered in time."""
-    first = min((line["timestamp"] for line in found), default=0.0)
-    for line in found:
+def lost(messages: list[dict[str, Any]]) -> Iterator[Lost]:
+    """Yield the requests for models that were not answered in time."""
+    first = min((line["timestamp"] for line in messages), default=0.0)
+    for line in messages:
         if line["in_time"] or not line["model"]:
             continue
         began = line["timestamp"] - line["took_ms"] / 1000 - first
@@ -66,7 +66,7 @@
 
 
 def show(title: str, counts: Counter[tuple[str, ...]]) -> None:
-    """Print one table, the largest losses first, the rest in one row."""
+    """Print one table by descending count; the last row sums up the remainder."""
     print(f"\n{title}: {counts.total()} lost")
     rows = counts.most_common(MOST_ROWS)
     for names, count in rows:
@@ -77,14 +77,14 @@
 
 
 def main() -> None:
-    """Print the tables."""
-    found = list(lines(sys.argv[1:], "request"))
-    if not found:
+    """Print the tables for the logs given as arguments."""
+    messages = list(lines(sys.argv[1:], "request"))
+    if not messages:
         print(__doc__)
         return
-    losses = list(lost(found))
-    served = sum(bool(line["model"]) for line in found)
-    print(f"{served} requests of models, {len(losses)} not answered in time")
+    losses = list(lost(messages))
+    model_requests = sum(bool(line["model"]) for line in messages)
+    print(f"{model_requests} requests for models, {len(losses)} not answered in time")
     show("by reason and route", Counter((each.reason, each.route) for each in losses))
     show("by reason", Counter((each.reason,) for each in losses))
     show("by seconds", Counter((f"{each.window:3} s",) for each in losses))
--- a/benchmarks/platform_unserved.py
+++ b/benchmarks/platform_unserved.py
@@ -1,8 +1,9 @@
-"""Models and adapters that were asked for and never answered, from gateways' lines.
+"""Prints the models and adapters that were requested but never answered.
 
-``python benchmarks/platform_unserved.py LOG...`` reads what they wrote and prints, for
-each log, what was asked for several times over some seconds without one answer: how
-often, when, why it was refused, and what plans that left it said of it.
+``python benchmarks/platform_unserved.py LOG...`` reads logs of gateways and prints,
+for requests log, the models and adapters that were requested several times over some
+seconds without an answer: the number of requests, their duration, their outcomes and
+the reasons for which the planner did not load the model.
 """
 
 import sys
@@ -13,14 +14,14 @@
 from platform_losses import lines
 
 LEAST_ASKED = 4
-"""Requests from which a model that had no answer is told of."""
+"""Minimum number of requests for a model to be reported."""
 LEAST_SECONDS = 8.0
-"""Time between the first and the last of them."""
+"""Minimum seconds between the first and the last request."""
 
 
 @dataclass(slots=True)
 class Asked:
-    """Requests for one model or adapter; times are those of the lines."""
+    """Requests for one model or adapter; ``times`` are timestamps of log lines."""
 
     times: list[float] = field(default_factory=list)
     outcomes: Counter[str] = field(default_factory=Counter)
@@ -28,20 +29,20 @@
     left: Counter[str] = field(default_factory=Counter)
 
     def take(self, line: dict[str, Any]) -> None:
-        """Count one request line."""
+        """Count the request of one log line."""
         self.times.append(line["timestamp"])
         self.outcomes[str(line["outcome"])] += 1
         self.answered += line["status"] == 200
 
     @property
     def counts(self) -> bool:
-        """Whether it was asked for often enough, for long enough."""
-        lasting = self.times and max(self.times) - min(self.times) >= LEAST_SECONDS
-        return len(self.times) >= LEAST_ASKED and bool(lasting)
+        """Whether there were enough requests over a long enough time."""
+        long_enough = self.times and max(self.times) - min(self.times) >= LEAST_SECONDS
+        return len(self.times) >= LEAST_ASKED and bool(long_enough)
 
 
 def read(path: str) -> dict[tuple[str, str], Asked]:
-    """Return what one log asks for, by model and adapter."""
+    """Return the requests in one log by model and adapter."""
     asked: defaultdict[tuple[str, str], Asked] = defaultdict(Asked)
     for line in lines([path], "request", "load_left"):
         if line["message_type"] == "load_left":
@@ -52,18 +53,22 @@
 
 
 def main() -> None:
-    """Print the tables."""
+    """Print the table of each log given as an argument."""
     for path in sys.argv[1:]:
-        asked = {name: each for name, each in read(path).items() if each.counts}
-        unserved = {name: each for name, each in asked.items() if not each.answered}
+        asked = {
+            name: requests for name, requests in read(path).items() if requests.counts
+        }
+        unserved = {
+            name: requests for name, requests in asked.items() if not requests.answered
+        }
         print(f"{path}: {len(unserved)} of {len(asked)} never answered")
-        for (model, adapter), each in sorted(unserved.items()):
-            begun, ended = min(each.times), max(each.times)
+        for (model, adapter), requests in sorted(unserved.items()):
+            first_at, last_at = min(requests.times), max(requests.times)
             print(
                 f"  {model}/{adapter}" if adapter else f"  {model}",
-                f"{len(each.times)} times in {ended - begun:.1f} s,",
-                ", ".join(f"{n} {outcome}" for outcome, n in each.outcomes.items()),
-                f"; left as {dict(each.left)}" if each.left else "",
+                f"{len(requests.times)} times in {last_at - first_at:.1f} s,",
+                ", ".join(f"{n} {outcome}" for outcome, n in requests.outcomes.items()),
+                f"; left as {dict(requests.left)}" if requests.left else "",
             )
 
 
