--- a/benchmarks/bench_pictures.py
+++ b/benchmarks/bench_pictures.py
@@ -52,7 +52,7 @@
     def __init__(self, deployment: Deployment, way: Way, seed: int) -> None:
         self._random = random.Random(seed)
         self._way = way
-        self._placement = {hosting.target: hosting for hosting in hostings(deployment)}
+        self._placement = {actual.target: actual for actual in hostings(deployment)}
         self._picture = Picture()
         self._picture.configure(deployment)
         for hosting in self._placement.values():
@@ -72,20 +72,20 @@
     def change(self) -> None:
         """Add a unit to a target, or remove one that has other replicas."""
         target = self._random.choice([*self._placement])
-        hosting = self._placement[target]
-        models = [unit for unit in hosting.units if unit in self._replicas]
+        actual = self._placement[target]
+        models = [unit for unit in actual.units if unit in self._replicas]
         removable = [unit for unit in models if self._replicas[unit] > 1]
         if removable and self._random.random() < 0.5:
             unit = self._random.choice(removable)
-            units = tuple(u for u in hosting.units if u != unit)
+            units = tuple(u for u in actual.units if u != unit)
             self._replicas[unit] -= 1
         else:
             unit = self._random.choice(self._pool_units[target])
             if unit in models:
                 return
-            units = (*hosting.units, unit)
+            units = (*actual.units, unit)
             self._replicas[unit] += 1
-        updated = Hosting(target, hosting.version + 1, units)
+        updated = Hosting(target, actual.version + 1, units)
         self._placement[target] = updated
         if self._way is Way.PUSHED:
             self.seen.sent += CROSSINGS * _encoded_size(updated)
--- a/benchmarks/bench_routing.py
+++ b/benchmarks/bench_routing.py
@@ -90,11 +90,11 @@
 
     def begin() -> None:
         engine.slowdown = SLOWED if fault == "slowed tenfold" else 1.0
-        engine.failed = fault == "gone"
+        engine.crashed = fault == "gone"
 
     def end() -> None:
         engine.slowdown = 1.0
-        engine.failed = False
+        engine.crashed = False
 
     replay.schedule(FAULT_AT, begin)
     replay.schedule(FAULT_UNTIL, end)
--- a/benchmarks/replay/_routing.py
+++ b/benchmarks/replay/_routing.py
@@ -44,7 +44,7 @@
 TOKENS_SECONDS = 0.6
 DEADLINE = timedelta(seconds=8)
 CONNECT_SECONDS = 1.0
-POLL = 0.01
+POLL_SECONDS = 0.01
 ROUTE = Route(RouteKind.MODEL, "m")
 
 
@@ -87,7 +87,7 @@
         self.outcomes.append((request.received.total_seconds(), in_time))
 
 
-class StandInEngine(Slots):
+class SimulatedEngine(Slots):
     """A simulated engine with a prefix cache that publishes events."""
 
     def __init__(self, size: RoutingSize) -> None:
@@ -97,7 +97,7 @@
         self._events: list[tuple[float, CacheEvent]] = []
         self._sequence_numbers = itertools.count()
         self.slowdown = 1.0
-        self.failed = False
+        self.crashed = False
         self.now: Callable[[], float] = lambda: 0.0
 
     def prefill(self, blocks: tuple[str, ...]) -> int:
@@ -148,7 +148,7 @@
         names = [f"w{i}" for i in range(size.workers)]
         for name in names:
             picture.learn(Hosting(name, 1, ("m@1",)))
-        self.engines = {name: StandInEngine(size) for name in names}
+        self.engines = {name: SimulatedEngine(size) for name in names}
         for engine in self.engines.values():
             engine.now = lambda: self.now
         self._nodes = [
@@ -220,10 +220,10 @@
         avoided: frozenset[str],
         wait_until: float,
     ) -> None:
-        if waiter.settled.is_set() or self.now >= wait_until - POLL / 100:
+        if waiter.settled.is_set() or self.now >= wait_until - POLL_SECONDS / 100:
             self._apply_grant(self._nodes[node].leave(waiter), request, node, avoided)
             return
-        next_poll = min(wait_until, self.now + POLL)
+        next_poll = min(wait_until, self.now + POLL_SECONDS)
         self.schedule(
             next_poll, lambda: self._poll(waiter, request, node, avoided, wait_until)
         )
@@ -241,7 +241,7 @@
         name = grant.host.target
         self.result.arrivals_by_worker.append((self.now, name))
         engine = self.engines[name]
-        if engine.failed:
+        if engine.crashed:
             self.schedule(
                 self.now + CONNECT_SECONDS,
                 lambda: self._retry_failed(grant, request, node, avoided),
@@ -269,7 +269,7 @@
         grant: Grant,
         request: CallerRequest,
         node: int,
-        engine: StandInEngine,
+        engine: SimulatedEngine,
         sent: float,
     ) -> None:
         cached = engine.prefill(request.prefix)
--- a/benchmarks/replay/_run.py
+++ b/benchmarks/replay/_run.py
@@ -27,9 +27,9 @@
 from runhatch_server.targets import ReportedLoad
 
 ENTRY_NODES = 3
-STEP = 1.0
-PREFILL = timedelta(milliseconds=100)
-ROUNDING = 1e-5
+STEP_SECONDS = 1.0
+PREFILL_DURATION = timedelta(milliseconds=100)
+ROUNDING_SECONDS = 1e-5
 """Seconds; the clock rounds to microseconds, which could prevent a poll's end."""
 LOAD_SECONDS = 15.0
 UNLOAD_SECONDS = 4.0
@@ -100,9 +100,9 @@
         for index, arrival in enumerate(self._workload.arrivals):
             node = self._nodes[index % ENTRY_NODES]
             self._schedule(arrival.at, lambda a=arrival, n=node: self._arrive(a, n))
-        steps = int(self._workload.seconds / STEP)
+        steps = int(self._workload.seconds / STEP_SECONDS)
         for step in range(1, steps):
-            self._schedule(step * STEP, self._run_step)
+            self._schedule(step * STEP_SECONDS, self._run_step)
         while self._events:
             at, _, work = heapq.heappop(self._events)
             self._clock._elapsed = timedelta(seconds=at)
@@ -186,7 +186,7 @@
         wait_until: float,
     ) -> None:
         """Check every 20 ms whether the waiter is settled."""
-        if waiter.settled.is_set() or self._now >= wait_until - ROUNDING:
+        if waiter.settled.is_set() or self._now >= wait_until - ROUNDING_SECONDS:
             self._run_granted(node.leave(waiter), arrival, node, request)
             return
         next_poll = min(wait_until, self._now + 0.02)
@@ -213,7 +213,7 @@
             elapsed = self._clock.elapsed() - sent
             # The first token follows the wait in the engine's queue and the prefill.
             queued = elapsed - timedelta(seconds=arrival.service)
-            node.completed(grant, queued + PREFILL, load)
+            node.completed(grant, queued + PREFILL_DURATION, load)
             self._record_answer(request)
 
         engine.begin(lambda: self._schedule(self._now + arrival.service, end))
@@ -243,11 +243,13 @@
 
     def _begin_loads(self) -> None:
         size = self._workload.size
-        self._load_permits = min(2.0, self._load_permits + size.loads_per_second * STEP)
+        self._load_permits = min(
+            2.0, self._load_permits + size.loads_per_second * STEP_SECONDS
+        )
         while (
             self._pending_loads
             and self._load_permits >= 1
-            and self._loads_in_progress < size.loads_at_once
+            and self._loads_in_progress < size.max_concurrent_loads
         ):
             self._load_permits -= 1
             self._loads_in_progress += 1
--- a/benchmarks/replay/_workload.py
+++ b/benchmarks/replay/_workload.py
@@ -28,7 +28,7 @@
     models: int
     adapters: int
     loads_per_second: float
-    loads_at_once: int
+    max_concurrent_loads: int
     move_price: float
 
 
@@ -159,7 +159,7 @@
             "policy": {"move_price": size.move_price},
             "weight_store": {
                 "loads_per_second": size.loads_per_second,
-                "at_once": size.loads_at_once,
+                "at_once": size.max_concurrent_loads,
             },
         }
     )
