--- a/packages/runhatch-server/tests/late_world.py
+++ b/packages/runhatch-server/tests/late_world.py
@@ -75,7 +75,9 @@
         fleet = [make_target(name, "plain", ()) for name in targets]
         directory = make_directory(cluster.clock, *fleet)
         self.balancer = make_balancer(directory, cluster.clock, seed=int(vm.name[1:]))
-        self.balancer._held_requests.pause = lambda longest: cluster.pause(self, longest)
+        self.balancer._held_requests.pause = lambda longest: cluster.pause(
+            self, longest
+        )
         self.limits = self.balancer.limits
         self.exchange = PermitExchange(
             self.limits,
