--- a/packages/runhatch-server/src/runhatch_server/observability/_metrics.py
+++ b/packages/runhatch-server/src/runhatch_server/observability/_metrics.py
@@ -50,7 +50,7 @@
         self.leases = self._counter("leases", "Lease changes", "change")
         self.orderers_behind = self._counter(
             "orderers_behind",
-            "Order updates received with a lower fence than one already seen",
+            "Order updates received with a lower fence than one already known",
         )
         self.peer_messages = self._counter(
             "peer_messages", "Peer messages", "direction"
@@ -95,9 +95,7 @@
         )
         self.shards = self._gauge("planning_leases", "Planning leases held")
         self.targets = self._gauge("targets", "Targets that accept new requests")
-        self.held = self._gauge(
-            "requests_held", "Requests waiting for a model to be loaded"
-        )
+        self.held = self._gauge("requests_held", "Requests waiting for a model")
         self.replicas = self._gauge("replicas", "Model replicas, over all targets")
         self.holds_orders = self._gauge(
             "orders_lease_held",
--- a/packages/runhatch-server/src/runhatch_server/settings/_models.py
+++ b/packages/runhatch-server/src/runhatch_server/settings/_models.py
@@ -142,7 +142,7 @@
     )
     suspect_seconds: Seconds = Field(
         default=3.5,
-        description="Time without a heartbeat after which a peer is suspected",
+        description="Time without messages after which a peer is suspected",
     )
     max_message_bytes: int = Field(
         default=4_194_304, ge=65_536, le=67_108_864, description="Largest peer message"
