--- a/standins/src/runhatch_standins/_cluster.py
+++ b/standins/src/runhatch_standins/_cluster.py
@@ -1,4 +1,4 @@
-"""A small system on loopback: stand-ins and nodes as processes of their own."""
+"""Start a small system on loopback, with one process per stand-in and node."""
 
 import http.client
 import json
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Sizes:
-    """How large the system is, and how its engines behave."""
+    """Size of the cluster, and memory and speed of its engines."""
 
     nodes: int = 3
     engines: int = 3
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True)
 class Cluster:
-    """The running system; leaves nothing behind when closed."""
+    """A running system; closing it ends its processes and removes its folder."""
 
     sizes: Sizes
     folder: Path
@@ -63,27 +63,27 @@
     stack: ExitStack = field(default_factory=ExitStack)
 
     def caller_url(self, node: str) -> str:
-        """Return where ``node`` serves callers."""
+        """Return the URL on which ``node`` serves callers."""
         return f"http://127.0.0.1:{self.settings[node]['callers']['port']}"
 
     def operator_url(self, node: str) -> str:
-        """Return where ``node`` serves operators."""
+        """Return the URL on which ``node`` serves operators."""
         return f"http://127.0.0.1:{self.settings[node]['operators']['port']}"
 
     def relayed_url(self, launched: Launched) -> str:
-        """Return the address of ``launched``, through its relay if it has one."""
+        """Return the URL of the relay before ``launched``, or else its own URL."""
         relay = self.relays.get(launched.name)
         return launched.url if relay is None else f"http://127.0.0.1:{relay.port}"
 
     def restart_engine(self, name: str) -> None:
-        """Kill an engine and start it again on its port, with nothing loaded."""
+        """Kill an engine and restart it on the same port, without any model."""
         index = next(i for i, e in enumerate(self.engines) if e.name == name)
         port = self.engines[index].port
         self.engines[index].kill()
         self.engines[index] = self.start_engine(index, port)
 
     def start_engine(self, index: int, port: int = 0) -> Launched:
-        """Start the engine at ``index``; its journal outlives it."""
+        """Start the engine at ``index``; its journal file survives restarts."""
         name = f"e{index + 1}"
         journal = self.folder / f"{name}.journal"
         arguments = _engine_arguments(self.sizes, index, self.weights)
@@ -94,7 +94,7 @@
         return engine
 
     def start_node(self, name: str) -> Launched:
-        """Start, or start again, the node called ``name``."""
+        """Start or restart the node called ``name``."""
         path = self.folder / f"{name}.json5"
         path.write_text(
             "// Written by the test bench.\n" + json.dumps(self.settings[name])
@@ -106,7 +106,7 @@
         return node
 
     def publish_vms(self, leaving: tuple[str, ...] = ()) -> None:
-        """Tell the platform which VMs there are."""
+        """Write the list of VMs to the store; mark those in ``leaving`` as draining."""
         entries = {
             name: {
                 "failure_domain": settings["node"]["failure_domain"],
@@ -123,11 +123,11 @@
         self._write_vms(entries)
 
     def _write_vms(self, entries: Document) -> None:
-        """Replace the rows of the VMs."""
+        """Replace all rows of the VM partition by ``entries`` in one transaction."""
         table = StoreTable(Store(self.platform.url))
-        known = table.query(VMS_PARTITION)
-        assert isinstance(known, tuple)
-        versions = {row.key.sort: row.version for row in known}
+        rows = table.query(VMS_PARTITION)
+        assert isinstance(rows, tuple)
+        versions = {row.key.sort: row.version for row in rows}
         writes: list[Write] = [
             Delete(Key(VMS_PARTITION, name), version)
             for name, version in versions.items()
@@ -144,7 +144,7 @@
         assert isinstance(table.transact(writes), Committed)
 
     def deployment(self) -> Document:
-        """Return the configuration document for what is running."""
+        """Build a configuration document that describes the running targets."""
         targets = [
             {
                 "name": engine.name,
@@ -197,7 +197,10 @@
         }
 
     def runhatch(self, *arguments: str) -> str:
-        """Run the operators' command against the first live node."""
+        """Run the ``runhatch`` command and return its output.
+
+        Raises ``RuntimeError`` if the exit status is not 0.
+        """
         result = run_process(
             [sys.executable, "-m", "runhatch_cli", *arguments],
             capture_output=True,
@@ -209,18 +212,18 @@
         return result.stdout
 
     def apply(self, document: Document, note: str) -> str:
-        """Apply ``document`` and wait until every node has it."""
+        """Apply ``document`` and wait until it is in force on every node."""
         path = self.folder / "deployment.json5"
         path.write_text(json.dumps(document))
         urls = [self.operator_url(name) for name in self.nodes]
-        waits = [part for url in urls for part in ("--wait", url)]
-        options = ["--node", urls[0], "--note", note, *waits]
+        wait_options = [part for url in urls for part in ("--wait", url)]
+        options = ["--node", urls[0], "--note", note, *wait_options]
         return self.runhatch("apply", str(path), *options).strip()
 
     def wait_resident(self, node: str, seconds: float) -> bool:
-        """Wait until ``node`` knows a replica of every model and adapter."""
-        give_up = time.monotonic() + seconds
-        while time.monotonic() < give_up:
+        """Return whether ``node`` lists a replica of all models within ``seconds``."""
+        deadline = time.monotonic() + seconds
+        while time.monotonic() < deadline:
             counts = [
                 record["replicas"]
                 for noun in ("models", "adapters")
@@ -232,25 +235,25 @@
         return False
 
     def query(self, node: str, query: Document) -> list[Document]:
-        """Ask ``node``; the records that it returns."""
+        """Return the records with which ``node`` answers an operators' query."""
         answer = call(self.operator_url(node), "POST", "/v1/query", query)
         return list(answer["records"])
 
     def ended_nodes(self) -> list[str]:
-        """Return a line for each node that ended, with the last of its log."""
-        ended = []
+        """Return exit status and end of the log of each node that has exited."""
+        exited = []
         for name, node in self.nodes.items():
             if node.process.poll() is None:
                 continue
             logs = sorted(self.folder.glob(f"{name}-*.err"))
-            ended.append(
+            exited.append(
                 f"{name}: status {node.process.returncode}: "
                 f"{logs[-1].read_text()[-2000:]}"
             )
-        return ended
+        return exited
 
     def close(self) -> None:
-        """End every process started here."""
+        """Kill all processes and remove the folder."""
         self.stack.close()
 
 
@@ -259,20 +262,20 @@
     settings: Mapping[str, Document] | None = None,
     relayed: bool = False,
 ) -> Cluster:
-    """Start stand-ins and nodes; ``settings`` overrides sections by name.
+    """Start stand-ins and nodes; ``settings`` overrides sections of node settings.
 
-    ``relayed`` puts a :class:`TcpRelay` before every target, and one before the
-    platform for each node.
+    ``relayed`` puts a :class:`TcpRelay` in front of every target, and one per node
+    in front of the platform.
     """
     stack = ExitStack()
     try:
-        return _start(sizes, settings or {}, relayed, stack)
+        return _start_processes(sizes, settings or {}, relayed, stack)
     except BaseException:
         stack.close()
         raise
 
 
-def _start(
+def _start_processes(
     sizes: Sizes,
     overrides: Mapping[str, Document],
     relayed: bool,
@@ -349,12 +352,12 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Return ports that the system says are free, all different."""
+    """Return ``count`` different ports that are unused at the moment."""
     with ExitStack() as stack:
         sockets = [stack.enter_context(socket.socket()) for _ in range(count)]
-        for each in sockets:
-            each.bind(("127.0.0.1", 0))
-        return [each.getsockname()[1] for each in sockets]
+        for unbound in sockets:
+            unbound.bind(("127.0.0.1", 0))
+        return [bound.getsockname()[1] for bound in sockets]
 
 
 def call(
@@ -365,19 +368,22 @@
     headers: Mapping[str, str] | None = None,
     timeout: float = 30.0,
 ) -> Document:
-    """Make one JSON call; raises ``RuntimeError`` unless it succeeds."""
+    """Send one JSON request and return the decoded body of the response.
+
+    Raises ``RuntimeError`` for statuses of 300 and above.
+    """
     parts = urlsplit(url)
     connection = http.client.HTTPConnection(
         parts.hostname or "", parts.port, timeout=timeout
     )
     body = None if document is None else json.dumps(document)
-    sent = {"Content-Type": "application/json", **(headers or {})}
+    all_headers = {"Content-Type": "application/json", **(headers or {})}
     try:
-        connection.request(method, path, body, sent)
+        connection.request(method, path, body, all_headers)
         response = connection.getresponse()
-        answer = response.read()
+        content = response.read()
     finally:
         connection.close()
     if response.status >= 300:
-        raise RuntimeError(f"{method} {path}: {response.status} {answer[:300]!r}")
-    return dict(json.loads(answer or b"{}"))
+        raise RuntimeError(f"{method} {path}: {response.status} {content[:300]!r}")
+    return dict(json.loads(content or b"{}"))
--- a/standins/src/runhatch_standins/_gateway_callers.py
+++ b/standins/src/runhatch_standins/_gateway_callers.py
@@ -1,4 +1,4 @@
-"""What callers of the gateways' soak ask for, and what a whole answer is."""
+"""Send random requests for the gateway soak and compute the expected answers."""
 
 import http.client
 import random
@@ -7,23 +7,23 @@
 from runhatch_standins._history import Event, EventKind
 
 REFUSED = (408, 421, 429, 503)
-"""Statuses by which a gateway promises that a request has not run."""
+"""Statuses that guarantee that the request was not executed."""
 ADAPTERS = ("", "", "/a0", "/a1")
-"""What a stream asks for beside its model; more than fits is asked for in all."""
+"""Suffixes of model names; together the adapters exceed the slots of an engine."""
 
 
 def ask(
     connection: http.client.HTTPConnection, source: random.Random, name: str
 ) -> tuple[Event, bool]:
-    """Send one request; returns what came, and whether the connection stands."""
+    """Send one request; return its event and whether the connection is reusable."""
     kind = source.choice(["plain", "once", "stream"])
     once = kind != "plain"
-    model = _model(source) if kind == "stream" else ""
+    model = _choose_model(source) if kind == "stream" else ""
     tokens = source.randint(3, 40)
     expected = f"/{kind}/{name} {name}"
     if model:
-        pieces = range(1, tokens + 1)
-        expected = "".join(f"id: {i}\ndata: {name}\n\n" for i in pieces)
+        sequence_ids = range(1, tokens + 1)
+        expected = "".join(f"id: {i}\ndata: {name}\n\n" for i in sequence_ids)
     method = "POST" if once else "GET"
     headers = request_headers(name, model, tokens)
     try:
@@ -34,12 +34,12 @@
         return Event(name, EventKind.BROKEN, once), False
     reusable = not response.will_close
     if response.status == 200:
-        answer = body.decode(errors="replace")
-        return Event(name, EventKind.ANSWERED, once, answer, expected), reusable
+        content = body.decode(errors="replace")
+        return Event(name, EventKind.ANSWERED, once, content, expected), reusable
     refused = response.status in REFUSED
-    told = EventKind.REFUSED_NO if refused else EventKind.REFUSED_UNKNOWN
-    return Event(name, told, once, f"status {response.status}"), reusable
+    event_kind = EventKind.REFUSED_NO if refused else EventKind.REFUSED_UNKNOWN
+    return Event(name, event_kind, once, f"status {response.status}"), reusable
 
 
-def _model(source: random.Random) -> str:
-    return f"{source.choice(MODELS)['name']}{source.choice(ADAPTERS)}"
+def _choose_model(rng: random.Random) -> str:
+    return f"{rng.choice(MODELS)['name']}{rng.choice(ADAPTERS)}"
--- a/standins/src/runhatch_standins/_gateways.py
+++ b/standins/src/runhatch_standins/_gateways.py
@@ -1,4 +1,4 @@
-"""Gateways as processes of their own, between callers, targets and the store."""
+"""Run gateways as separate processes between callers, targets and the store."""
 
 import http.client
 import json
@@ -48,7 +48,7 @@
 
 
 def route(prefix: str, kind: str, service: str, **changes: object) -> Document:
-    """Return the declaration of one route."""
+    """Build the configuration entry of one route, with ``changes`` to its fields."""
     return {
         "name": f"r{prefix}",
         "host": HOST,
@@ -70,9 +70,9 @@
 
 
 def wait_until(holds: Callable[[], object], longest: float = READY_SECONDS) -> bool:
-    """Wait until ``holds`` is true; tell whether it became so in time."""
-    end = time.monotonic() + longest
-    while time.monotonic() < end:
+    """Return whether ``holds()`` becomes true within ``longest`` seconds."""
+    deadline = time.monotonic() + longest
+    while time.monotonic() < deadline:
         if holds():
             return True
         time.sleep(0.02)
@@ -81,7 +81,7 @@
 
 @dataclass(slots=True)
 class Gateway:
-    """One gateway's process, its ports, and its way to the store."""
+    """A gateway's process, its ports, and the relay to the store."""
 
     name: str
     process: Launched
@@ -94,57 +94,62 @@
 
 
 class GatewaySystem:
-    """The store, two engines, two plain targets and two gateways.
+    """A store, two engines, two plain targets and at least two gateways.
 
-    ``stack`` ends the processes, ``folder`` takes their settings.
+    Closing ``stack`` kills the processes; ``folder`` holds their settings files.
     """
 
     def __init__(self, stack: ExitStack, folder: Path) -> None:
         self._stack = stack
         self._folder = folder
         self._version = 0
-        self._document: Document | None = None
-        self.platform = self._start(launch("platform", "runhatch_standins.platform"))
+        self._configuration: Document | None = None
+        self.platform = self._register(launch("platform", "runhatch_standins.platform"))
         self.engines = [
             self.start_worker("engine", "m0,m1"),
             self.start_worker("engine", "m1,m2"),
         ]
         self.plain = [self.start_worker("plain") for _ in range(2)]
         self.gateways: list[Gateway] = []
-        self._launched: list[Launched] = []
+        self._gateway_processes: list[Launched] = []
         self.configure(ROUTES)
         self.start_gateway("n1")
         self.start_gateway("n2")
 
-    def _start(self, launched: Launched) -> Launched:
+    def _register(self, launched: Launched) -> Launched:
         self._stack.callback(launched.kill)
         return launched
 
     def start_worker(self, service: str, models: str = "") -> Launched:
-        """Start one more target."""
+        """Start a target of ``service`` that may serve ``models``."""
         arguments = ["--port", "0", "--store", self.platform.url]
         arguments += ["--service", service, "--models", models]
-        return self._start(launch("worker", "runhatch_standins.worker", *arguments))
+        return self._register(launch("worker", "runhatch_standins.worker", *arguments))
 
     def start_gateway(self, name: str) -> Gateway:
-        """Start one more gateway, and wait until it is ready."""
+        """Start a gateway and wait until it is ready.
+
+        Raises ``RuntimeError`` if it is not ready within ``READY_SECONDS``.
+        """
         ports = free_ports(5)
         relay = TcpRelay(self.platform.port)
         self._stack.callback(relay.close)
-        process = self._launch(name, ports, relay)
+        process = self._launch_gateway(name, ports, relay)
         front, ready, control, metrics, broadcast = ports
         gate = Gateway(name, process, front, ready, control, metrics, broadcast, relay)
         self.gateways.append(gate)
         if not wait_until(lambda: self.is_ready(gate)):
-            raise RuntimeError(f"{name} does not become ready")
+            raise RuntimeError(
+                f"gateway {name!r} is not ready after {READY_SECONDS:g} s"
+            )
         return gate
 
     def restart(self, gate: Gateway) -> None:
-        """Start the process of a gateway that has ended again."""
+        """Restart the process of a gateway that has exited, on the same ports."""
         ports = [gate.front, gate.ready, gate.control, gate.metrics, gate.broadcast]
-        gate.process = self._launch(gate.name, ports, gate.to_store)
+        gate.process = self._launch_gateway(gate.name, ports, gate.to_store)
 
-    def _launch(self, name: str, ports: list[int], relay: TcpRelay) -> Launched:
+    def _launch_gateway(self, name: str, ports: list[int], relay: TcpRelay) -> Launched:
         front, ready, control, metrics, broadcast = ports
         seeds = ", ".join(f'"127.0.0.1:{gate.control}"' for gate in self.gateways)
         path = self._folder / f"{name}.yaml"
@@ -163,23 +168,27 @@
             "RUNHATCH_NODE_FILE": str(path),
             "RUNHATCH_METRICS_PORT": str(metrics),
         }
-        launched = self._start(launch(name, "runhatch_platform", variables=variables))
-        self._launched.append(launched)
+        launched = self._register(
+            launch(name, "runhatch_platform", variables=variables)
+        )
+        self._gateway_processes.append(launched)
         return launched
 
     def write_logs(self, folder: Path) -> None:
-        """Write what each gateway's process logged, also those that have ended."""
+        """Write the log of each gateway process, exited ones included."""
         folder.mkdir(parents=True, exist_ok=True)
-        for number, launched in enumerate(self._launched):
+        for number, launched in enumerate(self._gateway_processes):
             path = folder / f"{number:02}-{launched.name}.log"
             path.write_text("\n".join(launched.lines))
 
     def holder(self) -> Gateway | None:
-        """Return the gateway that says that it orders the targets, if one does."""
-        return next((gate for gate in self.gateways if _says_it_orders(gate)), None)
+        """Return the gateway that reports to hold the lease for orders, if any."""
+        return next(
+            (gate for gate in self.gateways if _reports_order_lease(gate)), None
+        )
 
     def is_ready(self, gate: Gateway) -> bool:
-        """Tell whether a gateway says that it takes requests."""
+        """Return whether the readiness endpoint of ``gate`` reports ready."""
         try:
             call(f"http://127.0.0.1:{gate.ready}", "GET", "/api/readiness", timeout=2)
         except json.JSONDecodeError:
@@ -189,36 +198,36 @@
         return True
 
     def configure(self, routes: list[Document]) -> None:
-        """Put ``routes`` in force, as a newer version."""
+        """Write a configuration with ``routes`` and a higher version."""
         self._version += 3
         services = [
             {"name": "engine", "max_conns": 100, "engine": ENGINE},
             {"name": "plain", "max_conns": 50},
         ]
         document = {"version": self._version, "routes": routes, "services": services}
-        self._document = document
+        self._configuration = document
         self.write_row("op", "config", document)
 
     def copy_store(self) -> None:
-        """Have the store take a copy of its rows."""
+        """Make the store copy its rows."""
         call(self.platform.url, "POST", "/copy", {})
 
     def restore_store(self, away: float = 0.3) -> None:
-        """Have the store go away for a moment and come back from its copy."""
+        """Restore the store from its copy after ``away`` seconds of downtime."""
         call(self.platform.url, "POST", "/faults", {"down": True})
         time.sleep(away)
         call(self.platform.url, "POST", "/restore", {})
         call(self.platform.url, "POST", "/faults", {})
 
     def write_again(self, targets: Iterable[Launched]) -> None:
-        """Have operators and ``targets`` write what they wrote last."""
-        if self._document is not None:
-            self.write_row("op", "config", self._document)
+        """Write the last configuration and the entries of ``targets`` again."""
+        if self._configuration is not None:
+            self.write_row("op", "config", self._configuration)
         for target in targets:
             call(target.url, "POST", "/register", {})
 
     def write_row(self, table: str, key: str, document: object) -> None:
-        """Write a row as operators and targets do, past all conditions."""
+        """Write a row without a condition, as operators and targets do."""
         row = {"table": table, "key": key, "document": document}
         call(self.platform.url, "PUT", "/rows", {"puts": [row]})
 
@@ -230,31 +239,31 @@
         name: str | None = None,
         model: str = "",
         tokens: int = 8,
-        **more: str,
+        **extra_headers: str,
     ) -> tuple[http.client.HTTPConnection, http.client.HTTPResponse]:
-        """Send a request on a connection of its own; return both, unread."""
+        """Send a request on a new connection; return it and the unread response."""
         port = self.gateways[gate].front
         connection = http.client.HTTPConnection("127.0.0.1", port, timeout=10)
         name = name or f"id-{time.monotonic_ns()}"
-        headers = {**request_headers(name, model, tokens), **more}
+        headers = {**request_headers(name, model, tokens), **extra_headers}
         connection.request(method, path, headers=headers)
         return connection, connection.getresponse()
 
     def answer(
         self, *arguments: Any, **named: Any
     ) -> tuple[http.client.HTTPResponse, bytes]:
-        """Send a request, see :meth:`ask`; return the whole answer."""
+        """Send a request as :meth:`ask` does; return the response and its body."""
         connection, response = self.ask(*arguments, **named)
         body = response.read()
         connection.close()
         return response, body
 
     def runs(self, workers: Iterable[Launched]) -> list[list[Any]]:
-        """Return what was run: attempt, model, and how it ended."""
+        """Return the runs of ``workers`` as lists of attempt, model and outcome."""
         return [run for w in workers for run in call(w.url, "GET", "/journal")["runs"]]
 
 
-def _says_it_orders(gate: Gateway) -> bool:
+def _reports_order_lease(gate: Gateway) -> bool:
     url = f"http://127.0.0.1:{gate.metrics}/metrics"
     try:
         with urlopen(url, timeout=METRICS_SECONDS) as response:
@@ -267,7 +276,10 @@
 def run_gateways(
     folder: Path, count: int, settle_seconds: float
 ) -> Iterator[GatewaySystem]:
-    """Run a system of ``count`` gateways that have had time to find each other."""
+    """Run a system of ``count`` gateways.
+
+    Yields it after ``settle_seconds``, in which the gateways discover each other.
+    """
     with ExitStack() as stack:
         system = GatewaySystem(stack, folder)
         for number in range(len(system.gateways), count):
@@ -277,7 +289,7 @@
 
 
 def request_headers(name: str, model: str = "", tokens: int = 8) -> dict[str, str]:
-    """Return the headers of a caller's attempt called ``name``."""
+    """Build the headers of a caller's request with attempt id ``name``."""
     headers = {"Host": HOST, "X-Runhatch-Attempt-Id": name}
     if model:
         headers["X-Runhatch-Model"] = model
