--- a/standins/src/runhatch_standins/_disturbances.py
+++ b/standins/src/runhatch_standins/_disturbances.py
@@ -1,4 +1,4 @@
-"""Faults of a soak run: a schedule fixed by its seed, and how each is made."""
+"""Schedule the faults of a soak run by its seed and inject them into a cluster."""
 
 import random
 import signal
@@ -13,11 +13,11 @@
 from runhatch_standins._tcp_relay import LinkFault
 
 CUT_POINTS = (0, 40, 300, 700)
-"""Bytes of an answer: before its head, in it, in a chunk, before the end."""
+"""Bytes passed on before a cut: none, in its head, in a chunk, before its end."""
 
 
 class Disturbance(Enum):
-    """What may happen to the system."""
+    """Kinds of faults that a run may inject."""
 
     KILL_NODE = "kill node"
     PAUSE_NODE = "pause node"
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Planned:
-    """One disturbance: when, what, to whom and for how long, in seconds."""
+    """One fault: start and duration in seconds, kind, subject and cut point."""
 
     at: float
     kind: Disturbance
@@ -52,63 +52,63 @@
 
 
 def make_schedule(seed: int, seconds: float) -> list[Planned]:
-    """Return the disturbances of a run, always the same for a seed."""
-    source = random.Random(seed)
+    """Return the faults of a run, equal for equal seeds."""
+    rng = random.Random(seed)
     kinds = [*Disturbance]
     schedule = []
     at = 1.0
     while at < seconds - 4:
         planned = Planned(
             at,
-            source.choice(kinds),
-            source.randrange(1_000),
-            source.uniform(0.5, 5.0),
-            source.choice(CUT_POINTS),
+            rng.choice(kinds),
+            rng.randrange(1_000),
+            rng.uniform(0.5, 5.0),
+            rng.choice(CUT_POINTS),
         )
         schedule.append(planned)
-        # Often the next comes before this one is over.
-        at += source.uniform(0.2, 2.5)
+        # Shorter than most faults last, so that faults overlap.
+        at += rng.uniform(0.2, 2.5)
     return schedule
 
 
 class Disturber:
-    """Makes and ends disturbances on a running cluster."""
+    """Injects faults into a running cluster and reverts them."""
 
     def __init__(self, cluster: Cluster) -> None:
         self._cluster = cluster
         self.counts: Counter[Disturbance] = Counter()
         self.exit_codes: list[int] = []
         self.avoided: set[str] = set()
-        """Nodes that a balancer would not send to at the moment."""
-        # One thing at a time happens to the life of one process.
+        """Nodes that a load balancer has taken out of rotation."""
+        # Serialises faults that stop or restart the same process.
         self._locks: defaultdict[str, threading.Lock] = defaultdict(threading.Lock)
 
     def run(self, planned: Planned) -> None:
-        """Make one disturbance, wait, and end it."""
+        """Inject one fault, wait for its duration and revert it."""
         self.counts[planned.kind] += 1
         action = _ACTIONS[planned.kind]
         action(self, planned)
 
     def node(self, planned: Planned) -> str:
-        """Return the node concerned."""
+        """Return the name of the node that ``planned`` applies to."""
         names = sorted(self._cluster.settings)
         return names[planned.subject % len(names)]
 
     def engine(self, planned: Planned) -> str:
-        """Return the engine concerned."""
+        """Return the name of the engine that ``planned`` applies to."""
         engines = self._cluster.engines
         return engines[planned.subject % len(engines)].name
 
     def kill_node(self, planned: Planned) -> None:
-        """Kill a node, and start it again later."""
+        """Kill a node and restart it after the duration of the fault."""
         name = self.node(planned)
         with self._locks[name]:
             self._cluster.nodes[name].kill()
             time.sleep(planned.lasts)
-            self._restart(name)
+            self._restart_node(name)
 
     def pause_node(self, planned: Planned) -> None:
-        """Stop a node longer than any lease, then let it go on."""
+        """Suspend a node for longer than a lease, then resume it."""
         name = self.node(planned)
         with self._locks[name]:
             node = self._cluster.nodes[name]
@@ -117,7 +117,7 @@
             node.signal(signal.SIGCONT)
 
     def restart_node(self, planned: Planned) -> None:
-        """End a node gracefully while the balancer still sends to it."""
+        """Restart a node gracefully while the load balancer still sends to it."""
         name = self.node(planned)
         with self._locks[name]:
             node = self._cluster.nodes[name]
@@ -125,11 +125,11 @@
             time.sleep(0.3)
             self.avoided.add(name)
             self.exit_codes.append(node.terminate(40))
-            self._restart(name)
+            self._restart_node(name)
             self.avoided.discard(name)
 
     def platform_fault(self, **faults: float) -> Callable[[Planned], None]:
-        """Return an action that sets faults of the platform for a time."""
+        """Return an action that sets and later clears ``faults`` of the platform."""
 
         def act(planned: Planned) -> None:
             url = self._cluster.platform.url
@@ -140,40 +140,40 @@
         return act
 
     def engine_fault(self, planned: Planned, **faults: float) -> None:
-        """Set faults of an engine for a time."""
-        url = self._url(self.engine(planned))
-        _try_faults(url, dict(faults))
+        """Set ``faults`` of an engine and clear them after the duration."""
+        url = self._engine_url(self.engine(planned))
+        _set_faults_if_reachable(url, dict(faults))
         time.sleep(planned.lasts)
-        _try_faults(url, {})
+        _set_faults_if_reachable(url, {})
 
     def service_fault(self, planned: Planned) -> None:
-        """Have the plain service fail once after it ran."""
+        """Make the plain service fail one request after executing it."""
         call(self._cluster.booking.url, "POST", "/faults", {"fail_after_run": 1})
 
     def kill_engine(self, planned: Planned) -> None:
-        """Restart an engine, which loses all it had loaded."""
+        """Restart an engine, which unloads all its models."""
         name = self.engine(planned)
         with self._locks[name]:
             self._cluster.restart_engine(name)
 
     def link_fault(self, name: str, fault: LinkFault, planned: Planned) -> None:
-        """Set a fault of one relay for a time."""
+        """Inject ``fault`` into one relay and clear it after the duration."""
         relay = self._cluster.relays[name]
         relay.inject(fault, planned.point)
         time.sleep(planned.lasts)
         relay.inject(LinkFault.NONE)
 
-    def _url(self, engine: str) -> str:
+    def _engine_url(self, engine: str) -> str:
         return next(e.url for e in self._cluster.engines if e.name == engine)
 
-    def _restart(self, name: str) -> None:
+    def _restart_node(self, name: str) -> None:
         code = self._cluster.nodes[name].process.returncode
         if code not in (None, 0, -9):
             self.exit_codes.append(code)
         self._cluster.start_node(name)
 
 
-def _try_faults(url: str, faults: dict[str, float]) -> None:
+def _set_faults_if_reachable(url: str, faults: dict[str, float]) -> None:
     try:
         call(url, "POST", "/faults", faults)
     except (OSError, RuntimeError):
--- a/standins/src/runhatch_standins/_gateway_faults.py
+++ b/standins/src/runhatch_standins/_gateway_faults.py
@@ -1,4 +1,4 @@
-"""The faults of a run of gateways, and when they come."""
+"""Plan the faults that a run of the gateway soak injects."""
 
 import random
 from collections.abc import Sequence
@@ -7,7 +7,7 @@
 
 
 class GatewayFault(Enum):
-    """What may happen to the system."""
+    """Kinds of faults that a run may inject."""
 
     KILL = "kill gateway"
     PAUSE = "pause gateway"
@@ -33,7 +33,7 @@
 
 
 FIRST_KINDS = tuple(GatewayFault)[:17]
-"""The kinds that runs of earlier seeds were planned with."""
+"""Kinds used by the oldest plans, so that their seeds give the same faults."""
 ALL_KINDS = tuple(GatewayFault)[:19]
 HOLDER_KINDS = (
     *GatewayFault,
@@ -41,12 +41,12 @@
     *[GatewayFault.HOLDER_STOPPED] * 4,
     *[GatewayFault.STORE_RESTORED] * 4,
 )
-"""All there are; those that change who orders come often."""
+"""All kinds; those that change the holder of the order lease are repeated."""
 
 
 @dataclass(frozen=True, slots=True)
 class PlannedFault:
-    """One fault: when, what, to whom and for how long, in seconds."""
+    """One fault: start and duration in seconds, kind, and number of its subject."""
 
     at: float
     kind: GatewayFault
@@ -57,12 +57,12 @@
 def plan_faults(
     seed: int, seconds: float, kinds: Sequence[GatewayFault] = ALL_KINDS
 ) -> list[PlannedFault]:
-    """Return the faults of a run, always the same for a seed; many overlap."""
-    source = random.Random(seed)
+    """Return the faults of a run, which may overlap; equal for equal seeds."""
+    rng = random.Random(seed)
     planned = []
     at = 1.0
     while at < seconds - 2:
-        subject, lasts = source.randrange(1_000), source.uniform(0.3, 3.0)
-        planned.append(PlannedFault(at, source.choice(kinds), subject, lasts))
-        at += source.uniform(0.2, 1.5)
+        subject, lasts = rng.randrange(1_000), rng.uniform(0.3, 3.0)
+        planned.append(PlannedFault(at, rng.choice(kinds), subject, lasts))
+        at += rng.uniform(0.2, 1.5)
     return planned
