--- a/standins/src/runhatch_standins/demo.py
+++ b/standins/src/runhatch_standins/demo.py
@@ -1,4 +1,4 @@
-"""The demonstration: a small system, mixed requests, a drain and a killed node."""
+"""Demonstrate a small system under mixed requests, a drain and a killed node."""
 
 import random
 import sys
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """One request with everything that came of it."""
+    """One request with its responses and those to its repeats."""
 
     wanted: Wanted
     gots: tuple[Got, ...]
@@ -30,7 +30,7 @@
 
     @property
     def last(self) -> EventKind:
-        """What the caller was left with."""
+        """Return the kind of the response that settled the request."""
         return self.gots[-1].event.kind
 
 
@@ -40,27 +40,28 @@
 
 
 def make_requests(seed: int) -> list[Wanted]:
-    """Return the mixed requests, always the same for a seed."""
-    source = random.Random(seed)
+    """Return requests of all shapes, equal for equal seeds."""
+    rng = random.Random(seed)
     shapes = [*Shape]
-    wanted = []
+    requests = []
     for index in range(REQUESTS):
         shape = shapes[index % len(shapes)]
         names = [f"m{i}" for i in range(8)] + [f"a{i}" for i in range(4)]
-        model = source.choice(names)
-        tokens = source.randint(4, 40)
-        wanted.append(Wanted(f"request-{index:04d}", shape, model, tokens))
-    return wanted
+        model = rng.choice(names)
+        tokens = rng.randint(4, 40)
+        requests.append(Wanted(f"request-{index:04d}", shape, model, tokens))
+    return requests
 
 
 def serve_one(cluster: Cluster, index: int, wanted: Wanted) -> Outcome:
-    """Send one request, and what may run only once to every other node too."""
+    """Send one request, and repeat it at all nodes if it may run only once."""
     survivors = [name for name in cluster.settings if name != KILLED]
     names = [*cluster.settings]
     start = index % len(names)
     order = names[start:] + names[:start]
     if wanted.once:
-        # A run cut off by a kill is unknown for ever; the soak test covers that.
+        # The outcome of a run interrupted by the kill would stay unknown; the soak
+        # covers that case.
         order = survivors if index % 2 else survivors[::-1]
     urls = [cluster.caller_url(name) for name in order]
     gots = tuple(send_until_settled(urls, wanted))
@@ -71,7 +72,7 @@
 
 
 def disturb(cluster: Cluster, progress: list[int]) -> None:
-    """Drain a target after a third of the requests, kill a node after two."""
+    """Drain a target after a third of the requests, kill a node after two thirds."""
     while progress[0] < REQUESTS // 3:
         time.sleep(0.02)
     node = cluster.operator_url("n1")
@@ -84,14 +85,14 @@
 
 
 def run_requests(cluster: Cluster, requests: list[Wanted]) -> list[Outcome]:
-    """Serve all requests while the system is disturbed."""
+    """Send all requests during a drain and the kill of a node."""
     progress = [0]
     lock = threading.Lock()
     disturber = threading.Thread(target=disturb, args=(cluster, progress))
     disturber.start()
 
-    def work(pair: tuple[int, Wanted]) -> Outcome:
-        outcome = serve_one(cluster, *pair)
+    def serve_and_count(indexed_request: tuple[int, Wanted]) -> Outcome:
+        outcome = serve_one(cluster, *indexed_request)
         with lock:
             progress[0] += 1
             if progress[0] % 100 == 0:
@@ -99,13 +100,13 @@
         return outcome
 
     with ThreadPoolExecutor(WORKERS) as pool:
-        outcomes = list(pool.map(work, enumerate(requests)))
+        outcomes = list(pool.map(serve_and_count, enumerate(requests)))
     disturber.join()
     return outcomes
 
 
 def count_runs(cluster: Cluster) -> Counter[str]:
-    """Return how often each request ran, from what the targets recorded."""
+    """Return the number of runs of each request from the records of the targets."""
     runs: Counter[str] = Counter()
     for engine in cluster.engines:
         record = call(engine.url, "GET", "/record")
@@ -116,25 +117,27 @@
 
 
 def history_of(outcomes: list[Outcome]) -> list[Event]:
-    """Return every sending as an event."""
+    """Return the events of all responses, repeats included."""
     return [got.event for o in outcomes for got in (*o.gots, *o.repeats)]
 
 
 def memory_violations(cluster: Cluster) -> list[str]:
-    """Return what the engines and the weight store hold against the system."""
-    found: list[str] = []
+    """Return violations of memory and load limits recorded by the stand-ins."""
+    violations: list[str] = []
     for engine in cluster.engines:
-        found += call(engine.url, "GET", "/record")["violations"]
+        violations += call(engine.url, "GET", "/record")["violations"]
     stats = call(cluster.weights.url, "GET", "/stats")
     if stats["breaches"]:
-        found.append(f"weight store: {stats['breaches']} loads beyond its limits")
-    return found
+        violations.append(
+            f"weight store: {stats['breaches']} loads exceeded its limits"
+        )
+    return violations
 
 
 def report(cluster: Cluster, outcomes: list[Outcome]) -> int:
-    """Print the table and the last line; returns the exit status."""
+    """Print a table and a summary line; return the exit status."""
     runs = count_runs(cluster)
-    # Lookups leave no record at the service, so their runs cannot be counted.
+    # The service does not record lookups, so their runs cannot be counted.
     lookups = {o.wanted.name for o in outcomes if o.wanted.shape is Shape.LOOKUP}
     runs.update(dict.fromkeys(lookups, 1))
     violations = check_history(history_of(outcomes), runs)
@@ -162,14 +165,14 @@
 
 
 def main() -> int:
-    """Run the demonstration."""
+    """Run the demonstration and return the exit status."""
     say("starting the platform, 3 engines, a plain service and 3 nodes")
     cluster = start_cluster(Sizes())
     try:
         say(f"  {cluster.apply(cluster.deployment(), 'demo')}")
         for name in cluster.nodes:
             if not cluster.wait_resident(name, RESIDENT_SECONDS):
-                say(f"demo: {name} knows no replica of some model")
+                say(f"demo: {name} lacks a replica of some model or adapter")
                 return 1
         say("  8 models and 4 adapters are resident")
         say(f"sending {REQUESTS} requests")
--- a/standins/src/runhatch_standins/gateway_soak.py
+++ b/standins/src/runhatch_standins/gateway_soak.py
@@ -1,7 +1,7 @@
-"""A randomised run of real gateways under faults, with their promises checked.
+"""Run gateway processes under random faults and check their guarantees.
 
-The schedule of faults and requests is fixed by the seed; what the operating system
-makes of it is not, so a violation may take several runs of a seed to show again.
+The seed fixes the schedule of faults and requests, but not how the operating system
+schedules processes: a violation may need several runs of a seed to recur.
 """
 
 import argparse
@@ -58,12 +58,12 @@
 RECOVERY_SECONDS = 15.0
 GRACE_SECONDS = 9.0
 RATE_LIMIT = 1.0
-"""Requests a second that limited targets take."""
+"""Requests per second that a target with a rate limit accepts."""
 LIMIT_KNOWN_SECONDS = 3.0
-"""By when all gateways keep to a limit."""
+"""Time within which all gateways must comply with a new rate limit."""
 MOST_MEMORY_KB = 300 * 1024
 HANDOVER_SECONDS = 3.0
-"""Least time between the orders of two holders, the platform's ``lease_ms``."""
+"""Minimum time between the orders of two holders: the platform's ``lease_ms``."""
 KINDS = {"first": FIRST_KINDS, "all": ALL_KINDS, "holder": HOLDER_KINDS}
 FOREIGN: tuple[object, ...] = (
     {"service": "plain"},
@@ -76,7 +76,7 @@
 
 @dataclass(slots=True)
 class GatewaySoak:
-    """One run: callers that keep connections open, and faults."""
+    """One run: callers with persistent connections, and injected faults."""
 
     system: GatewaySystem
     seed: int
@@ -87,92 +87,98 @@
     kinds: Sequence[GatewayFault] = ALL_KINDS
     versions: int = 0
     limited: list[tuple[str, float, float]] = field(default_factory=list)
-    """Targets that named a rate limit, since when all knew it, and until when."""
+    """URL of a target, and start and end of the time its rate limit must hold."""
     resumed: dict[str, list[float]] = field(default_factory=dict)
-    """When each paused gateway ran again, by the monotonic clock."""
+    """Monotonic times at which each paused gateway was resumed."""
     _stop: threading.Event = field(default_factory=threading.Event)
     _locks: dict[str, threading.Lock] = field(default_factory=dict)
 
     def run(self) -> None:
-        """Run for the set time, and end all faults."""
+        """Send requests and inject faults for ``seconds``, then clear the faults."""
         self._locks = {gate.name: threading.Lock() for gate in self.system.gateways}
         self._locks["store"] = threading.Lock()
         self._locks["limits"] = threading.Lock()
         started = time.monotonic()
         with ThreadPoolExecutor(64) as pool:
-            running = [pool.submit(self._call, i) for i in range(CALLERS)]
+            running = [pool.submit(self._run_caller, i) for i in range(CALLERS)]
             for planned in plan_faults(self.seed, self.seconds, self.kinds):
                 self._stop.wait(max(0.0, started + planned.at - time.monotonic()))
-                running.append(pool.submit(self._make, planned))
+                running.append(pool.submit(self._inject, planned))
             time.sleep(max(0.0, started + self.seconds - time.monotonic()))
             self._stop.set()
             for future in running:
                 future.result()
 
-    def _call(self, caller: int) -> None:
-        """Ask one gateway on one connection until that breaks, then another."""
-        source = random.Random(self.seed * 1_000 + caller)
+    def _run_caller(self, caller: int) -> None:
+        """Send requests on one connection until it closes, then open another."""
+        rng = random.Random(self.seed * 1_000 + caller)
         connection: http.client.HTTPConnection | None = None
         for number in range(1_000_000):
             if self._stop.is_set():
                 return
             if connection is None:
-                port = source.choice(self.system.gateways).front
+                port = rng.choice(self.system.gateways).front
                 connection = http.client.HTTPConnection(
                     "127.0.0.1", port, timeout=CALLER_TIMEOUT
                 )
-            event, reusable = ask(connection, source, f"s{caller}-{number}")
+            event, reusable = ask(connection, rng, f"s{caller}-{number}")
             self.events.append(event)
             if not reusable:
                 connection.close()
                 connection = None
-            time.sleep(source.uniform(0, 0.05))
+            time.sleep(rng.uniform(0, 0.05))
 
-    def _make(self, planned: PlannedFault) -> None:
+    def _inject(self, planned: PlannedFault) -> None:
         self.counts[planned.kind] += 1
         FAULTS[planned.kind](self, planned)
 
     def gate(self, planned: PlannedFault) -> Gateway:
-        """Return the gateway concerned."""
-        gates = self.system.gateways
-        return gates[planned.subject % len(gates)]
+        """Return the gateway that ``planned`` applies to."""
+        gateways = self.system.gateways
+        return gateways[planned.subject % len(gateways)]
 
     def end(self, planned: PlannedFault, number: signal.Signals) -> None:
-        """End a gateway by a signal, and start it again later."""
-        self._end(self.gate(planned), number, planned.lasts)
+        """End a gateway by signal ``number`` and restart it after the duration."""
+        self._end_and_restart(self.gate(planned), number, planned.lasts)
 
     def end_holder(self, planned: PlannedFault, number: signal.Signals) -> None:
-        """End the one that orders; one that is killed starts again at once."""
+        """End the holder of the order lease; restart it at once if it is killed."""
         gate = self.system.holder() or self._last_holder() or self.gate(planned)
-        # One that is ending orders no longer.
+        # A gateway that is already being ended gives no orders.
         if not self._locks[gate.name].locked():
-            self._end(gate, number, 0 if number is signal.SIGKILL else planned.lasts)
+            self._end_and_restart(
+                gate, number, 0 if number is signal.SIGKILL else planned.lasts
+            )
 
     def _last_holder(self) -> Gateway | None:
-        """Return who gave the last order that came, if any did."""
+        """Return the gateway that gave the last order received by any engine."""
         orders = sorted(self.orders(), key=lambda order: order.at)
         last = orders[-1].holder if orders else ""
         return next((g for g in self.system.gateways if g.name == last), None)
 
     def orders(self) -> list[GivenOrder]:
-        """Return the orders that engines were given."""
+        """Return all orders recorded in the journals of the engines."""
         return [
             order
             for engine in self.system.engines
             for order in given_orders(engine.url, call(engine.url, "GET", "/journal"))
         ]
 
-    def _end(self, gate: Gateway, number: signal.Signals, away: float) -> None:
+    def _end_and_restart(
+        self, gate: Gateway, number: signal.Signals, downtime: float
+    ) -> None:
         with self._locks[gate.name]:
             gate.process.signal(number)
             status = gate.process.process.wait(GRACE_SECONDS)
             if number is signal.SIGTERM and status != 0:
-                self.violations.append(f"{gate.name} stopped with status {status}")
-            time.sleep(away)
+                self.violations.append(
+                    f"{gate.name} exited with status {status} after SIGTERM"
+                )
+            time.sleep(downtime)
             self.system.restart(gate)
 
     def pause(self, planned: PlannedFault) -> None:
-        """Stop a gateway for a while, often longer than its lease lasts."""
+        """Suspend a gateway, often for longer than the duration of its lease."""
         gate = self.gate(planned)
         with self._locks[gate.name]:
             gate.process.signal(signal.SIGSTOP)
@@ -181,27 +187,27 @@
             gate.process.signal(signal.SIGCONT)
 
     def reload(self, planned: PlannedFault) -> None:
-        """Tell a gateway that its settings have changed."""
+        """Send SIGHUP to a gateway, which makes it reload its settings."""
         gate = self.gate(planned)
         with self._locks[gate.name]:
             gate.process.signal(signal.SIGHUP)
 
     def link(self, planned: PlannedFault, fault: LinkFault) -> None:
-        """Disturb one gateway's way to the store."""
+        """Inject ``fault`` into the connections of one gateway to the store."""
         relay = self.gate(planned).to_store
         relay.inject(fault)
         time.sleep(planned.lasts)
         relay.inject(LinkFault.NONE)
 
     def store(self, planned: PlannedFault, **faults: object) -> None:
-        """Disturb the store for all."""
+        """Set ``faults`` of the store and clear them after the duration."""
         with self._locks["store"]:
             call(self.system.platform.url, "POST", "/faults", faults)
             time.sleep(planned.lasts)
             call(self.system.platform.url, "POST", "/faults", {})
 
     def target(self, planned: PlannedFault, **faults: object) -> None:
-        """Disturb one target."""
+        """Set ``faults`` of one target and clear them after the duration."""
         targets = [*self.system.engines, *self.system.plain]
         url = targets[planned.subject % len(targets)].url
         call(url, "POST", "/faults", faults)
@@ -209,17 +215,17 @@
         call(url, "POST", "/faults", {})
 
     def restart_target(self, planned: PlannedFault) -> None:
-        """Have one engine start again under its name."""
+        """Make one engine restart under the same name."""
         engines = self.system.engines
         call(engines[planned.subject % len(engines)].url, "POST", "/restart", {})
 
     def write_foreign(self, planned: PlannedFault) -> None:
-        """Write an entry that is no target's."""
+        """Write a malformed entry into the table of targets."""
         key = f"foreign-{planned.subject % 3}"
         self.system.write_row("servers", key, FOREIGN[planned.subject % len(FOREIGN)])
 
     def restore_store(self, planned: PlannedFault) -> None:
-        """Have the store come back from a copy of a moment before."""
+        """Copy the store and restore it from that copy after the duration."""
         with self._locks["store"]:
             self.system.copy_store()
         time.sleep(planned.lasts)
@@ -228,18 +234,18 @@
             self.system.write_again([*self.system.engines, *self.system.plain])
 
     def limit(self, planned: PlannedFault) -> None:
-        """Have a target name a rate limit for a while."""
+        """Make a target announce a rate limit, and withdraw it later."""
         targets = [*self.system.engines, *self.system.plain]
         url = targets[planned.subject % len(targets)].url
         with self._locks["limits"]:
             call(url, "POST", "/rate_limit", {"named": str(RATE_LIMIT)})
-            known = time.monotonic() + LIMIT_KNOWN_SECONDS
+            starts = time.monotonic() + LIMIT_KNOWN_SECONDS
             self._stop.wait(LIMIT_KNOWN_SECONDS + planned.lasts)
-            self.limited.append((url, known, time.monotonic()))
+            self.limited.append((url, starts, time.monotonic()))
             call(url, "POST", "/rate_limit", {"named": ""})
 
     def configure(self, planned: PlannedFault) -> None:
-        """Put a newer configuration in force, with a route of its own."""
+        """Write a newer configuration that adds a route for its version."""
         with self._locks["store"]:
             self.versions += 1
             newest = route(f"/v{self.versions}/", "idempotent", "plain")
@@ -257,7 +263,7 @@
     GatewayFault.STORE_SILENT: lambda soak, fault: soak.store(fault, silent=True),
     GatewayFault.STORE_SLOW: lambda soak, fault: soak.store(fault, slow_seconds=0.3),
     GatewayFault.STORE_LOSES: lambda soak, fault: soak.store(fault, lose_answer=0.3),
-    GatewayFault.STORE_FORGETS: lambda soak, fault: _forget(soak),
+    GatewayFault.STORE_FORGETS: lambda soak, fault: _discard_store_history(soak),
     GatewayFault.TARGET_FAILS: lambda soak, fault: soak.target(fault, status=500),
     GatewayFault.TARGET_HANGS: lambda soak, fault: soak.target(fault, hang_seconds=2),
     GatewayFault.TARGET_RESTARTS: GatewaySoak.restart_target,
@@ -271,12 +277,12 @@
 }
 
 
-def _forget(soak: GatewaySoak) -> None:
+def _discard_store_history(soak: GatewaySoak) -> None:
     call(soak.system.platform.url, "POST", "/forget", {})
 
 
 def check(soak: GatewaySoak) -> list[str]:
-    """Return every violation, once all faults are over."""
+    """Return all violations; called after all faults are cleared."""
     system = soak.system
     targets = [*system.engines, *system.plain]
     violations = [*soak.violations, *_check_recovery(soak)]
@@ -287,12 +293,15 @@
     for gate in system.gateways:
         memory = _peak_memory_kb(gate)
         if memory > MOST_MEMORY_KB:
-            violations.append(f"{gate.name} took {memory} KB")
+            violations.append(f"{gate.name} used {memory} KB of memory")
     return violations
 
 
 def _check_recovery(soak: GatewaySoak) -> list[str]:
-    """Return what gateways do not serve again in time, newest routes included."""
+    """Return a violation per route that a gateway does not serve in time.
+
+    The route of the newest configuration is checked as well.
+    """
     paths = [("/plain/x", ""), (f"/v{soak.versions}/x", "")]
     paths += [("/stream/x", str(model["name"])) for model in MODELS]
     return [
@@ -300,25 +309,29 @@
         for i, gate in enumerate(soak.system.gateways)
         for path, model in paths
         if path != "/v0/x"
-        and not wait_until(partial(_is_served, soak, i, path, model), RECOVERY_SECONDS)
+        and not wait_until(
+            partial(_is_route_served, soak, i, path, model), RECOVERY_SECONDS
+        )
     ]
 
 
 def _check_limits(soak: GatewaySoak) -> list[str]:
-    """Return where targets got more than one and a half times what they take."""
+    """Return a violation per target that received over 1.5 times its rate limit."""
     violations = []
-    for url, known, until in soak.limited:
+    for url, starts, ends in soak.limited:
         times = call(url, "GET", "/journal")["arrival_times"]
-        came = [at for at in times if known <= at <= until]
-        most = max((sum(at <= t < at + 4 for t in came) for at in came), default=0)
-        if most > 1.5 * RATE_LIMIT * 4 + 5:
+        limited = [at for at in times if starts <= at <= ends]
+        peak = max(
+            (sum(at <= t < at + 4 for t in limited) for at in limited), default=0
+        )
+        if peak > 1.5 * RATE_LIMIT * 4 + 5:
             violations.append(
-                f"{url} got {most} requests in 4 s, {RATE_LIMIT} a second"
+                f"{url} received {peak} requests in 4 s, limit {RATE_LIMIT} per second"
             )
     return violations
 
 
-def _is_served(soak: GatewaySoak, gate: int, path: str, model: str) -> bool:
+def _is_route_served(soak: GatewaySoak, gate: int, path: str, model: str) -> bool:
     method = "POST" if model else "GET"
     try:
         response, _ = soak.system.answer(path, method, gate=gate, model=model)
@@ -341,10 +354,10 @@
     kinds: Sequence[GatewayFault] = ALL_KINDS,
     logs: Path | None = None,
 ) -> GatewaySoak:
-    """Run a soak; its ``violations`` are all that was found.
+    """Run a soak and return it with all violations in ``violations``.
 
-    ``planted`` names faults of the targets that must be found, ``logs`` a folder
-    for what the gateways log.
+    ``planted`` lists faults of the targets, separated by spaces, that the checks
+    must detect; ``logs`` is a folder for the logs of the gateways.
     """
     with ExitStack() as stack:
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
@@ -362,7 +375,7 @@
 
 
 def main() -> int:
-    """Run a soak; exit status 1 on a violation."""
+    """Run a soak and return the exit status, 1 if there is a violation."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--seconds", type=float, default=60.0)
     parser.add_argument("--seed", type=int, default=1)
--- a/standins/src/runhatch_standins/soak.py
+++ b/standins/src/runhatch_standins/soak.py
@@ -1,7 +1,7 @@
-"""A randomised run of real processes under faults, with its promises checked.
+"""Run a cluster of processes under random faults and check its guarantees.
 
-The schedule of faults and requests is fixed by the seed; what the operating system
-makes of it is not, so a violation may take several runs of a seed to show again.
+The seed fixes the schedule of faults and requests, but not how the operating system
+schedules processes: a violation may need several runs of a seed to recur.
 """
 
 import argparse
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class Observed:
-    """What was seen during the run; shared by its threads."""
+    """Responses and revisions observed in a run; shared by its threads."""
 
     gots: list[Got] = field(default_factory=list)
     accepted: list[int] = field(default_factory=list)
@@ -39,7 +39,7 @@
 
 
 class Soak:
-    """One run: callers, operators, watchers and disturbances."""
+    """One run: callers, operators, a watcher of revisions, and injected faults."""
 
     def __init__(self, cluster: Cluster, seed: int, seconds: float) -> None:
         self._cluster = cluster
@@ -50,69 +50,69 @@
         self.disturber = Disturber(cluster)
 
     def run(self) -> None:
-        """Run for the set time."""
+        """Run callers, operators and faults for the configured number of seconds."""
         workers = [
-            *(lambda i=i: self._call(i) for i in range(CALLERS)),
-            *(lambda i=i: self._operate(i) for i in range(OPERATORS)),
-            self._watch,
+            *(lambda i=i: self._run_caller(i) for i in range(CALLERS)),
+            *(lambda i=i: self._run_operator(i) for i in range(OPERATORS)),
+            self._watch_revisions,
         ]
         with ThreadPoolExecutor(64) as pool:
             running = [pool.submit(worker) for worker in workers]
             try:
-                self._disturb(pool)
+                self._inject_faults(pool)
             finally:
                 self._stop.set()
             for future in running:
                 future.result()
 
-    def _disturb(self, pool: Executor) -> None:
-        """Make the scheduled disturbances, and wait until all are over."""
+    def _inject_faults(self, pool: Executor) -> None:
+        """Inject the scheduled faults and wait until all are reverted."""
         started = time.monotonic()
-        disturbances = []
+        futures = []
         for planned in make_schedule(self._seed, self._seconds):
             self._stop.wait(max(0.0, started + planned.at - time.monotonic()))
-            disturbances.append(pool.submit(self.disturber.run, planned))
+            futures.append(pool.submit(self.disturber.run, planned))
         self._stop.wait(max(0.0, started + self._seconds - time.monotonic()))
-        for future in disturbances:
+        for future in futures:
             future.result()
 
-    def _urls(self) -> list[str]:
-        """Return the nodes that a balancer sends to."""
+    def _rotation_urls(self) -> list[str]:
+        """Return the URLs of the nodes that are in rotation at the load balancer."""
         names = sorted(set(self._cluster.settings) - self.disturber.avoided)
         return [self._cluster.caller_url(name) for name in names]
 
-    def _call(self, caller: int) -> None:
-        source = random.Random(self._seed * 1_000 + caller)
+    def _run_caller(self, caller: int) -> None:
+        rng = random.Random(self._seed * 1_000 + caller)
         count = 0
         while not self._stop.is_set():
-            shape = source.choice([*Shape])
-            wanted = Wanted(
+            shape = rng.choice([*Shape])
+            request = Wanted(
                 f"s{self._seed}-{caller}-{count}",
                 shape,
-                f"m{source.randrange(8)}",
-                source.randint(3, 60),
-                source.choice([2.0, 5.0, 15.0]),
+                f"m{rng.randrange(8)}",
+                rng.randint(3, 60),
+                rng.choice([2.0, 5.0, 15.0]),
             )
             count += 1
-            sendings = source.randint(2, 4) if wanted.once else 1
-            for _ in range(sendings):
-                url = source.choice(self._urls())
-                got = send(url, wanted)
+            attempt_count = rng.randint(2, 4) if request.once else 1
+            for _ in range(attempt_count):
+                url = rng.choice(self._rotation_urls())
+                response = send(url, request)
                 with self.observed.lock:
-                    self.observed.gots.append(got)
-            time.sleep(source.uniform(0, 0.05))
-
-    def _operate(self, operator: int) -> None:
-        """Race another operator with changes that do not matter in themselves."""
-        source = random.Random(self._seed * 77 + operator)
-        while not self._stop.wait(source.uniform(0.5, 2.0)):
-            name = source.choice(sorted(self._cluster.settings))
+                    self.observed.gots.append(response)
+            time.sleep(rng.uniform(0, 0.05))
+
+    def _run_operator(self, operator: int) -> None:
+        """Change an unimportant setting repeatedly, in competition with operators."""
+        rng = random.Random(self._seed * 77 + operator)
+        while not self._stop.wait(rng.uniform(0.5, 2.0)):
+            name = rng.choice(sorted(self._cluster.settings))
             url = self._cluster.operator_url(name)
             try:
                 current = call(url, "GET", "/v1/configuration", timeout=5)
                 document = current["document"]
                 policy = document.setdefault("policy", {})
-                policy["horizon_seconds"] = source.randint(60, 600)
+                policy["horizon_seconds"] = rng.randint(60, 600)
                 change = {"base": current["revision"], "document": document}
                 answer = call(url, "PUT", "/v1/configuration", change, timeout=5)
             except RuntimeError as error:
@@ -123,21 +123,23 @@
                 with self.observed.lock:
                     self.observed.accepted.append(int(answer["revision"]))
 
-    def _watch(self) -> None:
-        """See that no node's revision ever falls while the node lives."""
-        seen: dict[tuple[str, int], int] = {}
+    def _watch_revisions(self) -> None:
+        """Record each decrease of a node's revision within one process."""
+        last_revisions: dict[tuple[str, int], int] = {}
         while not self._stop.wait(0.2):
             for name in sorted(self._cluster.settings):
                 process = self._cluster.nodes[name].process
-                revision = self._revision(name)
-                # Its successor answers on the same port before it is known here.
+                revision = self._fetch_revision(name)
+                # A restarted process may answer on this port before it is in ``nodes``.
                 if revision is None or process.poll() is not None:
                     continue
-                if revision < seen.get((name, process.pid), 0):
-                    self.observed.reverted.append(f"{name} went back to {revision}")
-                seen[name, process.pid] = revision
+                if revision < last_revisions.get((name, process.pid), 0):
+                    self.observed.reverted.append(
+                        f"{name}: revision decreased to {revision}"
+                    )
+                last_revisions[name, process.pid] = revision
 
-    def _revision(self, name: str) -> int | None:
+    def _fetch_revision(self, name: str) -> int | None:
         url = self._cluster.operator_url(name)
         try:
             query = {"noun": "configuration"}
@@ -148,27 +150,27 @@
         return int(records[0]["revision"]) if records else 0
 
     def wait_in_force(self) -> list[str]:
-        """Return the nodes that lack the last accepted revision in the end."""
-        last = max(self.observed.accepted, default=0)
-        give_up = time.monotonic() + IN_FORCE_SECONDS
+        """Return a violation per node that lacks the last accepted revision in time."""
+        last_revision = max(self.observed.accepted, default=0)
+        deadline = time.monotonic() + IN_FORCE_SECONDS
         names = sorted(self._cluster.settings)
-        while time.monotonic() < give_up:
-            names = [n for n in names if (self._revision(n) or 0) < last]
+        while time.monotonic() < deadline:
+            names = [n for n in names if (self._fetch_revision(n) or 0) < last_revision]
             if not names:
                 return []
             time.sleep(0.1)
-        return [f"{name}: revision {last} is not in force" for name in names]
+        return [f"{name}: revision {last_revision} is not in force" for name in names]
 
 
 def check(cluster: Cluster, soak: Soak) -> list[str]:
-    """Return every violation, after the system had time to settle."""
+    """Return all violations; waits for the system to recover from the faults."""
     observed = soak.observed
     violations = soak.wait_in_force()
     for name in sorted(cluster.settings):
         if not cluster.wait_resident(name, SETTLE_SECONDS):
             models = cluster.query(name, {"noun": "models"})
-            lacking = [m["name"] for m in models if not m["replicas"]]
-            violations.append(f"{name}: knows no replica of {lacking}")
+            unavailable = [m["name"] for m in models if not m["replicas"]]
+            violations.append(f"{name}: lists no replica of {unavailable}")
     runs = count_runs(cluster)
     lookups = [g.event.request for g in observed.gots if "free" in g.event.answer]
     runs.update(dict.fromkeys(lookups, 1))
@@ -177,21 +179,23 @@
     violations += observed.reverted
     for code in soak.disturber.exit_codes:
         if code != 0:
-            violations.append(f"a node ended with status {code}")
+            violations.append(f"a node exited with status {code}")
     for name, node in cluster.nodes.items():
         if node.process.poll() is not None:
-            violations.append(f"{name} ended by itself: {node.process.returncode}")
+            violations.append(
+                f"{name} exited unexpectedly with status {node.process.returncode}"
+            )
     return violations
 
 
 def summarise(soak: Soak, violations: list[str]) -> None:
-    """Print what happened."""
+    """Print counts of faults, responses and changes, and the violations."""
     observed = soak.observed
     kinds = Counter(got.event.kind for got in observed.gots)
     say("\nfaults injected")
     for kind, count in sorted(soak.disturber.counts.items(), key=lambda p: p[0].value):
         say(f"  {kind.value:<32}{count:>5}")
-    say("sendings")
+    say("requests sent")
     for event, count in sorted(kinds.items(), key=lambda p: p[0].value):
         say(f"  {event.value:<32}{count:>5}")
     reasons = Counter(
@@ -207,16 +211,16 @@
         f"{observed.conflicts} conflicts"
     )
     say(
-        "checked: at most once, whole and own answers, refused means not run, "
+        "checked: at most once, complete and correct answers, refused means not run, "
         "memory, weight store, revisions, reachability, exit statuses"
     )
     for violation in violations[:30]:
         say(f"VIOLATION {violation}")
-    say(f"soak: {len(observed.gots)} sendings, {len(violations)} violations")
+    say(f"soak: {len(observed.gots)} requests sent, {len(violations)} violations")
 
 
 def main() -> int:
-    """Run a soak; exit status 1 on a violation."""
+    """Run a soak and return the exit status, 1 if there is a violation."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--seconds", type=float, default=60.0)
     parser.add_argument("--seed", type=int, default=1)
@@ -227,7 +231,7 @@
         cluster.apply(cluster.deployment(), "soak")
         for name in cluster.nodes:
             if not cluster.wait_resident(name, SETTLE_SECONDS):
-                say(f"soak: {name} knows no replica of some model")
+                say(f"soak: {name} lacks a replica of some model or adapter")
                 return 1
         say(f"soak: seed {arguments.seed}, {arguments.seconds:g} seconds")
         soak = Soak(cluster, arguments.seed, arguments.seconds)
