--- a/standins/tests/conftest.py
+++ b/standins/tests/conftest.py
@@ -1,4 +1,4 @@
-"""One small system for all tests that talk to processes."""
+"""Fixtures: one small cluster shared by all tests that need processes."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 
 @pytest.fixture(scope="session")
 def shared_cluster():
-    """Three nodes, three engines, all models resident."""
+    """Start three nodes and three engines with all models resident."""
     cluster = start_cluster(Sizes())
     try:
         cluster.apply(cluster.deployment(), "tests")
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 def cluster(shared_cluster):
-    """The shared system; faults are taken back after each test."""
+    """Return the shared cluster and clear its faults after each test."""
     yield shared_cluster
     for launched in (
         shared_cluster.platform,
--- a/standins/tests/test_engine.py
+++ b/standins/tests/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine stand-in's prefix cache and the events it publishes of it."""
+"""Test the cache events that the engine stand-in publishes."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 
 @pytest.fixture(scope="module")
 def engine():
-    """An engine by itself, with one model loaded."""
+    """Start an engine with one model and send it twenty prompts."""
     launched = launch("engine", "runhatch_standins.engine")
     order = {
         "kind": "load",
@@ -30,10 +30,10 @@
 
 
 class TestCacheEvents:
-    """Events come late and with gaps if the faults say so."""
+    """Publication of cache events, with and without faults."""
 
     @pytest.mark.parametrize(
-        ("faults", "least", "most"),
+        ("faults", "min_count", "max_count"),
         [
             ({}, 40, 40),
             ({"cache_event_lag_seconds": 60}, 0, 0),
@@ -41,14 +41,14 @@
             ({"cache_event_gaps": 1.0}, 0, 0),
         ],
     )
-    def test_late_and_with_gaps(self, engine, faults, least, most):
-        """Two blocks a prompt are stored; what is told of them is as set."""
+    def test_faults_delay_or_drop_events(self, engine, faults, min_count, max_count):
+        """Each prompt stores two blocks; faults delay or drop their events."""
         call(engine.url, "POST", "/faults", faults)
         events = call(engine.url, "GET", "/v1/cache_events")["events"]
-        assert least <= len(events) <= most
+        assert min_count <= len(events) <= max_count
 
-    def test_only_later_events(self, engine):
-        """A reader asks for what came after the last event it has."""
+    def test_reader_receives_only_later_events(self, engine):
+        """The parameter ``after`` excludes events that the reader already has."""
         call(engine.url, "POST", "/faults", {})
         events = call(engine.url, "GET", "/v1/cache_events?after=37")["events"]
         assert [event["sequence"] for event in events] == [38, 39]
--- a/standins/tests/test_gateway.py
+++ b/standins/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""Gateways as processes of their own, between callers, targets and the store."""
+"""Test gateway processes between callers, targets and the store."""
 
 import signal
 import time
@@ -19,17 +19,17 @@
 
 
 @pytest.fixture(autouse=True)
-def healthy(system):
+def clear_faults(system):
     yield
     for worker in (*system.engines, *system.plain):
         call(worker.url, "POST", "/faults", {})
 
 
-class TestStopping:
-    """A gateway that is told to stop ends by itself, with status 0."""
+class TestRepeatedSigterm:
+    """A gateway that receives SIGTERM exits with status 0."""
 
-    def test_told_again_until_it_has_ended(self, system):
-        """Each signal interrupts what the last one began, and all that follows."""
+    def test_repeated_sigterm_does_not_break_the_shutdown(self, system):
+        """Further signals may interrupt any step of the shutdown in progress."""
         gate = system.start_gateway("n-stops")
         system.gateways.remove(gate)
         gate.process.signal(signal.SIGTERM)
@@ -42,28 +42,28 @@
 
 
 class TestServing:
-    """Answers pass through as targets gave them."""
+    """Answers of targets are forwarded to callers."""
 
-    def test_a_plain_request(self, system):
+    def test_plain_request_is_answered(self, system):
         response, body = system.answer("/plain/x?q=1", name="p1")
 
         assert response.status == 200
         assert body == b"/plain/x p1"
         assert response.headers["X-Runhatch-Response-Seal"].startswith("seal-")
 
-    def test_a_stream(self, system):
+    def test_stream_is_forwarded_completely(self, system):
         response, body = system.answer("/stream/x", "POST", model="m0", tokens=5)
 
         assert response.status == 200
         assert body.count(b"data:") == 5
 
-    def test_a_model_that_nobody_holds_is_loaded(self, system):
+    def test_model_without_replica_is_loaded(self, system):
         response, body = system.answer("/stream/x", "POST", model="m4")
 
         assert response.status == 200
         assert body.count(b"data:") == 8
 
-    def test_an_adapter_that_nobody_holds_is_loaded(self, system):
+    def test_adapter_without_replica_is_loaded(self, system):
         response, body = system.answer("/stream/x", "POST", gate=1, model="m1/a2")
 
         assert response.status == 200, (dict(response.headers), body)
@@ -75,40 +75,40 @@
             ("/plain/x", {"X-Runhatch-Deadline-Ms": "soon"}, 400),
         ],
     )
-    def test_what_cannot_be_taken_is_refused(self, system, path, headers, status):
+    def test_invalid_request_is_refused(self, system, path, headers, status):
         response, _ = system.answer(path, **headers)
 
         assert response.status == status
 
 
 class TestFailures:
-    """What targets do wrong."""
+    """Targets that fail or hang, and callers that disconnect."""
 
-    def test_a_failure_is_tried_elsewhere_if_that_is_allowed(self, system):
+    def test_failed_idempotent_request_is_retried_at_another_target(self, system):
         call(system.plain[0].url, "POST", "/faults", {"status": 500})
 
         statuses = {system.answer("/plain/x")[0].status for _ in range(6)}
 
         assert statuses == {200}
 
-    def test_a_request_that_may_run_once_runs_once(self, system):
+    def test_non_idempotent_request_is_not_retried(self, system):
         for worker in system.plain:
             call(worker.url, "POST", "/faults", {"status": 500})
 
         response, _ = system.answer("/once/x", "POST", name="once-1")
 
         assert response.status == 500
-        ran = [run for run in system.runs(system.plain) if run[0] == "once-1"]
-        assert len(ran) == 1
+        matching_runs = [run for run in system.runs(system.plain) if run[0] == "once-1"]
+        assert len(matching_runs) == 1
 
-    def test_a_hung_target_is_given_up_if_another_may_answer(self, system):
+    def test_request_at_hung_target_is_retried_at_another(self, system):
         call(system.plain[0].url, "POST", "/faults", {"hang_seconds": 6})
 
         statuses = [system.answer("/plain/x")[0].status for _ in range(3)]
 
         assert statuses == [200, 200, 200]
 
-    def test_work_for_a_caller_that_left_is_ended(self, system):
+    def test_run_is_cancelled_when_its_caller_disconnects(self, system):
         connection, response = system.ask(
             "/stream/x", "POST", model="m0", tokens=400, name="left-1"
         )
@@ -116,41 +116,44 @@
         response.close()
         connection.close()
 
-        def has_ended():
+        def is_cancelled():
             found = [run for run in system.runs(system.engines) if run[0] == "left-1"]
             return len(found) == 1 and found[0][2] == "left"
 
-        assert wait_until(has_ended, 2)
+        assert wait_until(is_cancelled, 2)
 
-    def test_a_draining_target_gets_nothing_new(self, system):
-        leaving = system.start_worker("plain")
-        # Others are chosen as long as they answer: their connections are open.
+    def test_draining_target_receives_no_new_requests(self, system):
+        draining = system.start_worker("plain")
+        # Targets with open connections are preferred as long as they answer.
         for worker in system.plain:
             call(worker.url, "POST", "/faults", {"status": 500})
-        assert wait_until(lambda: system.answer("/plain/x") and system.runs([leaving]))
+        assert wait_until(lambda: system.answer("/plain/x") and system.runs([draining]))
         for worker in system.plain:
             call(worker.url, "POST", "/faults", {})
-        call(leaving.url, "POST", "/drain", {})
+        call(draining.url, "POST", "/drain", {})
         time.sleep(1.5)
-        before = len(system.runs([leaving]))
+        before = len(system.runs([draining]))
 
         for _ in range(6):
             system.answer("/plain/x")
 
-        assert len(system.runs([leaving])) == before
+        assert len(system.runs([draining])) == before
 
 
-class TestStartedAgain:
-    """A target that starts again under its name, and entries of others."""
+class TestRestartedTargets:
+    """Targets that restart under the same name, and malformed entries."""
 
-    def test_it_is_asked_and_ordered_anew(self, system):
-        """It holds nothing and has taken no orders, whatever it did before."""
+    def test_restarted_engines_load_and_serve_again(self, system):
+        """Gateways must discard what they know of an engine's previous incarnation.
+
+        Its models and the orders it accepted are lost.
+        """
         assert system.answer("/stream/x", "POST", model="m3")[0].status == 200
 
         for engine in system.engines:
             call(engine.url, "POST", "/restart", {})
 
-        # All that other tests ask for is held again afterwards.
+        # Loads all models that the other tests of this module need.
         for model in ("m3", "m0", "m1"):
             for gate in range(2):
                 assert wait_until(
@@ -172,7 +175,7 @@
             pytest.param("not an entry", id="text"),
         ],
     )
-    def test_an_entry_of_another_writer_names_no_target(self, system, document):
+    def test_malformed_entry_is_ignored(self, system, document):
         system.write_row("servers", "foreign", document)
         time.sleep(1)
 
@@ -184,10 +187,10 @@
         assert statuses == [200] * 6
 
 
-class TestChanges:
-    """Configurations while the system runs."""
+class TestConfigurationChanges:
+    """Changes of the configuration and an outage of the store."""
 
-    def test_a_new_route_is_in_force_on_every_node(self, system):
+    def test_new_route_is_served_by_every_node(self, system):
         system.configure([*ROUTES, route("/new/", "idempotent", "plain")])
 
         for gate in range(2):
@@ -195,14 +198,14 @@
                 lambda gate=gate: system.answer("/new/x", gate=gate)[0].status == 200, 2
             )
 
-    def test_a_configuration_of_another_shape_changes_nothing(self, system):
+    def test_malformed_configuration_is_ignored(self, system):
         system.write_row("op", "config", {"version": 10_000})
         time.sleep(0.5)
 
         assert system.answer("/plain/x")[0].status == 200
         system.configure(ROUTES)
 
-    def test_the_store_away_stops_no_request(self, system):
+    def test_requests_are_served_while_the_store_is_down(self, system):
         call(system.platform.url, "POST", "/faults", {"down": True})
         try:
             time.sleep(1)
@@ -213,9 +216,9 @@
 
 
 class TestShutdown:
-    """A node that is told to stop."""
+    """A node that receives SIGTERM during a request."""
 
-    def test_finishes_what_is_in_progress_and_takes_itself_out(self, system):
+    def test_finishes_requests_and_reports_not_ready(self, system):
         gate = system.start_gateway("n3")
         connection, response = system.ask(
             "/stream/x", "POST", gate=2, model="m1", tokens=150
--- a/standins/tests/test_gateway_crashes.py
+++ b/standins/tests/test_gateway_crashes.py
@@ -1,13 +1,8 @@
-"""Requests that end the targets that run them, repeated by their callers.
-
-On a recorded day one request ended eight engines within 16 seconds.  Its caller
-repeated it at whichever node it reached, and each node sent it on as if it were new:
-the models of those engines were gone with them, and for 14 seconds over a tenth of
-the commonest requests were not served.  Nothing was kept of an attempt beyond the
-attempt: of nine targets here nine ended, and no line of a node named two of them.
-Now the nodes tell each other which targets
-ended under which request, `"requests": [...]` of `target_ended`, and what stands in
-two of these lines is held back, `request_held`.
+"""Test requests that crash the targets that run them and are repeated by callers.
+
+Nodes publish which targets ended under which request, and hold back a request named
+in two such reports.  Without that, each node treats a repeat as a new request, and
+one request ends every target in turn.
 """
 
 import http.client
@@ -19,8 +14,8 @@
 from runhatch_standins._cluster import call
 from runhatch_standins._gateways import GatewaySystem
 
-MOST_ENDED = 3
-"""Targets that one request may end before all nodes know it."""
+MAX_CRASHED = 3
+"""Targets that one request may crash before all nodes hold it back."""
 TARGETS = 9
 REPEATS = 40
 PAUSE_SECONDS = 0.1
@@ -39,12 +34,12 @@
         yield system
 
 
-def ended(system):
+def count_crashed(system):
     return sum(target.process.poll() is not None for target in system.plain)
 
 
-def ask_everywhere(system, path, method, times):
-    """Ask the nodes in turn, as a caller does that repeats at once."""
+def send_to_nodes_in_turn(system, path, method, times):
+    """Send requests to the nodes in turn and return the statuses of the answers."""
     statuses = []
     for number in range(times):
         gate = number % len(system.gateways)
@@ -56,8 +51,8 @@
     return statuses
 
 
-class TestRepeated:
-    """What a request that crashes its targets may cost, whichever node it reaches."""
+class TestCrashingRequest:
+    """A request that crashes targets, sent to all nodes in turn."""
 
     @pytest.mark.parametrize(
         ("path", "method"),
@@ -66,12 +61,12 @@
             pytest.param("/once/crashing", "POST", id="runs-once"),
         ],
     )
-    def test_it_ends_few_targets(self, system, path, method):
-        ask_everywhere(system, path, method, REPEATS)
+    def test_repeated_request_crashes_few_targets(self, system, path, method):
+        send_to_nodes_in_turn(system, path, method, REPEATS)
 
-        assert ended(system) <= MOST_ENDED
+        assert count_crashed(system) <= MAX_CRASHED
 
-    def test_what_else_is_asked_for_is_served(self, system):
-        ask_everywhere(system, "/once/crashing", "POST", 6)
+    def test_other_requests_are_still_served(self, system):
+        send_to_nodes_in_turn(system, "/once/crashing", "POST", 6)
 
-        assert set(ask_everywhere(system, "/plain/sound", "GET", 6)) == {200}
+        assert set(send_to_nodes_in_turn(system, "/plain/sound", "GET", 6)) == {200}
--- a/standins/tests/test_gateway_rate_limits.py
+++ b/standins/tests/test_gateway_rate_limits.py
@@ -1,4 +1,4 @@
-"""Targets that name the rate of requests that they take from all gateways together."""
+"""Test rate limits that a target announces for all gateways together."""
 
 import random
 import signal
@@ -14,29 +14,29 @@
 NODES = 6
 WINDOW = 4.0
 KNOWN_SECONDS = 3.0
-"""By when all nodes keep to a limit that a target has named."""
-LEAST_USED = 0.8
-"""Share of the limits that is used where callers want more."""
+"""Time within which all nodes comply with an announced limit."""
+MIN_USED_FRACTION = 0.8
+"""Minimum fraction of the limit that is used while demand exceeds it."""
 DEMAND = 3.0
-"""Requests that callers send, as a multiple of what the targets take."""
-SETTLED_SECONDS = 2.0
+"""Rate of the callers' requests as a multiple of the targets' limits."""
+DISCOVERY_SECONDS = 2.0
 
 
 @pytest.fixture
 def system(tmp_path):
-    with run_gateways(tmp_path, NODES, SETTLED_SECONDS) as system:
+    with run_gateways(tmp_path, NODES, DISCOVERY_SECONDS) as system:
         yield system
 
 
 class Callers:
-    """Callers that send requests to each gateway at random moments."""
+    """Threads that send requests to each gateway at random intervals."""
 
     def __init__(self, system, rate):
         self._system = system
         self._mean_pause = len(system.gateways) / rate
-        self._ended = threading.Event()
+        self._stop = threading.Event()
         self._threads = [
-            threading.Thread(target=self._ask, args=(gate,), daemon=True)
+            threading.Thread(target=self._send_requests, args=(gate,), daemon=True)
             for gate in range(len(system.gateways))
         ]
         self.statuses = []
@@ -47,13 +47,13 @@
         return self
 
     def __exit__(self, *error):
-        self._ended.set()
+        self._stop.set()
         for thread in self._threads:
             thread.join()
 
-    def _ask(self, gate):
+    def _send_requests(self, gate):
         pauses = random.Random(gate)
-        while not self._ended.wait(pauses.expovariate(1 / self._mean_pause)):
+        while not self._stop.wait(pauses.expovariate(1 / self._mean_pause)):
             try:
                 response, _ = self._system.answer("/plain/x", gate=gate)
             except OSError:
@@ -61,52 +61,52 @@
             self.statuses.append(response.status)
 
 
-def name_limit(targets, rate):
+def announce_limit(targets, rate):
     for target in targets:
         call(target.url, "POST", "/rate_limit", {"named": str(rate)})
 
 
-def arrivals(target, since):
+def fetch_arrival_times(target, since):
     times = call(target.url, "GET", "/journal")["arrival_times"]
     return [at for at in times if at >= since]
 
 
-def most_in_window(times):
+def count_max_in_window(times):
     return max(sum(at <= other < at + WINDOW for other in times) for at in times)
 
 
 def permit_counts(system):
-    """Return what became of permits at each gateway, for the report of a failure."""
+    """Return each gateway's permit counters as text, for failure messages."""
     counts = []
     for gate in system.gateways:
         url = f"http://127.0.0.1:{gate.metrics}/metrics"
         with urllib.request.urlopen(url, timeout=5) as answer:
             lines = answer.read().decode().splitlines()
-        found = [line for line in lines if line.startswith("runhatch_permits_total")]
-        counts += [f"{gate.name} {line.partition('_total')[2]}" for line in found]
+        samples = [line for line in lines if line.startswith("runhatch_permits_total")]
+        counts += [f"{gate.name} {line.partition('_total')[2]}" for line in samples]
     return "\n".join(counts)
 
 
 class TestRateLimit:
-    """What all nodes together send to a target that names one."""
+    """Requests that all nodes together send to a target with a rate limit."""
 
     @pytest.mark.parametrize("rate", [1.5, 6.0])
     def test_it_holds_over_all_nodes_and_is_used(self, system, rate):
-        name_limit(system.plain, rate)
+        announce_limit(system.plain, rate)
         with Callers(system, DEMAND * rate * len(system.plain)) as callers:
             time.sleep(KNOWN_SECONDS)
             since = time.monotonic()
             time.sleep(3 * WINDOW)
         for target in system.plain:
-            times = arrivals(target, since)
-            assert most_in_window(times) <= 1.5 * rate * WINDOW + 5
-            least = LEAST_USED * rate * 3 * WINDOW
-            assert len(times) >= least, permit_counts(system)
+            times = fetch_arrival_times(target, since)
+            assert count_max_in_window(times) <= 1.5 * rate * WINDOW + 5
+            min_requests = MIN_USED_FRACTION * rate * 3 * WINDOW
+            assert len(times) >= min_requests, permit_counts(system)
         assert set(callers.statuses) == {200, 503}
 
     def test_it_holds_while_nodes_end_freeze_and_start(self, system):
         rate = 3.0
-        name_limit(system.plain, rate)
+        announce_limit(system.plain, rate)
         with Callers(system, DEMAND * rate * len(system.plain)):
             time.sleep(KNOWN_SECONDS)
             since = time.monotonic()
@@ -119,27 +119,29 @@
             system.start_gateway("late")
             time.sleep(2 * WINDOW)
         for target in system.plain:
-            times = arrivals(target, since)
-            assert most_in_window(times) <= 1.5 * rate * WINDOW + 5
+            times = fetch_arrival_times(target, since)
+            assert count_max_in_window(times) <= 1.5 * rate * WINDOW + 5
 
     def test_it_ends_with_an_answer_that_names_none(self, system):
-        name_limit(system.plain, 1.0)
+        announce_limit(system.plain, 1.0)
         with Callers(system, 6.0):
             time.sleep(KNOWN_SECONDS)
-            name_limit(system.plain, "")
+            announce_limit(system.plain, "")
             time.sleep(WINDOW)
         answers = [system.answer("/plain/x", gate=gate)[0].status for gate in range(6)]
         assert answers == [200] * 6
 
     def test_a_target_that_takes_none_is_tried_again(self, system):
         target, other = system.plain
-        # With another that takes all requests, none need be sent to this one.
+        # If the other accepted requests, none would be sent to this target.
         call(other.url, "POST", "/drain")
-        name_limit([target], 0)
+        announce_limit([target], 0)
         with Callers(system, 6.0):
             time.sleep(KNOWN_SECONDS)
             since = time.monotonic()
             time.sleep(WINDOW)
-            assert len(arrivals(target, since)) <= 5
-            name_limit([target], "")
-            assert wait_until(lambda: len(arrivals(target, since)) > 10, 15.0)
+            assert len(fetch_arrival_times(target, since)) <= 5
+            announce_limit([target], "")
+            assert wait_until(
+                lambda: len(fetch_arrival_times(target, since)) > 10, 15.0
+            )
--- a/standins/tests/test_gateway_soak.py
+++ b/standins/tests/test_gateway_soak.py
@@ -1,4 +1,4 @@
-"""A short run of the gateways' soak; longer ones are started by hand."""
+"""Test the gateway soak with short runs; longer ones are started manually."""
 
 import pytest
 
@@ -14,23 +14,23 @@
 
 SECONDS = 12.0
 WITHOUT_FAULTS = 3.0
-"""Seconds in which no fault is planned."""
+"""Duration in seconds of a run that is too short for any planned fault."""
 
 
 class TestPlan:
-    """The faults of a run follow from its seed."""
+    """The seed determines the faults of a run."""
 
-    def test_it_is_the_same_each_time(self):
+    def test_plan_is_equal_for_equal_seeds(self):
         assert plan_faults(7, 60.0) == plan_faults(7, 60.0)
 
-    def test_every_fault_comes(self):
-        seen = {
+    def test_every_kind_of_fault_is_planned(self):
+        planned_kinds = {
             fault.kind
             for seed in range(20)
             for fault in plan_faults(seed, 60.0, HOLDER_KINDS)
         }
 
-        assert seen == {*GatewayFault}
+        assert planned_kinds == {*GatewayFault}
 
     @pytest.mark.parametrize(
         ("kinds", "count", "last"),
@@ -55,7 +55,7 @@
             ),
         ],
     )
-    def test_later_kinds_leave_earlier_plans_as_they_were(self, kinds, count, last):
+    def test_plans_of_existing_kinds_do_not_change(self, kinds, count, last):
         planned = plan_faults(2, 60.0, kinds)
 
         assert len(planned) == count
@@ -63,18 +63,18 @@
 
 
 class TestSoak:
-    """Answers, runs, refusals, orders, recovery, memory, exit statuses."""
+    """Checks of answers, runs, refusals, orders, recovery, memory and exits."""
 
     @pytest.mark.parametrize(
         ("seed", "seconds", "gateways", "kinds"),
         [
             (1, SECONDS, 2, FIRST_KINDS),
-            # A gateway that was told to stop ended by SIGABRT, once.
+            # With this seed a gateway once ended by SIGABRT after SIGTERM.
             (32, 15.0, 3, FIRST_KINDS),
             (2, SECONDS, 3, ALL_KINDS),
         ],
     )
-    def test_no_promise_is_broken(self, seed, seconds, gateways, kinds):
+    def test_run_has_no_violations(self, seed, seconds, gateways, kinds):
         soak = soak_gateways(seed, seconds, gateways, kinds=kinds)
 
         assert soak.violations == []
@@ -91,10 +91,10 @@
             ("two_holders", ["n1-other orders by 2 at"]),
         ],
     )
-    def test_a_planted_fault_is_found(self, planted, found, monkeypatch):
+    def test_injected_fault_is_detected(self, planted, found, monkeypatch):
         monkeypatch.setattr(gateway_soak, "RECOVERY_SECONDS", 0.1)
 
         soak = soak_gateways(1, WITHOUT_FAULTS, gateways=2, planted=planted)
 
-        for each in found:
-            assert any(each in violation for violation in soak.violations)
+        for text in found:
+            assert any(text in violation for violation in soak.violations)
--- a/standins/tests/test_gateway_tables.py
+++ b/standins/tests/test_gateway_tables.py
@@ -1,4 +1,4 @@
-"""Real gateways of one failure domain, of which two read the store for the others."""
+"""Test gateways of one failure domain, two of which read the store for the others."""
 
 import signal
 import time
@@ -19,9 +19,9 @@
 
 NAMES = [f"n{i}" for i in range(1, 7)]
 KNOWN_SECONDS = 2.0
-"""Time in which a change of the configuration must be in force everywhere."""
-SETTLED_SECONDS = 4.0
-"""After a start nodes find out who else is there."""
+"""Time within which a new configuration must take effect on all nodes."""
+DISCOVERY_SECONDS = 4.0
+"""Time that nodes need to discover each other after a start."""
 QUIET_SECONDS = 3.0
 
 
@@ -31,13 +31,13 @@
         system = GatewaySystem(stack, tmp_path_factory.mktemp("gateways"))
         for name in NAMES[2:]:
             system.start_gateway(name)
-        time.sleep(SETTLED_SECONDS)
+        time.sleep(DISCOVERY_SECONDS)
         yield system
 
 
 @pytest.fixture(autouse=True)
-def healed(request):
-    """Undo what a test has done to the gateways, and let them settle."""
+def clear_faults(request):
+    """Clear faults, resume gateways and restore the routes after each test."""
     yield
     if "system" not in request.fixturenames:
         return
@@ -46,21 +46,21 @@
         gate.to_store.inject(LinkFault.NONE)
         gate.process.signal(signal.SIGCONT)
     system.configure(ROUTES)
-    time.sleep(SETTLED_SECONDS)
+    time.sleep(DISCOVERY_SECONDS)
 
 
-def readers_of(system):
+def select_readers(system):
     vms = [Vm(gate.name, "d1", "") for gate in system.gateways]
     names = {vm.name for vm in choose_readers("d1", vms)}
     return [gate for gate in system.gateways if gate.name in names]
 
 
-def reads(system):
+def count_reads(system):
     return call(system.platform.url, "GET", "/stats")["reads"]
 
 
-def in_force(system, prefix, gates):
-    """Tell which of ``gates`` serve a route."""
+def serving_gateways(system, prefix, gates):
+    """Return the names of those ``gates`` that serve the route of ``prefix``."""
     return {
         gate.name
         for gate in gates
@@ -70,72 +70,72 @@
 
 
 class TestReaders:
-    """Changes reach all nodes, with calls to the store from two."""
+    """Only two nodes read the store, yet changes reach all nodes in time."""
 
-    def test_the_others_are_told(self, system):
-        before = reads(system)
+    def test_changes_reach_all_nodes(self, system):
+        before = count_reads(system)
         names = {gate.name for gate in system.gateways}
         for number in range(3):
             prefix = f"/new{number}/"
             system.configure([*ROUTES, route(prefix, "idempotent", "plain")])
             assert wait_until(
                 lambda prefix=prefix: (
-                    in_force(system, prefix, system.gateways) == names
+                    serving_gateways(system, prefix, system.gateways) == names
                 ),
                 KNOWN_SECONDS,
             )
-        # Two calls a change at two readers, and the lease, which holders renew.
-        assert reads(system) - before <= 24
+        # Two reads per change at each of two readers, and renewals of the lease.
+        assert count_reads(system) - before <= 24
 
-    def test_a_quiet_system_makes_few_calls(self, system):
-        """Each of six nodes would wait for changes of both tables by itself."""
-        before = reads(system)
+    def test_idle_system_makes_few_reads(self, system):
+        """Without shared readers each of six nodes would poll both tables."""
+        before = count_reads(system)
         time.sleep(QUIET_SECONDS)
 
-        assert reads(system) - before <= 8
+        assert count_reads(system) - before <= 8
 
-    def test_readers_that_freeze_make_nobody_late(self, system):
-        frozen = readers_of(system)
-        others = [gate for gate in system.gateways if gate not in frozen]
-        for gate in frozen:
+    def test_suspended_readers_delay_no_other_node(self, system):
+        suspended = select_readers(system)
+        others = [gate for gate in system.gateways if gate not in suspended]
+        for gate in suspended:
             gate.process.signal(signal.SIGSTOP)
         try:
             system.configure([*ROUTES, route("/new/", "idempotent", "plain")])
             assert wait_until(
-                lambda: len(in_force(system, "/new/", others)) == len(others),
+                lambda: len(serving_gateways(system, "/new/", others)) == len(others),
                 KNOWN_SECONDS,
             )
         finally:
-            for gate in frozen:
+            for gate in suspended:
                 gate.process.signal(signal.SIGCONT)
         assert wait_until(
-            lambda: len(in_force(system, "/new/", frozen)) == len(frozen),
+            lambda: len(serving_gateways(system, "/new/", suspended)) == len(suspended),
             KNOWN_SECONDS,
         )
 
     @pytest.mark.parametrize("fault", [LinkFault.REFUSE, LinkFault.FREEZE])
-    def test_readers_that_lose_the_store_make_nobody_late(self, system, fault):
-        cut = readers_of(system)
+    def test_readers_without_store_delay_no_other_node(self, system, fault):
+        cut = select_readers(system)
         others = [gate for gate in system.gateways if gate not in cut]
         for gate in cut:
             gate.to_store.inject(fault)
         system.configure([*ROUTES, route("/new/", "idempotent", "plain")])
 
         assert wait_until(
-            lambda: len(in_force(system, "/new/", others)) == len(others),
+            lambda: len(serving_gateways(system, "/new/", others)) == len(others),
             KNOWN_SECONDS,
         )
 
-    def test_a_node_that_starts_again_is_told(self, system):
-        gate = next(g for g in system.gateways if g not in readers_of(system))
+    def test_restarted_node_becomes_ready(self, system):
+        gate = next(g for g in system.gateways if g not in select_readers(system))
         gate.process.kill()
         system.restart(gate)
 
         assert wait_until(lambda: system.is_ready(gate), KNOWN_SECONDS)
 
 
-def test_a_gateway_without_a_port_for_it_reads_by_itself(tmp_path, monkeypatch):
-    """Settings of earlier versions name no port to tell others by."""
+def test_gateway_without_broadcast_port_reads_the_store(tmp_path, monkeypatch):
+    """Settings of earlier versions have no ``port_range`` for broadcasts."""
     lines = [line for line in SETTINGS.splitlines() if "port_range" not in line]
     monkeypatch.setattr("runhatch_standins._gateways.SETTINGS", "\n".join(lines))
     with ExitStack() as stack:
--- a/standins/tests/test_history.py
+++ b/standins/tests/test_history.py
@@ -1,4 +1,4 @@
-"""The history checker catches what it is for: planted violations."""
+"""Test that the history checker detects violations and accepts valid histories."""
 
 import pytest
 
@@ -7,44 +7,44 @@
 ANSWERED, NO, UNKNOWN, BROKEN = EventKind
 
 
-def once(kind, answer=""):
+def make_event(kind, answer=""):
     return Event("r", kind, once=True, answer=answer)
 
 
 class TestCheckHistory:
-    """Sound histories pass, each planted fault is named."""
+    """Valid histories pass, and each violation is reported."""
 
     @pytest.mark.parametrize(
         ("events", "runs"),
         [
-            ([once(ANSWERED, "a")], 1),
-            ([once(ANSWERED, "a"), once(ANSWERED, "a")], 1),
-            ([once(NO), once(ANSWERED, "a")], 1),
-            ([once(NO), once(NO)], 0),
-            ([once(UNKNOWN)], 0),
-            ([once(UNKNOWN), once(BROKEN)], 1),
+            ([make_event(ANSWERED, "a")], 1),
+            ([make_event(ANSWERED, "a"), make_event(ANSWERED, "a")], 1),
+            ([make_event(NO), make_event(ANSWERED, "a")], 1),
+            ([make_event(NO), make_event(NO)], 0),
+            ([make_event(UNKNOWN)], 0),
+            ([make_event(UNKNOWN), make_event(BROKEN)], 1),
             ([Event("r", ANSWERED, answer="x", expected="x")], 3),
         ],
     )
-    def test_sound(self, events, runs):
-        """What the promises allow is no violation."""
+    def test_valid_history_has_no_violations(self, events, runs):
+        """Outcomes that the guarantees allow are not reported."""
         assert check_history(events, {"r": runs}) == []
 
     @pytest.mark.parametrize(
         ("events", "runs", "words"),
         [
-            ([once(ANSWERED, "a")], 2, "ran 2 times"),
-            ([once(UNKNOWN), once(NO)], 2, "ran 2 times"),
-            ([once(ANSWERED, "a"), once(ANSWERED, "b")], 1, "2 answers"),
-            ([once(NO)], 1, "refused as not run, ran 1 times"),
+            ([make_event(ANSWERED, "a")], 2, "ran 2 times"),
+            ([make_event(UNKNOWN), make_event(NO)], 2, "ran 2 times"),
+            ([make_event(ANSWERED, "a"), make_event(ANSWERED, "b")], 1, "2 answers"),
+            ([make_event(NO)], 1, "refused as not run, ran 1 times"),
             ([Event("r", NO)], 1, "refused as not run"),
-            ([once(ANSWERED, "a")], 0, "nothing ran"),
+            ([make_event(ANSWERED, "a")], 0, "nothing ran"),
             ([Event("r", ANSWERED, answer="y", expected="x")], 1, "its own is 'x'"),
             ([Event("r", ANSWERED, answer="x", expected="xx")], 1, "its own is 'xx'"),
         ],
     )
-    def test_planted(self, events, runs, words):
-        """Each planted fault is found."""
+    def test_violation_is_reported(self, events, runs, words):
+        """Each violation is reported once with its description."""
         violations = check_history(events, {"r": runs})
         assert len(violations) == 1
         assert words in violations[0]
--- a/standins/tests/test_once.py
+++ b/standins/tests/test_once.py
@@ -1,4 +1,4 @@
-"""Requests that may run at most once, whatever happens to nodes and store."""
+"""Test that requests run at most once under faults of nodes and store."""
 
 import signal
 import threading
@@ -16,35 +16,35 @@
 
 
 def send_everywhere(cluster, wanted):
-    """Send to all nodes at the same moment."""
+    """Send ``wanted`` to all nodes simultaneously and return the responses."""
     urls = [cluster.caller_url(name) for name in cluster.nodes]
     barrier = threading.Barrier(len(urls))
 
-    def one(url):
+    def send_at_barrier(url):
         barrier.wait()
         return send(url, wanted)
 
     with ThreadPoolExecutor(len(urls)) as pool:
-        return list(pool.map(one, urls))
+        return list(pool.map(send_at_barrier, urls))
 
 
-def assert_promises(cluster, gots):
+def assert_no_violations(cluster, gots):
     violations = check_history([got.event for got in gots], count_runs(cluster))
     assert violations == []
 
 
 class TestAtMostOnce:
-    """One run, one answer, for as many sendings as there are."""
+    """Any number of repeats leads to one run and one answer."""
 
     @pytest.mark.parametrize("shape", SHAPES)
-    def test_repeats_at_all_nodes_together(self, cluster, shape):
-        """Sent to all nodes at once it runs once, and all get the same answer."""
+    def test_simultaneous_repeats_run_once(self, cluster, shape):
+        """A request sent to all nodes at once runs once; all return its answer."""
         gots = []
         for index in range(10):
             name = f"together-{shape.name}-{index}"
             gots += send_everywhere(cluster, Wanted(name, shape, "m3"))
         assert {got.event.kind for got in gots} == {EventKind.ANSWERED}
-        assert_promises(cluster, gots)
+        assert_no_violations(cluster, gots)
 
     @pytest.mark.parametrize("shape", SHAPES)
     @pytest.mark.parametrize(
@@ -58,8 +58,8 @@
         ],
         ids=str,
     )
-    def test_store_in_trouble(self, cluster, shape, faults):
-        """With the store losing answers, slow or down nothing runs twice."""
+    def test_store_faults_cause_no_second_run(self, cluster, shape, faults):
+        """No request runs twice while the store loses calls, is slow or down."""
         call(cluster.platform.url, "POST", "/faults", faults)
         gots = []
         label = "-".join(f"{k}{v}" for k, v in faults.items())
@@ -70,26 +70,26 @@
         for index in range(4):
             wanted = Wanted(f"store-{label}-{shape.name}-{index}", shape, "m4")
             gots += send_everywhere(cluster, wanted)
-        assert_promises(cluster, gots)
+        assert_no_violations(cluster, gots)
 
-    def test_service_that_fails_after_running(self, cluster):
-        """A call that failed after it ran is told as unknown, and not repeated."""
+    def test_failure_after_execution_is_not_retried(self, cluster):
+        """A call that fails after it ran is reported as unknown and not retried."""
         call(cluster.booking.url, "POST", "/faults", {"fail_after_run": 1})
         wanted = Wanted("fails-after", Shape.BOOKING, "")
         gots = [send(cluster.caller_url(name), wanted) for name in cluster.nodes]
         assert {got.event.kind for got in gots} == {EventKind.REFUSED_UNKNOWN}
-        assert_promises(cluster, gots)
+        assert_no_violations(cluster, gots)
 
-    def test_refused_unrun_is_tried_again(self, cluster):
-        """A target's word that it did not run allows another attempt."""
+    def test_refusal_before_execution_is_retried(self, cluster):
+        """A target's statement that a request was not executed permits a retry."""
         call(cluster.booking.url, "POST", "/faults", {"refuse": 1})
         got = send(cluster.caller_url("n1"), Wanted("refused", Shape.BOOKING, ""))
         assert got.event.kind is EventKind.ANSWERED
-        assert_promises(cluster, [got])
+        assert_no_violations(cluster, [got])
 
     @pytest.mark.parametrize("shape", SHAPES)
-    def test_paused_node(self, cluster, shape):
-        """A node stopped in the middle and resumed later runs nothing again."""
+    def test_suspended_node_runs_nothing_again(self, cluster, shape):
+        """A node suspended during requests does not repeat them when resumed."""
         call(cluster.booking.url, "POST", "/faults", {"slow_seconds": 0.5})
         wanted = [
             Wanted(f"paused-{shape.name}-{i}", shape, f"m{i}", 60) for i in range(6)
@@ -97,17 +97,17 @@
         node = cluster.nodes["n2"]
         with ThreadPoolExecutor(6) as pool:
             url = cluster.caller_url("n2")
-            first = [pool.submit(send, url, each) for each in wanted]
+            pending = [pool.submit(send, url, request) for request in wanted]
             time.sleep(0.1)
             node.signal(signal.SIGSTOP)
             try:
                 repeats = [
-                    send(cluster.caller_url(name), each)
-                    for each in wanted
+                    send(cluster.caller_url(name), request)
+                    for request in wanted
                     for name in ("n1", "n3")
                 ]
             finally:
                 node.signal(signal.SIGCONT)
-            gots = [future.result() for future in first] + repeats
-        after = [send(cluster.caller_url("n1"), each) for each in wanted]
-        assert_promises(cluster, gots + after)
+            gots = [future.result() for future in pending] + repeats
+        after = [send(cluster.caller_url("n1"), request) for request in wanted]
+        assert_no_violations(cluster, gots + after)
--- a/standins/tests/test_operators.py
+++ b/standins/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""Operators: the command line, conflicts, roles and what changes do."""
+"""Test the operators' command line, conflicts, drains and pins."""
 
 import json
 import subprocess
@@ -12,7 +12,7 @@
 
 
 def runhatch(cluster, *arguments, node="n1"):
-    """Run the command; exit status, output and error line."""
+    """Run the command; return exit status, standard output and standard error."""
     result = subprocess.run(
         [sys.executable, "-m", "runhatch_cli", *arguments],
         capture_output=True,
@@ -24,7 +24,7 @@
 
 
 class TestCommandLine:
-    """Queries and their exit codes."""
+    """Output and exit status of commands."""
 
     @pytest.mark.parametrize(
         ("arguments", "status", "words"),
@@ -45,22 +45,24 @@
             (["status"], 0, "leases"),
         ],
     )
-    def test_says_what_happened(self, cluster, arguments, status, words):
-        """Each call has an answer or one line, and its exit code."""
+    def test_command_has_output_and_exit_status(
+        self, cluster, arguments, status, words
+    ):
+        """A command prints its result, or one line of error with its exit status."""
         code, output, errors = runhatch(cluster, *arguments)
         assert (code, words in output + errors) == (status, True)
         if status:
             assert len(errors.splitlines()) == 1
 
     def test_json_output(self, cluster):
-        """Records come as JSON where a program reads them."""
+        """``--output json`` prints records as JSON."""
         _, output, _ = runhatch(
             cluster, "query", "show targets order by name", "--output", "json"
         )
         assert [record["name"] for record in json.loads(output)] == ["e1", "e2", "e3"]
 
     def test_unreachable_node(self, cluster):
-        """A node that does not answer has an exit code of its own."""
+        """An unreachable node has its own exit status."""
         code, _, errors = runhatch(
             cluster, "query", "show models", "--node", "http://127.0.0.1:1"
         )
@@ -68,7 +70,7 @@
         assert len(errors.splitlines()) == 1
 
     def test_stale_base_conflicts(self, cluster, tmp_path):
-        """A change based on an old revision shows what came first."""
+        """A change based on an old revision is refused with the difference."""
         path = tmp_path / "d.json5"
         document = cluster.deployment()
         document["policy"]["move_price"] = 7
@@ -78,7 +80,7 @@
         assert '+    "move_price": 7' in errors
 
     def test_explains_a_request(self, cluster):
-        """A request's choices can be asked for by its id."""
+        """``explain request`` prints the decisions made for a request."""
         send(cluster.caller_url("n1"), Wanted("explained", Shape.WHOLE, "m0"))
         records = cluster.query("n1", {"noun": "requests", "limit": 1000})
         served = [r for r in records if r["attempts"] > 0]
@@ -90,18 +92,18 @@
 
 
 class TestDrainAndPins:
-    """Commands become revisions that hold everywhere."""
+    """Commands become revisions that take effect on all nodes."""
 
     def test_drain_moves_models_and_stops_new_work(self, cluster):
-        """A drained target is emptied without a model becoming unreachable."""
+        """A drain removes all replicas while every model keeps one elsewhere."""
         revision = call(
             cluster.operator_url("n2"),
             "POST",
             "/v1/command",
             {"verb": "drain", "target": "e2"},
         )["revision"]
-        give_up = time.monotonic() + 30
-        while time.monotonic() < give_up:
+        deadline = time.monotonic() + 30
+        while time.monotonic() < deadline:
             models = cluster.query("n3", {"noun": "models"})
             assert all(model["replicas"] >= 1 for model in models)
             if not any("e2" in model["targets"] for model in models):
@@ -117,13 +119,13 @@
         history = call(cluster.operator_url("n1"), "GET", "/v1/history")["records"]
         assert [r["note"] for r in history if r["revision"] == revision] == ["drain e2"]
 
-    def test_pin_loads_and_release_forgets(self, cluster):
-        """A pinned replica appears on its target."""
+    def test_pin_loads_model_and_can_be_released(self, cluster):
+        """A pinned model is loaded on its target."""
         command = {"verb": "load", "model": "m5", "target": "e2"}
         call(cluster.operator_url("n1"), "POST", "/v1/command", command)
-        give_up = time.monotonic() + 20
+        deadline = time.monotonic() + 20
         targets = []
-        while "e2" not in targets and time.monotonic() < give_up:
+        while "e2" not in targets and time.monotonic() < deadline:
             models = cluster.query("n2", {"noun": "models"})
             targets = next(m["targets"] for m in models if m["name"] == "m5")
             time.sleep(0.2)
@@ -132,7 +134,7 @@
         call(cluster.operator_url("n1"), "POST", "/v1/command", released)
 
     def test_memory_was_never_overcommitted(self, cluster):
-        """The engines' own account agrees with the ledger's promise."""
+        """The engines recorded no violation of memory or of load limits."""
         for engine in cluster.engines:
             record = call(engine.url, "GET", "/record")
             assert record["violations"] == []
--- a/standins/tests/test_order_checks.py
+++ b/standins/tests/test_order_checks.py
@@ -1,4 +1,4 @@
-"""Who may order a target, checked over tables of orders."""
+"""Test the checks of fences and holders in lists of orders."""
 
 import pytest
 
@@ -9,22 +9,22 @@
     given_orders,
 )
 
-BETWEEN = 3.0
-RESUMED = 20.0
+MIN_HANDOVER_SECONDS = 3.0
+RESUMED_AT = 20.0
 
 
-def given(*orders):
-    """Return orders from tuples of time, fence, holder, and perhaps life or target."""
+def make_orders(*orders):
+    """Build orders from (time, fence, holder[, incarnation[, target]]) tuples."""
     return [
-        GivenOrder(target, life, at, fence, holder)
-        for at, fence, holder, life, target in (
+        GivenOrder(target, incarnation, at, fence, holder)
+        for at, fence, holder, incarnation, target in (
             (*order, *(0, "e")[len(order) - 3 :]) for order in orders
         )
     ]
 
 
-class TestKept:
-    """Orders in which nothing is wrong."""
+class TestValidOrders:
+    """Orders without a violation."""
 
     @pytest.mark.parametrize(
         "orders",
@@ -32,27 +32,29 @@
             [],
             [(1.0, 1, "a"), (1.0, 1, "a"), (1.1, 2, "a")],
             [(1.0, 1, "a"), (4.0, 2, "b"), (7.0, 3, "a")],
-            # It knows nothing of the life before.
+            # A restarted target does not know the previous fences.
             [(1.0, 2, "a", 0), (1.1, 1, "a", 1)],
             [(1.0, 1, "a", 0), (1.1, 1, "b", 1)],
-            # Each target by itself.
+            # Targets are checked independently.
             [(1.0, 2, "a", 0, "e"), (1.1, 1, "b", 0, "f")],
-            # They come in any order, and are told apart by when they arrived.
+            # Orders are sorted by their time of arrival.
             [(4.0, 2, "b"), (1.0, 1, "a")],
         ],
     )
-    def test_nothing_is_found(self, orders):
-        assert check_orders(given(*orders), {}, BETWEEN) == []
+    def test_no_violation_is_reported(self, orders):
+        assert check_orders(make_orders(*orders), {}, MIN_HANDOVER_SECONDS) == []
 
-    @pytest.mark.parametrize("at", [RESUMED, RESUMED + RESUMED_SECONDS])
-    def test_a_sender_that_just_ran_again_is_left_out(self, at):
-        orders = given((19.9, 2, "b"), (at, 1, "a"), (at + 0.1, 2, "b"))
+    @pytest.mark.parametrize("at", [RESUMED_AT, RESUMED_AT + RESUMED_SECONDS])
+    def test_orders_of_a_just_resumed_sender_are_ignored(self, at):
+        orders = make_orders((19.9, 2, "b"), (at, 1, "a"), (at + 0.1, 2, "b"))
 
-        assert check_orders(orders, {"a": [5.0, RESUMED]}, BETWEEN) == []
+        assert (
+            check_orders(orders, {"a": [5.0, RESUMED_AT]}, MIN_HANDOVER_SECONDS) == []
+        )
 
 
-class TestBroken:
-    """Orders in which one thing is wrong."""
+class TestInvalidOrders:
+    """Orders with one violation each."""
 
     @pytest.mark.parametrize(
         ("orders", "found"),
@@ -70,7 +72,7 @@
             pytest.param(
                 [(1.0, 9, "a", 0), (1.5, 2, "a", 1), (1.6, 1, "a", 1)],
                 "e, life 1: fence 1 of a at 1.600 after 2 of a",
-                id="a lower fence in a later life",
+                id="a lower fence in a later incarnation",
             ),
             pytest.param(
                 [(1.0, 1, "a"), (9.0, 1, "b")],
@@ -89,31 +91,31 @@
             ),
         ],
     )
-    def test_it_is_found(self, orders, found):
-        assert check_orders(given(*orders), {}, BETWEEN) == [found]
+    def test_violation_is_reported(self, orders, found):
+        assert check_orders(make_orders(*orders), {}, MIN_HANDOVER_SECONDS) == [found]
 
     @pytest.mark.parametrize(
         ("at", "resumed"),
         [
-            pytest.param(RESUMED + RESUMED_SECONDS + 0.01, "a", id="too late"),
-            pytest.param(RESUMED - 0.01, "a", id="before it ran again"),
-            pytest.param(RESUMED, "b", id="another ran again"),
+            pytest.param(RESUMED_AT + RESUMED_SECONDS + 0.01, "a", id="too late"),
+            pytest.param(RESUMED_AT - 0.01, "a", id="before it was resumed"),
+            pytest.param(RESUMED_AT, "b", id="another was resumed"),
         ],
     )
-    def test_no_other_order_is_left_out(self, at, resumed):
-        orders = given((10.0, 2, "b"), (at, 1, "a"))
+    def test_other_late_orders_are_reported(self, at, resumed):
+        orders = make_orders((10.0, 2, "b"), (at, 1, "a"))
 
-        assert check_orders(orders, {resumed: [RESUMED]}, BETWEEN)
+        assert check_orders(orders, {resumed: [RESUMED_AT]}, MIN_HANDOVER_SECONDS)
 
 
 class TestJournal:
-    """What a target's journal tells."""
+    """Orders read from the journal of a target."""
 
-    def test_lives_go_by_when_the_target_started_again(self):
+    def test_incarnation_follows_from_restart_times(self):
         orders = [{"fence": n, "holder": "a"} for n in (1, 2, 3, 4)]
         times = [1.0, 2.0, 3.0, 5.0]
         journal = {"orders": orders, "order_times": times, "restart_times": [1.5, 4.0]}
 
-        assert given_orders("e", journal) == given(
+        assert given_orders("e", journal) == make_orders(
             (1.0, 1, "a"), (2.0, 2, "a", 1), (3.0, 3, "a", 1), (5.0, 4, "a", 2)
         )
--- a/standins/tests/test_peer_group.py
+++ b/standins/tests/test_peer_group.py
@@ -1,22 +1,22 @@
-"""Membership of many nodes: deaths, pauses, cuts and parted regions."""
+"""Test membership under node failures, suspensions and network partitions."""
 
 import pytest
 
 from runhatch_coordination import Standing
 from runhatch_standins._peer_group import group_of, region
 
-SETTLED = 6
-"""Rounds after which everybody has heard of everybody."""
-QUIET_BYTES = 350
-"""Of heartbeats alone, for eight links; nothing here is a matter of time."""
+DISCOVERY_ROUNDS = 6
+"""Rounds after which all nodes know each other."""
+MAX_HEARTBEAT_BYTES = 350
+"""Maximum bytes per node and round for the heartbeats of eight links."""
 LEAVING_STANDINGS = ({Standing.LEAVING}, {Standing.ALIVE, Standing.LEAVING})
-"""What others believe of a leaving VM, and what it believes of itself."""
+"""Accepted standings of a leaving VM: at other nodes, and at itself."""
 
 
 @pytest.fixture(params=[3, 9, 40])
 def group(request):
     group = group_of(request.param)
-    group.run(SETTLED)
+    group.run(DISCOVERY_ROUNDS)
     return group
 
 
@@ -25,25 +25,25 @@
 
 
 class TestFailures:
-    """What all nodes come to believe, and that it heals."""
+    """Suspicion of failed nodes, and recovery from it."""
 
-    def test_quiet_group_suspects_nobody(self, group):
-        """With nothing wrong nobody is suspected, nor does news go round."""
+    def test_healthy_group_has_no_suspicions(self, group):
+        """Without faults no node is suspected and only heartbeats are sent."""
         before = group.messages
         group.run(20)
         assert group.suspicions(set(group.nodes)) == 0
         links = min(len(group.nodes) - 1, 6 if len(group.nodes) > 9 else 8)
         assert group.messages - before == 20 * links * len(group.nodes)
 
-    def test_death_is_known_everywhere(self, group):
-        """A silent death is known to all within the silence and a round."""
+    def test_failed_node_is_suspected_by_all(self, group):
+        """A node that fails silently is suspected by all after the timeout."""
         group.dead.add("n001")
         group.run(6)
         assert group.suspicions({"n001"}) == len(group.nodes) - 1
         assert group.suspicions(set(group.nodes) - {"n001"}) == 0
 
     def test_leaving_vm_stays_leaving(self, group):
-        """What the list says of a leaving VM is believed and causes no chatter."""
+        """A leaving VM keeps this standing without additional messages."""
         group.leaving = frozenset({"n001"})
         group.run(6)
         before = group.bytes
@@ -53,11 +53,11 @@
                 node.membership.standing("n001")
                 in LEAVING_STANDINGS[node.vm.name == "n001"]
             )
-        bytes_a_round = (group.bytes - before) / 20 / len(group.nodes)
-        assert bytes_a_round < QUIET_BYTES
+        bytes_per_round = (group.bytes - before) / 20 / len(group.nodes)
+        assert bytes_per_round < MAX_HEARTBEAT_BYTES
 
-    def test_stopped_node_suspects_nobody(self, group):
-        """A node that was stopped suspects nobody for its own pause."""
+    def test_suspended_node_suspects_no_other(self, group):
+        """A resumed node does not suspect others because of its own suspension."""
         group.stopped.add("n001")
         group.run(10)
         group.stopped.clear()
@@ -68,8 +68,8 @@
         group.run(3)
         assert group.suspicions({"n001"}) == 0
 
-    def test_parted_regions_find_each_other(self, group):
-        """Once regions can talk again nobody stays suspected."""
+    def test_partitioned_regions_recover(self, group):
+        """No node stays suspected after a partition between regions ends."""
         group.cut = lambda a, b: (region(a) == "r0") != (region(b) == "r0")
         group.run(60)
         names = {n for n, node in group.nodes.items() if region(node.vm) == "r0"}
@@ -78,8 +78,8 @@
         group.run(40)
         assert group.suspicions(set(group.nodes)) == 0
 
-    def test_one_way_cut_hurts_only_its_ends(self, group):
-        """A node that one other cannot hear is not suspected by the rest."""
+    def test_one_way_partition_affects_only_its_ends(self, group):
+        """A node whose messages to one other are lost is not suspected by the rest."""
         first, second = "n000", "n001"
         group.cut = lambda a, b: (a.name, b.name) == (first, second)
         group.run(30)
--- a/standins/tests/test_shutdown.py
+++ b/standins/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""Restarts, starts without the store, and targets that leave, under load."""
+"""Test restarts, starts without the store and draining targets under load."""
 
 import threading
 import time
@@ -14,8 +14,9 @@
 
 @pytest.fixture(scope="module")
 def own_cluster():
-    """A system of its own, since its nodes are restarted."""
-    # A lag well above the balancer's here, so that a slow host cuts nothing.
+    """Start a separate cluster, because its nodes are restarted."""
+    # Well above the lag of the load balancer here, so that a slow host breaks no
+    # request.
     settings = {"serving": {"drain_lag_seconds": 2.0}}
     cluster = start_cluster(Sizes(models=4, adapters=2), settings)
     try:
@@ -28,7 +29,7 @@
 
 
 class Load:
-    """Callers that send through the nodes a balancer would use."""
+    """Callers that send requests to the nodes in rotation at a load balancer."""
 
     def __init__(self, cluster, label):
         self.cluster = cluster
@@ -37,7 +38,7 @@
         self.stop = threading.Event()
         self.gots = []
 
-    def call(self, caller):
+    def run_caller(self, caller):
         count = 0
         while not self.stop.is_set():
             shape = [*Shape][count % len(Shape)]
@@ -48,12 +49,12 @@
             self.gots.append(send(url, wanted))
             count += 1
 
-    def unserved(self):
+    def unanswered(self):
         return [got for got in self.gots if got.event.kind is not EventKind.ANSWERED]
 
     def __enter__(self):
         self.pool = ThreadPoolExecutor(8)
-        self.futures = [self.pool.submit(self.call, i) for i in range(8)]
+        self.futures = [self.pool.submit(self.run_caller, i) for i in range(8)]
         return self
 
     def __exit__(self, *exception):
@@ -63,22 +64,22 @@
         self.pool.shutdown()
 
 
-def lookups(gots):
+def count_lookups(gots):
     return {g.event.request: 1 for g in gots if "free" in g.event.answer}
 
 
 class TestRollingRestart:
-    """All nodes are replaced one after the other, under load."""
+    """All nodes are restarted one after the other under load."""
 
-    def test_cuts_nothing(self, own_cluster):
-        """Every request is answered, whichever node is being restarted."""
+    def test_every_request_is_answered(self, own_cluster):
+        """A restart of any node breaks or refuses no request."""
         with Load(own_cluster, "rolling") as load:
             for name in sorted(own_cluster.settings):
                 node = own_cluster.nodes[name]
                 time.sleep(0.3)
                 terminated = threading.Thread(target=node.terminate, args=(40,))
                 terminated.start()
-                # The balancer notices within the lag that the settings allow.
+                # The load balancer reacts within the lag allowed by the settings.
                 time.sleep(0.3)
                 load.ready.discard(name)
                 terminated.join()
@@ -87,8 +88,8 @@
                 while not _is_ready(own_cluster, name):
                     time.sleep(0.05)
                 load.ready.add(name)
-        assert load.unserved() == []
-        runs = {**count_runs(own_cluster), **lookups(load.gots)}
+        assert load.unanswered() == []
+        runs = {**count_runs(own_cluster), **count_lookups(load.gots)}
         assert check_history([got.event for got in load.gots], runs) == []
 
 
@@ -103,14 +104,14 @@
 class TestStartWithoutStore:
     """A node that starts while the platform's store is down."""
 
-    def test_takes_all_from_peers(self, own_cluster):
-        """Configuration and picture come from a peer, and it serves."""
+    def test_node_starts_with_state_from_peers(self, own_cluster):
+        """A node that receives configuration and state from a peer serves requests."""
         own_cluster.nodes["n2"].terminate(40)
         call(own_cluster.platform.url, "POST", "/faults", {"down": True})
         try:
             own_cluster.start_node("n2")
-            give_up = time.monotonic() + 15
-            while not _is_ready(own_cluster, "n2") and time.monotonic() < give_up:
+            deadline = time.monotonic() + 15
+            while not _is_ready(own_cluster, "n2") and time.monotonic() < deadline:
                 time.sleep(0.1)
             wanted = Wanted("without-store", Shape.WHOLE, "m1")
             got = send(own_cluster.caller_url("n2"), wanted)
@@ -119,16 +120,16 @@
             call(own_cluster.platform.url, "POST", "/faults", {})
 
 
-class TestLeavingTarget:
-    """A target leaves by one of three signs."""
+class TestDrainingTarget:
+    """A target drains by an operator's command, the VM list or its own report."""
 
     @pytest.mark.parametrize("sign", ["operator", "vm-list", "engine"])
-    def test_gets_no_new_work_after_three_seconds(self, own_cluster, sign):
-        """No request begins at the target three seconds after the sign."""
+    def test_no_request_starts_after_three_seconds(self, own_cluster, sign):
+        """No request starts at the target three seconds after the drain."""
         engine = own_cluster.engines[2]
         with Load(own_cluster, f"leaving-{sign}") as load:
             time.sleep(0.5)
-            self._give_sign(own_cluster, engine, sign)
+            self._drain(own_cluster, engine, sign)
             time.sleep(3)
             quiet_from = time.time()
             time.sleep(1.5)
@@ -136,10 +137,10 @@
         began = [r for r in runs if r["what"] == "began" and r["at"] > quiet_from]
         assert began == []
         assert own_cluster.ended_nodes() == []
-        assert load.unserved() == []
-        self._take_back(own_cluster, engine)
+        assert load.unanswered() == []
+        self._undrain(own_cluster, engine)
 
-    def _give_sign(self, cluster, engine, sign):
+    def _drain(self, cluster, engine, sign):
         if sign == "operator":
             command = {"verb": "drain", "target": engine.name}
             call(cluster.operator_url("n1"), "POST", "/v1/command", command)
@@ -148,7 +149,7 @@
         else:
             call(engine.url, "POST", "/faults", {"draining": True})
 
-    def _take_back(self, cluster, engine):
+    def _undrain(self, cluster, engine):
         call(engine.url, "POST", "/faults", {})
         cluster.publish_vms()
         command = {"verb": "undrain", "target": engine.name}
