--- a/standins/tests/test_callers.py
+++ b/standins/tests/test_callers.py
@@ -32,7 +32,7 @@
 
 
 def read_counter(cluster, node, name):
-    """Return the value of a read_counter of a node's metrics, 0 if it is absent."""
+    """Return the value of a counter of a node's metrics, 0 if it is absent."""
     with urllib.request.urlopen(f"{cluster.operator_url(node)}/metrics") as answer:
         lines = answer.read().decode().splitlines()
     values = [line.rpartition(" ")[2] for line in lines if line.startswith(name)]
