--- a/benchmarks/bench_logs.py
+++ b/benchmarks/bench_logs.py
@@ -32,9 +32,9 @@
     """Return the record of a stream answered by its first target."""
     record = RequestRecord(make_request(clock))
     grant = Grant(1, make_target(), record.request, 80.0, seconds(0), 0, 4)
-    record.attempt(grant, "status_200")
-    record.first_byte_after(seconds(0.08))
-    record.streamed("answered", 40)
+    record.record_attempt(grant, "status_200")
+    record.record_first_byte(seconds(0.08))
+    record.record_stream("answered", 40)
     return record
 
 
@@ -49,7 +49,7 @@
         cpu_seconds = time.process_time()
         started = time.perf_counter()
         for _ in range(REQUESTS):
-            recorder.ended(record)
+            recorder.record(record)
         waited = time.perf_counter() - started
         if isinstance(destination, LogQueue):
             destination.flush(10.0)
--- a/benchmarks/bench_orders.py
+++ b/benchmarks/bench_orders.py
@@ -9,11 +9,11 @@
 from runhatch_server.fleet import HeldModels, StoredCopies, Target, TargetState
 from runhatch_server.residency import (
     DemandBook,
+    DemandKey,
     DemandShare,
     FleetView,
     TargetControl,
     TargetReport,
-    Wanted,
     plan_adapters,
     plan_models,
 )
@@ -50,7 +50,7 @@
         control = TargetControl(target)
         stored = StoredCopies(on_disk=frozenset(copies))
         report = TargetReport(0, held, False, frozenset(), stored, 0, 0)
-        control.reported(report, timedelta())
+        control.apply_report(report, timedelta())
         controls.append(control)
     return controls
 
@@ -68,9 +68,11 @@
             adapter = (
                 f"a{1 + request_index % ADAPTERS}" if request_index >= ADAPTERS else ""
             )
-            wanted = Wanted(SERVICE, name, adapter, priority, GOALS[priority])
+            wanted = DemandKey(SERVICE, name, adapter, priority, GOALS[priority])
             at = NOW - timedelta(seconds=3 - request_index)
-            book.add("n1", DemandShare(wanted, 2, 2 if missed else 0, 150.0), at)
+            book.add_requests(
+                "n1", DemandShare(wanted, 2, 2 if missed else 0, 150.0), at
+            )
     return book
 
 
@@ -88,7 +90,7 @@
 
     view = FleetView(SERVICE, engine, controls, book, NOW)
     model_plan = plan_models(view)
-    return len(model_plan.loads) + len(model_plan.left), time_call(plan) * 1_000
+    return len(model_plan.loads) + len(model_plan.deferred), time_call(plan) * 1_000
 
 
 def main() -> None:
--- a/benchmarks/bench_permits.py
+++ b/benchmarks/bench_permits.py
@@ -39,7 +39,7 @@
     exchange = PermitExchange(
         limits, membership, clock, discard, lambda fact: None, lambda: None
     )
-    limits.heard("t", RATE, clock.elapsed())
+    limits.apply_answer("t", RATE, clock.elapsed())
     return exchange
 
 
@@ -54,10 +54,10 @@
     fact = PermitAsked(0, LimitOfTarget("t", RATE, 0))
     started = time.process_time()
     for _ in range(PERMITS):
-        requester.ask("t", 0)
+        requester.request_permit("t", 0)
     requested = time.process_time()
     for _ in range(PERMITS):
-        allocator.take_in(fact, sender)
+        allocator.handle_message(fact, sender)
     granted = time.process_time()
     return (requested - started) / PERMITS * 1e6, (granted - requested) / PERMITS * 1e6
 
--- a/packages/runhatch-coordination/src/runhatch_coordination/_shared.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/_shared.py
@@ -77,7 +77,7 @@
     def role(self) -> Role:
         """Return the role of this node for watched tables."""
 
-    def ask(self, table: str, version: StoreVersion | None) -> bool:
+    def request_changes(self, table: str, version: StoreVersion | None) -> bool:
         """Request the changes since ``version`` from another node.
 
         Returns whether there is such a node. Its answer, if any, is passed to
@@ -87,10 +87,10 @@
     def publish(self, table: str, changes: TableChanges, reachable: bool) -> None:
         """Send ``changes`` read from the store to the nodes of this failure domain."""
 
-    def notice(self, table: str, version: StoreVersion) -> None:
+    def publish_version(self, table: str, version: StoreVersion) -> None:
         """Notify nodes in all failure domains that the table reached ``version``."""
 
-    def note_source(self, table: str, source: Source) -> None:
+    def record_source(self, table: str, source: Source) -> None:
         """Record that this node now receives the table from ``source``."""
 
 
@@ -247,7 +247,7 @@
         source = self._choose_source()
         if source is not self._source:
             self._source = source
-            self._peers.note_source(self.name, source)
+            self._peers.record_source(self.name, source)
         if source is Source.TOLD:
             return self._pause_for_updates()
         self._position = self._watcher.version
@@ -269,7 +269,7 @@
         if update is None or not update.entries:
             return
         self._peers.publish(self.name, update, True)
-        self._peers.notice(self.name, update.version)
+        self._peers.publish_version(self.name, update.version)
 
     def reached(self, reachable: bool, reason: str) -> None:
         """Record whether this node itself reaches the store."""
@@ -313,7 +313,7 @@
         """Request the table from other nodes; return whether to wait for an answer."""
         if self._clock.elapsed() - self._started_at >= START_PATIENCE:
             return False
-        return self._peers.ask(self.name, None)
+        return self._peers.request_changes(self.name, None)
 
     def _gap_request_failed(self) -> bool:
         """Request missing changes from another node; return whether that failed.
@@ -325,7 +325,7 @@
             return False
         if self._must_request_gap:
             self._must_request_gap = False
-            if self._peers.ask(self.name, self._replica.version):
+            if self._peers.request_changes(self.name, self._replica.version):
                 return False
         elif self._clock.elapsed() - since < ASK_EVERY:
             return False
--- a/packages/runhatch-coordination/tests/shared_cases.py
+++ b/packages/runhatch-coordination/tests/shared_cases.py
@@ -136,17 +136,17 @@
     def role(self):
         return self.current_role
 
-    def ask(self, table, version):
+    def request_changes(self, table, version):
         self.requested_versions.append(version)
         return self.answers
 
     def publish(self, table, changes, reachable):
         self.published.append(changes)
 
-    def notice(self, table, version):
+    def publish_version(self, table, version):
         self.announced_versions.append(version)
 
-    def note_source(self, table, source):
+    def record_source(self, table, source):
         self.sources.append(source)
 
 
--- a/packages/runhatch-coordination/tests/slow_links.py
+++ b/packages/runhatch-coordination/tests/slow_links.py
@@ -204,7 +204,7 @@
     def role(self):
         return role_of(self.vm, self.world.vms())
 
-    def ask(self, table, version):
+    def request_changes(self, table, version):
         return False
 
     def publish(self, table, changes, reachable):
@@ -219,13 +219,13 @@
             deliver = partial(other.receive, self.vm.name, changes, reachable)
             simulation.schedule(arrives_at - simulation.now, deliver)
 
-    def notice(self, table, version):
+    def publish_version(self, table, version):
         for other in self.world.nodes:
             if other is not self and not self.is_frozen:
                 deliver = partial(other.table.noticed, version)
                 self.world.simulation.schedule(HOP_SECONDS, deliver)
 
-    def note_source(self, table, source):
+    def record_source(self, table, source):
         pass
 
     def receive(self, reader, changes, reachable):
--- a/packages/runhatch-coordination/tests/test_shared_world.py
+++ b/packages/runhatch-coordination/tests/test_shared_world.py
@@ -53,7 +53,7 @@
             return Role.FOLLOWER
         return role_of(self.vm, self.world.vms())
 
-    def ask(self, table, version):
+    def request_changes(self, table, version):
         for reader in self.world.readers_of(self):
             changes = reader.table.since(version)
             if not reader.is_frozen and changes is not None:
@@ -65,12 +65,12 @@
         for other in self.world.followers_of(self):
             other.table.told(self.vm.name, changes, reachable)
 
-    def notice(self, table, version):
+    def publish_version(self, table, version):
         for other in self.world.nodes:
             if other is not self and not other.is_frozen:
                 other.table.noticed(version)
 
-    def note_source(self, table, source):
+    def record_source(self, table, source):
         pass
 
     def run_due_work(self):
--- a/packages/runhatch-server/src/runhatch_server/_caller_side.py
+++ b/packages/runhatch-server/src/runhatch_server/_caller_side.py
@@ -11,7 +11,7 @@
     RetryBudget,
 )
 from runhatch_server._progress import Progress
-from runhatch_server.crashes import CrashWatch
+from runhatch_server.crashes import CrashDetector
 from runhatch_server.http import HttpServer, ServerLimits
 from runhatch_server.observability import LogLevel, Metrics, TraceLog
 from runhatch_server.outside import Outside
@@ -27,7 +27,7 @@
     Picture,
     RequestReader,
     ServingService,
-    TargetLives,
+    TargetIncarnations,
 )
 from runhatch_server.settings import Settings
 from runhatch_server.targets import TargetClient
@@ -55,8 +55,8 @@
         has_configuration: Callable[[], bool],
         on_draining: Callable[[str], None],
         on_broken: Callable[[InvariantError], None],
-        crashes: CrashWatch,
-        lives: TargetLives,
+        crashes: CrashDetector,
+        lives: TargetIncarnations,
     ) -> None:
         serving = settings.serving
         self._settings = settings
--- a/packages/runhatch-server/src/runhatch_server/_node.py
+++ b/packages/runhatch-server/src/runhatch_server/_node.py
@@ -26,14 +26,14 @@
     RevisionFollower,
     parse_deployment,
 )
-from runhatch_server.crashes import ASK_EVERY, LOOK_EVERY, CrashWatch
+from runhatch_server.crashes import CHECK_INTERVAL, DIGEST_INTERVAL, CrashDetector
 from runhatch_server.http import HttpServer, ServerLimits
 from runhatch_server.observability import Metrics, TraceLog, log_change
 from runhatch_server.operations import Access, CommandService, Inventory, OperatorApp
 from runhatch_server.outside import Outside
 from runhatch_server.peers import PeerLinks, PlannerNotice
 from runhatch_server.placement import PlacementService
-from runhatch_server.serving import Hosting, Picture, TargetLives
+from runhatch_server.serving import Hosting, Picture, TargetIncarnations
 from runhatch_server.settings import Settings
 
 CONFIGURATION = "configuration"
@@ -74,12 +74,12 @@
         self._feed = RevisionFeed(self._on_revision)
         log = RevisionLog(outside.table, outside.objects, CONFIGURATION)
         self._configuration = ConfigurationService(log, self._feed, self._clock)
-        target_incarnations = TargetLives(settings.node.name)
-        self._crash_detector = CrashWatch(
+        target_incarnations = TargetIncarnations(settings.node.name)
+        self._crash_detector = CrashDetector(
             self._clock,
             target_incarnations,
             self._metrics,
-            lambda: self._peers.suspects.tell_news(),
+            lambda: self._peers.suspects.send_updates(),
         )
         self._callers = CallerSide(
             settings,
@@ -179,11 +179,11 @@
         self._tasks.every("keys", KEYS_EVERY, self._links.renew_keys)
         self._tasks.every(
             "crashes",
-            LOOK_EVERY,
-            self._crash_detector.look_again,
-            self._crash_detector.doubts,
+            CHECK_INTERVAL,
+            self._crash_detector.recheck_targets,
+            self._crash_detector.recheck_requested,
         )
-        self._tasks.every("suspects", ASK_EVERY, self._peers.suspects.ask)
+        self._tasks.every("suspects", DIGEST_INTERVAL, self._peers.suspects.send_digest)
         self._tasks.every("state", STATE_RETRY, follower.catch_up)
         self._tasks.every("sweep", SWEEP_EVERY, self._remove_expired_rows)
         self._operator_server.start()
--- a/packages/runhatch-server/src/runhatch_server/_peer_service.py
+++ b/packages/runhatch-server/src/runhatch_server/_peer_service.py
@@ -11,7 +11,7 @@
     RevisionFeed,
     Standing,
 )
-from runhatch_server.crashes import CrashWatch, SuspectExchange, SuspectFact
+from runhatch_server.crashes import CrashDetector, SuspectExchange, SuspectMessage
 from runhatch_server.observability import Metrics
 from runhatch_server.peers._exchange import MemberExchange
 from runhatch_server.peers._messages import (
@@ -45,7 +45,7 @@
         on_demand: Callable[[dict[str, int]], None],
         on_planner: Callable[[PlannerNotice], bool],
         planners: Callable[[], list[PlannerNotice]],
-        crashes: CrashWatch,
+        crashes: CrashDetector,
         clock: Clock,
         seed: int | None = None,
     ) -> None:
@@ -134,8 +134,8 @@
         self._compare_digest(sender, fact.digest)
 
     @take_in.register
-    def _handle_suspects(self, fact: SuspectFact, sender: Member) -> None:
-        self.suspects.take_in(fact, sender)
+    def _handle_suspects(self, fact: SuspectMessage, sender: Member) -> None:
+        self.suspects.handle_message(fact, sender)
 
     @take_in.register
     def _handle_state_request(self, fact: StateWanted, sender: Member) -> None:
--- a/packages/runhatch-server/src/runhatch_server/crashes/__init__.py
+++ b/packages/runhatch-server/src/runhatch_server/crashes/__init__.py
@@ -1,19 +1,23 @@
 """Detects requests that crash targets, reports them to all nodes and refuses them."""
 
-from runhatch_server.crashes._exchange import ASK_EVERY, SuspectExchange, SuspectFact
+from runhatch_server.crashes._exchange import (
+    DIGEST_INTERVAL,
+    SuspectExchange,
+    SuspectMessage,
+)
 from runhatch_server.crashes._watch import (
-    LOOK_EVERY,
-    CrashWatch,
-    Standing,
-    Targets,
+    CHECK_INTERVAL,
+    CrashDetector,
+    TargetMonitor,
+    TargetStanding,
 )
 
 __all__ = [
-    "ASK_EVERY",
-    "CrashWatch",
-    "LOOK_EVERY",
-    "Standing",
+    "DIGEST_INTERVAL",
+    "CrashDetector",
+    "CHECK_INTERVAL",
+    "TargetStanding",
     "SuspectExchange",
-    "SuspectFact",
-    "Targets",
+    "SuspectMessage",
+    "TargetMonitor",
 ]
--- a/packages/runhatch-server/src/runhatch_server/crashes/_exchange.py
+++ b/packages/runhatch-server/src/runhatch_server/crashes/_exchange.py
@@ -12,8 +12,8 @@
 from functools import singledispatchmethod
 
 from runhatch_coordination import Clock
-from runhatch_server.crashes._watch import CrashWatch
-from runhatch_server.decisions import EndedUnder
+from runhatch_server.crashes._watch import CrashDetector
+from runhatch_server.decisions import ObservedEnd
 from runhatch_server.peers import (
     Fact,
     Member,
@@ -23,13 +23,13 @@
     TargetsEnded,
 )
 
-ASK_EVERY = timedelta(seconds=1)
+DIGEST_INTERVAL = timedelta(seconds=1)
 """Interval at which a node sends its digest to a peer."""
-MOST_TOLD = 500
+MAX_ENDS_PER_MESSAGE = 500
 """Maximum number of ends in one message, about 50 bytes each; the strongest suspects
 come first."""
 MILLISECOND = timedelta(milliseconds=1)
-SuspectFact = TargetsEnded | RequestsCleared | SuspectsDigest
+SuspectMessage = TargetsEnded | RequestsCleared | SuspectsDigest
 """Messages between nodes about requests that crash targets."""
 
 
@@ -38,28 +38,28 @@
 
     def __init__(
         self,
-        crashes: CrashWatch,
+        crashes: CrashDetector,
         clock: Clock,
         peers: Callable[[], list[str]],
-        tell: Callable[[str, Fact], None],
-        tell_all: Callable[[Fact], None],
+        send: Callable[[str, Fact], None],
+        publish: Callable[[Fact], None],
     ) -> None:
         self._crashes = crashes
         self._clock = clock
         self._peers = peers
-        self._send = tell
-        self._broadcast = tell_all
+        self._send = send
+        self._broadcast = publish
         self._random = random.Random()
 
-    def tell_news(self) -> None:
+    def send_updates(self) -> None:
         """Send new ends and cleared requests to all connected peers."""
-        ends, cleared = self._crashes.take_news()
+        ends, cleared = self._crashes.take_updates()
         if ends:
             self._broadcast(self._ends_message(ends))
         if cleared:
             self._broadcast(RequestsCleared(cleared))
 
-    def ask(self) -> None:
+    def send_digest(self) -> None:
         """Send the digest to a random connected peer, which replies on a mismatch."""
         peers = self._peers()
         if peers:
@@ -67,38 +67,38 @@
             self._send(self._random.choice(peers), digest)
 
     @singledispatchmethod
-    def take_in(self, fact: SuspectFact, sender: Member) -> None:
+    def handle_message(self, fact: SuspectMessage, sender: Member) -> None:
         """Process a message from a peer about ended targets."""
         raise NotImplementedError(type(fact))
 
-    @take_in.register
+    @handle_message.register
     def _record_ends(self, fact: TargetsEnded, sender: Member) -> None:
         now = self._clock.elapsed()
-        self._crashes.told(
-            EndedUnder(end.fingerprint, end.target, now - end.age_ms * MILLISECOND)
+        self._crashes.receive_ends(
+            ObservedEnd(end.fingerprint, end.target, now - end.age_ms * MILLISECOND)
             for end in fact.ends
         )
 
-    @take_in.register
+    @handle_message.register
     def _record_cleared(self, fact: RequestsCleared, sender: Member) -> None:
-        self._crashes.told_cleared(fact.fingerprints)
+        self._crashes.receive_cleared(fact.fingerprints)
 
-    @take_in.register
+    @handle_message.register
     def _answer_digest(self, fact: SuspectsDigest, sender: Member) -> None:
         # Equal digests: the sender has nothing to catch up on.
         if fact.digest == self._crashes.digest:
             return
-        known = self._crashes.known()
+        known = self._crashes.known_ends()
         if known:
             self._send(sender.address, self._ends_message(known))
 
-    def _ends_message(self, ends: list[EndedUnder]) -> TargetsEnded:
+    def _ends_message(self, ends: list[ObservedEnd]) -> TargetsEnded:
         now = self._clock.elapsed()
         return TargetsEnded(
             [
                 TargetEnded(
                     end.fingerprint, end.target, round((now - end.at) / MILLISECOND)
                 )
-                for end in ends[:MOST_TOLD]
+                for end in ends[:MAX_ENDS_PER_MESSAGE]
             ]
         )
--- a/packages/runhatch-server/src/runhatch_server/crashes/_watch.py
+++ b/packages/runhatch-server/src/runhatch_server/crashes/_watch.py
@@ -10,46 +10,46 @@
 from typing import Protocol
 
 from runhatch_coordination import Clock
-from runhatch_server.decisions import EndedUnder, Suspects
+from runhatch_server.decisions import ObservedEnd, Suspects
 from runhatch_server.observability import Metrics, log_change
 from runhatch_server.refusals import Executed, Reason, Refusal
 
-PROBE_VALID = timedelta(milliseconds=500)
+PROBE_TTL = timedelta(milliseconds=500)
 """How long the result of a probe is reused for all requests aborted at the target."""
-SECOND_LOOK = timedelta(milliseconds=50)
+REPROBE_DELAY = timedelta(milliseconds=50)
 """Delay before a target that still accepted connections is probed again. A process
 that ends closes its sockets one by one, which takes longer on a busy VM."""
-LOOK_EVERY = timedelta(seconds=1)
+CHECK_INTERVAL = timedelta(seconds=1)
 """Interval between checks of targets that may have ended. Targets that refuse
 connections are detected at once, the others by their entries in the store."""
-LOOKED_AT_FOR = timedelta(seconds=1.5)
+PROBE_WINDOW = timedelta(seconds=1.5)
 """How long a target is probed after it aborted a request; after that its store entry
 decides. This avoids a connection for each abort of a target that aborts many answers
 but keeps running."""
 
 
-class Standing(Enum):
+class TargetStanding(Enum):
     """Known state of an incarnation of a target."""
 
-    WORKS = "works"
-    LEAVES = "leaves"
-    GONE = "gone"
+    RUNNING = "works"
+    DRAINING = "leaves"
+    REMOVED = "gone"
 
 
-class Targets(Protocol):
-    """State of targets as needed by :class:`CrashWatch`, by incarnation."""
+class TargetMonitor(Protocol):
+    """State of targets as needed by :class:`CrashDetector`, by incarnation."""
 
-    def standing(self, target: str) -> Standing:
+    def standing(self, target: str) -> TargetStanding:
         """Return the state of ``target`` according to the store."""
 
-    def refuses(self, target: str) -> bool:
+    def refuses_connections(self, target: str) -> bool:
         """Return whether the address of ``target`` refuses connections."""
 
-    def ended(self, target: str) -> None:
+    def record_end(self, target: str) -> None:
         """Record that ``target`` has ended; a restart is another incarnation."""
 
 
-class CrashWatch:
+class CrashDetector:
     """Detects ended targets and refuses requests that ended several; thread-safe.
 
     A broken connection alone does not count: a target may abort one answer and complete
@@ -60,101 +60,101 @@
     def __init__(
         self,
         clock: Clock,
-        targets: Targets,
+        targets: TargetMonitor,
         metrics: Metrics,
-        on_news: Callable[[], None],
+        on_update: Callable[[], None],
     ) -> None:
         self._clock = clock
         self._targets = targets
         self._metrics = metrics
-        self._notify_updates = on_news
+        self._notify_updates = on_update
         self._lock = threading.Lock()
         self._suspects = Suspects()
-        self._new_ends: list[EndedUnder] = []
+        self._new_ends: list[ObservedEnd] = []
         self._cleared: list[str] = []
         self._probes: dict[str, _Probe] = {}
-        self.doubts = threading.Event()
+        self.recheck_requested = threading.Event()
         """Set when a target that aborted a request is to be probed again."""
 
-    def judge(self, fingerprint: str) -> Refusal | None:
+    def check_request(self, fingerprint: str) -> Refusal | None:
         """Return a refusal if a request must not be sent, else ``None``.
 
         The refusal states ``executed: no``, which applies to this attempt only.
         """
         now = self._clock.elapsed()
         with self._lock:
-            remaining = self._suspects.held_for(fingerprint, now)
+            remaining = self._suspects.remaining_hold(fingerprint, now)
         if remaining is None:
             return None
         detail = "targets that ran this request have ended, so it is not sent again"
         # No retry time is given, because an early retry is not wanted.
         return Refusal(Reason.ENDS_TARGETS, Executed.NO, detail)
 
-    def cut_off(self, fingerprint: str, target: str) -> None:
+    def record_abort(self, fingerprint: str, target: str) -> None:
         """Record that ``target`` aborted a request, and probe whether it has ended."""
         # A draining target ends as planned, with the requests it still has.
-        if self._targets.standing(target) is not Standing.WORKS:
+        if self._targets.standing(target) is not TargetStanding.RUNNING:
             return
         now = self._clock.elapsed()
         with self._lock:
-            self._suspects.cut_off(fingerprint, target, now)
+            self._suspects.record_abort(fingerprint, target, now)
         if self._refuses_connections(target):
             self._record_ended(target, "connections are refused")
         else:
-            self.doubts.set()
+            self.recheck_requested.set()
 
-    def unfinished(self, fingerprint: str, target: str) -> None:
+    def record_abandoned(self, fingerprint: str, target: str) -> None:
         """Record that the caller disconnected or the deadline passed before the answer.
 
         ``target`` may still run the request and crash because of it.
         """
-        if self._targets.standing(target) is not Standing.WORKS:
+        if self._targets.standing(target) is not TargetStanding.RUNNING:
             return
         now = self._clock.elapsed()
         with self._lock:
-            self._suspects.unfinished(fingerprint, target, now)
+            self._suspects.record_abandoned(fingerprint, target, now)
 
-    def answered(
-        self, fingerprint: str, target: str, sent_at: timedelta, sound: bool = True
+    def record_answer(
+        self, fingerprint: str, target: str, sent_at: timedelta, succeeded: bool = True
     ) -> None:
         """Record a complete answer to a request sent to ``target`` at ``sent_at``.
 
-        ``sound`` is false if the target failed the request.
+        ``succeeded`` is false if the target failed the request.
         """
         with self._lock:
-            self._suspects.lives(target, sent_at)
-            if not sound:
+            self._suspects.record_running(target, sent_at)
+            if not succeeded:
                 return
-            if not self._suspects.answered(fingerprint, self._clock.elapsed()):
+            if not self._suspects.record_answer(fingerprint, self._clock.elapsed()):
                 return
             self._cleared.append(fingerprint)
         log_change("request_cleared", fingerprint=fingerprint, source="own")
         self._notify_updates()
 
-    def look_again(self) -> None:
-        """Wait for ``SECOND_LOOK`` after an abort, then call :meth:`settle`."""
-        self._clock.sleep(SECOND_LOOK)
-        self.settle()
+    def recheck_targets(self) -> None:
+        """Wait ``REPROBE_DELAY`` after an abort, then call :meth:`check_targets`."""
+        self._clock.sleep(REPROBE_DELAY)
+        self.check_targets()
 
-    def settle(self) -> None:
+    def check_targets(self) -> None:
         """Check targets that may have ended, and expire old records."""
         now = self._clock.elapsed()
         with self._lock:
-            unfinished = self._suspects.unfinished_at()
+            unfinished = self._suspects.possibly_ended_targets()
         for target, disconnected_at in unfinished.items():
             standing = self._targets.standing(target)
-            if standing is Standing.GONE:
+            if standing is TargetStanding.REMOVED:
                 self._record_ended(target, "its store entry was removed")
-            elif standing is Standing.LEAVES:
+            elif standing is TargetStanding.DRAINING:
                 with self._lock:
-                    self._suspects.leaves(target)
-            elif disconnected_at is None or now - disconnected_at >= LOOKED_AT_FOR:
+                    self._suspects.record_shutdown(target)
+            elif disconnected_at is None or now - disconnected_at >= PROBE_WINDOW:
                 continue
             elif self._refuses_connections(target):
                 self._record_ended(target, "connections are refused")
         with self._lock:
-            self._suspects.expire(now)
-            self._metrics.suspects.set(len(self._suspects.held(now)))
+            self._suspects.remove_expired(now)
+            self._metrics.suspects.set(len(self._suspects.held_requests(now)))
             for name in [n for n, p in self._probes.items() if p.is_old(now)]:
                 del self._probes[name]
 
@@ -166,28 +166,28 @@
         with self._lock:
             return self._suspects.digest
 
-    def take_news(self) -> tuple[list[EndedUnder], list[str]]:
+    def take_updates(self) -> tuple[list[ObservedEnd], list[str]]:
         """Return and clear the ends and cleared requests not yet sent to peers."""
         with self._lock:
             ends, self._new_ends = self._new_ends, []
             cleared, self._cleared = self._cleared, []
         return ends, cleared
 
-    def known(self) -> list[EndedUnder]:
+    def known_ends(self) -> list[ObservedEnd]:
         """Return all recorded ends, those of the strongest suspects first."""
         with self._lock:
-            return self._suspects.known()
+            return self._suspects.known_ends()
 
-    def told(self, ends: Iterable[EndedUnder]) -> None:
+    def receive_ends(self, ends: Iterable[ObservedEnd]) -> None:
         """Record ends received from a peer, and queue new ones for other peers."""
         self._record_peer_ends(ends, "peer")
 
-    def told_cleared(self, fingerprints: Iterable[str]) -> None:
+    def receive_cleared(self, fingerprints: Iterable[str]) -> None:
         """Record that requests were answered on other nodes."""
         now = self._clock.elapsed()
         with self._lock:
             cleared = [
-                name for name in fingerprints if self._suspects.answered(name, now)
+                name for name in fingerprints if self._suspects.record_answer(name, now)
             ]
             self._cleared += cleared
         for name in cleared:
@@ -200,11 +200,11 @@
     def _record_ended(self, target: str, why: str) -> None:
         now = self._clock.elapsed()
         with self._lock:
-            ends = self._suspects.ended(target, now)
+            ends = self._suspects.record_end(target, now)
             self._new_ends += ends
             probe = self._probes.setdefault(target, _Probe())
             was_ended, probe.ended = probe.ended, True
-        self._targets.ended(target)
+        self._targets.record_end(target)
         if not ends:
             return
         if not was_ended:
@@ -218,20 +218,22 @@
         self._log_held(ends, "own")
         self._notify_updates()
 
-    def _record_peer_ends(self, ends: Iterable[EndedUnder], source: str) -> None:
+    def _record_peer_ends(self, ends: Iterable[ObservedEnd], source: str) -> None:
         with self._lock:
-            new_ends = self._suspects.told(ends, self._clock.elapsed())
+            new_ends = self._suspects.record_ends(ends, self._clock.elapsed())
             self._new_ends += new_ends
         if new_ends:
             self._log_held(new_ends, source)
             self._notify_updates()
 
-    def _log_held(self, ends: Iterable[EndedUnder], source: str) -> None:
+    def _log_held(self, ends: Iterable[ObservedEnd], source: str) -> None:
         """Log the requests that are now held back, or for longer than before."""
         for fingerprint in sorted({end.fingerprint for end in ends}):
             with self._lock:
-                remaining = self._suspects.held_for(fingerprint, self._clock.elapsed())
-                targets = self._suspects.ended_under(fingerprint)
+                remaining = self._suspects.remaining_hold(
+                    fingerprint, self._clock.elapsed()
+                )
+                targets = self._suspects.ended_targets(fingerprint)
             if remaining is not None:
                 log_change(
                     "request_held",
@@ -249,7 +251,7 @@
             now = self._clock.elapsed()
             if probe.is_due(now):
                 probe.is_second = not probe.is_old(now)
-                probe.refused = self._targets.refuses(target)
+                probe.refused = self._targets.refuses_connections(target)
                 probe.at = self._clock.elapsed()
             return probe.refused
 
@@ -262,14 +264,14 @@
         self.at = timedelta(days=-1)
         self.refused = False
         self.is_second = False
-        """Whether the latest probe was the second one within ``PROBE_VALID``."""
+        """Whether the latest probe was the second one within ``PROBE_TTL``."""
         self.ended = False
         """Whether the target was already counted as ended."""
 
     def is_old(self, now: timedelta) -> bool:
-        return now - self.at >= PROBE_VALID
+        return now - self.at >= PROBE_TTL
 
     def is_due(self, now: timedelta) -> bool:
-        """Return whether to probe again, at most twice within ``PROBE_VALID``."""
-        may_repeat = not self.is_second and now - self.at >= SECOND_LOOK
+        """Return whether to probe again, at most twice within ``PROBE_TTL``."""
+        may_repeat = not self.is_second and now - self.at >= REPROBE_DELAY
         return self.is_old(now) or may_repeat
--- a/packages/runhatch-server/src/runhatch_server/decisions/__init__.py
+++ b/packages/runhatch-server/src/runhatch_server/decisions/__init__.py
@@ -5,37 +5,37 @@
 """
 
 from runhatch_server.decisions._admission import (
-    BEGIN_SLACK,
-    BUSY_RETRY,
+    BUSY_RETRY_DELAY,
+    MIN_START_SLACK,
+    AdmissionDecision,
     Admitted,
-    Judgement,
     Postponed,
     Rejected,
-    judge,
+    decide_admission,
     request_tier,
 )
 from runhatch_server.decisions._candidates import (
-    BUSY_HOLDS,
-    NoneWilling,
-    Tried,
+    BUSY_AVOIDANCE_DURATION,
+    NoCandidates,
+    TriedTargets,
     choose_candidates,
 )
-from runhatch_server.decisions._fingerprint import fingerprint_of
+from runhatch_server.decisions._fingerprint import compute_fingerprint
 from runhatch_server.decisions._load import (
     LATE_TIER,
     LoadShare,
-    Outstanding,
+    OutstandingRequest,
     TargetLoad,
 )
 from runhatch_server.decisions._load_book import LoadBook
 from runhatch_server.decisions._prefixes import PrefixIndex, prefix_blocks
 from runhatch_server.decisions._rate_limits import (
-    TRIAL_RATE,
+    MIN_RATE,
     LimitedTarget,
-    LimitSeen,
+    ObservedLimit,
     PermitBucket,
-    most_permits,
-    share_of_rate,
+    bucket_capacity,
+    issued_rate_share,
 )
 from runhatch_server.decisions._rates import WorkRates
 from runhatch_server.decisions._request import (
@@ -44,32 +44,32 @@
     ModelWork,
     PromptPart,
 )
-from runhatch_server.decisions._scoring import HeldPlace, Scored, Scorer
-from runhatch_server.decisions._spread import Spread, spread
-from runhatch_server.decisions._suspects import EndedUnder, Suspects
+from runhatch_server.decisions._scoring import HeldRequest, ScoredTarget, Scorer
+from runhatch_server.decisions._spread import WorkDistribution, distribute_work
+from runhatch_server.decisions._suspects import ObservedEnd, Suspects
 
 __all__ = [
     "Admitted",
-    "BEGIN_SLACK",
-    "BUSY_HOLDS",
-    "BUSY_RETRY",
+    "MIN_START_SLACK",
+    "BUSY_AVOIDANCE_DURATION",
+    "BUSY_RETRY_DELAY",
     "choose_candidates",
-    "EndedUnder",
-    "fingerprint_of",
+    "ObservedEnd",
+    "compute_fingerprint",
     "GatewayRequest",
     "Headers",
-    "HeldPlace",
-    "judge",
-    "Judgement",
+    "HeldRequest",
+    "decide_admission",
+    "AdmissionDecision",
     "LATE_TIER",
     "LimitedTarget",
-    "LimitSeen",
+    "ObservedLimit",
     "LoadBook",
     "LoadShare",
     "ModelWork",
-    "most_permits",
-    "NoneWilling",
-    "Outstanding",
+    "bucket_capacity",
+    "NoCandidates",
+    "OutstandingRequest",
     "PermitBucket",
     "Postponed",
     "prefix_blocks",
@@ -77,14 +77,14 @@
     "PromptPart",
     "Rejected",
     "request_tier",
-    "Scored",
+    "ScoredTarget",
     "Scorer",
-    "share_of_rate",
-    "Spread",
-    "spread",
+    "issued_rate_share",
+    "WorkDistribution",
+    "distribute_work",
     "Suspects",
     "TargetLoad",
-    "TRIAL_RATE",
-    "Tried",
+    "MIN_RATE",
+    "TriedTargets",
     "WorkRates",
 ]
--- a/packages/runhatch-server/src/runhatch_server/decisions/_candidates.py
+++ b/packages/runhatch-server/src/runhatch_server/decisions/_candidates.py
@@ -13,70 +13,76 @@
 from runhatch_server.fleet import Target
 from runhatch_server.refusals import Reason
 
-BUSY_HOLDS = timedelta(milliseconds=200)
+BUSY_AVOIDANCE_DURATION = timedelta(milliseconds=200)
 """How long a target that refused for load is avoided while others are available."""
 
 
 @dataclass(frozen=True, slots=True)
-class Tried:
+class TriedTargets:
     """Incarnations of targets to which one request was already sent.
 
-    Targets that ``failed`` the request are retried if there is no other. Targets that
-    refused it (``turned_away``) are not, because the cause of the refusal still holds.
+    ``failed_targets`` are retried if there is no other target.
+    ``refused_targets`` are not, because the cause of the
+    refusal still holds.
     """
 
-    failed: frozenset[str] = frozenset()
-    turned_away: frozenset[str] = frozenset()
+    failed_targets: frozenset[str] = frozenset()
+    refused_targets: frozenset[str] = frozenset()
 
-    def failed_at(self, target: str) -> "Tried":
+    def with_failure(self, target: str) -> "TriedTargets":
         """Return a copy that also lists ``target`` as having failed the request."""
-        return replace(self, failed=self.failed | {target})
+        return replace(self, failed_targets=self.failed_targets | {target})
 
-    def turned_away_at(self, target: str) -> "Tried":
+    def with_refusal(self, target: str) -> "TriedTargets":
         """Return a copy that also lists ``target`` as having refused the request."""
-        return replace(self, turned_away=self.turned_away | {target})
+        return replace(self, refused_targets=self.refused_targets | {target})
 
 
 @dataclass(frozen=True, slots=True)
-class NoneWilling:
-    """No target accepts the request until ``after`` has passed, for ``reason``.
+class NoCandidates:
+    """No target accepts the request until ``retry_after`` has passed, for ``reason``.
 
     ``target`` is the incarnation that accepts requests earliest, empty if not known.
     """
 
-    after: timedelta
+    retry_after: timedelta
     reason: Reason
     target: str = ""
 
 
 def choose_candidates(
     holders: Iterable[Target],
-    tried: Tried,
+    tried: TriedTargets,
     load_of: Callable[[str], TargetLoad],
     now: timedelta,
-    opens_at: Callable[[str], timedelta],
-) -> list[Target] | NoneWilling:
+    rate_limit_opens_at: Callable[[str], timedelta],
+) -> list[Target] | NoCandidates:
     """Return those of ``holders`` that a request may be sent to.
 
     Targets that failed the request or refused for load are left out if there are
-    others. ``opens_at`` returns when a target's rate limit next admits the request.
+    others. ``rate_limit_opens_at`` returns when a target's rate limit next admits the
+    request.
     """
     loads = [(target, load_of(target.incarnation)) for target in holders]
     available_at = {
-        target.incarnation: max(load.rests_until, opens_at(target.incarnation))
+        target.incarnation: max(
+            load.backoff_until, rate_limit_opens_at(target.incarnation)
+        )
         for target, load in loads
     }
     available = [
         target for target, _ in loads if now >= available_at[target.incarnation]
     ]
-    willing = [t for t in available if t.incarnation not in tried.turned_away]
+    willing = [t for t in available if t.incarnation not in tried.refused_targets]
     if not willing and available:
-        return NoneWilling(BUSY_HOLDS, Reason.TARGETS_BUSY)
+        return NoCandidates(BUSY_AVOIDANCE_DURATION, Reason.TARGETS_BUSY)
     if not willing:
         earliest = min(available_at, key=lambda target: available_at[target])
-        is_backing_off = available_at[earliest] == load_of(earliest).rests_until
+        is_backing_off = available_at[earliest] == load_of(earliest).backoff_until
         reason = Reason.TARGETS_REST if is_backing_off else Reason.TARGETS_LIMITED
-        return NoneWilling(available_at[earliest] - now, reason, earliest)
-    untried = [t for t in willing if t.incarnation not in tried.failed] or willing
-    avoided = {target.incarnation for target, load in loads if now < load.shut_until}
+        return NoCandidates(available_at[earliest] - now, reason, earliest)
+    untried = [
+        t for t in willing if t.incarnation not in tried.failed_targets
+    ] or willing
+    avoided = {target.incarnation for target, load in loads if now < load.avoided_until}
     return [t for t in untried if t.incarnation not in avoided] or untried
--- a/packages/runhatch-server/src/runhatch_server/decisions/_fingerprint.py
+++ b/packages/runhatch-server/src/runhatch_server/decisions/_fingerprint.py
@@ -6,7 +6,7 @@
 """Among a million requests, the chance of a collision is about 1 in 10^17."""
 
 
-def fingerprint_of(method: str, host: str, uri: str, body: bytes) -> str:
+def compute_fingerprint(method: str, host: str, uri: str, body: bytes) -> str:
     """Return the fingerprint of a request as hexadecimal digits.
 
     A caller's retry has another attempt id and remaining time and may reach another
--- a/packages/runhatch-server/src/runhatch_server/decisions/_load.py
+++ b/packages/runhatch-server/src/runhatch_server/decisions/_load.py
@@ -10,20 +10,20 @@
 from dataclasses import dataclass, field
 from datetime import timedelta
 
-TIERS = 4
+TIER_COUNT = 4
 """Priority tiers: three for requests that are on time, one for late requests."""
-LATE_TIER = TIERS - 1
-LEAST_REMAINING = 0.15
+LATE_TIER = TIER_COUNT - 1
+MIN_REMAINING_SHARE = 0.15
 """Minimum share of a request's prompt reading counted until its first token arrives."""
-OLDER_SHARE = 0.5
+OLDER_HELD_SHARE = 0.5
 """Share of the requests held on other nodes that are assumed to be older than one held
 on this node."""
-PEER_LOAD_VALID = timedelta(seconds=2)
+PEER_LOAD_TTL = timedelta(seconds=2)
 """Age from which a peer's load report is ignored."""
 SLOWNESS_GAIN = 0.15
 SLOWNESS_HALF_LIFE = timedelta(seconds=3)
 """Half-life of the recorded slowness of a target."""
-LEAST_SLOWNESS, MOST_SLOWNESS = 0.4, 4.0
+MIN_SLOWNESS, MAX_SLOWNESS = 0.4, 4.0
 """Bounds of one observation, which unreported requests of other nodes may distort."""
 FAULT_GAIN = 0.25
 FAULT_HALF_LIFE = timedelta(seconds=3)
@@ -32,24 +32,24 @@
 SILENT_FACTOR = 4.0
 """A target is silent if a request has waited for both ``SILENT_AFTER`` and
 ``SILENT_FACTOR`` times its predicted time, and the target sent nothing since."""
-BUSY_TIME = timedelta(seconds=2)
+BUSY_TIME_CONSTANT = timedelta(seconds=2)
 """Time constant for averaging the share of a target's time that prompts take. Long
 enough to smooth bursts of about three requests, short compared with the duration of
 an answer."""
-STEP_MS = 12.0
+INITIAL_STEP_MS = 12.0
 """Initial estimate of the time between two tokens of a stream at an engine that reads
 no prompts. Steps take 5 to 9 ms, longer when more runs share them."""
-LEAST_STEP_MS, MOST_STEP_MS = 1.0, 100.0
+MIN_STEP_MS, MAX_STEP_MS = 1.0, 100.0
 """Bounds of the estimated step time, against wrong measurements."""
 SHORTER_GAIN, LONGER_GAIN = 0.5, 0.05
 """Weights of the newest stream in a target's step time. Prompt reading only lengthens
 the steps, so a shorter measurement is more reliable and gets the larger weight."""
-STREAM_TOKENS_AT_ONCE = 0.95
+MAX_CACHE_FILL_SHARE = 0.95
 """Share of a target's cache to fill; runs are preempted when it is exceeded."""
 
 
 @dataclass(slots=True)
-class Outstanding:
+class OutstandingRequest:
     """A request sent to or held for a target, with its predicted cost and progress.
 
     ``work_ms`` is the time to read its prompt, ``tokens`` its cache use and
@@ -61,9 +61,9 @@
     sent_at: timedelta
     predicted_ms: float
     tier: int = 0
-    unread: int = 0
+    uncached_tokens: int = 0
     """Prompt tokens that are not cached at the target."""
-    ahead_ms: float = 0.0
+    queued_ms: float = 0.0
     """Prompt reading that was queued before it when it was sent."""
     started: bool = False
     held: bool = False
@@ -75,7 +75,7 @@
             return 0.0
         age = _milliseconds(now - self.sent_at)
         done_share = age / max(self.predicted_ms, 1.0)
-        return self.work_ms * max(LEAST_REMAINING, 1.0 - done_share)
+        return self.work_ms * max(MIN_REMAINING_SHARE, 1.0 - done_share)
 
 
 @dataclass(frozen=True, slots=True)
@@ -89,7 +89,7 @@
     sent prompts take; it decays continuously, so it is not compared for equality.
     """
 
-    waiting_ms: tuple[float, ...] = (0.0,) * TIERS
+    waiting_ms: tuple[float, ...] = (0.0,) * TIER_COUNT
     waiting: int = 0
     running: int = 0
     tokens: int = 0
@@ -119,16 +119,16 @@
         )
 
     @property
-    def is_of_engine(self) -> bool:
+    def is_engine_share(self) -> bool:
         """Whether the target reads prompts or did so recently."""
         return bool(self.tokens or self.held_ms or self.busy)
 
-    def aged(self, age: timedelta, coming: float = 0.0) -> "LoadShare":
+    def aged(self, age: timedelta, arriving_share: float = 0.0) -> "LoadShare":
         """Return the share after ``age``, less the prompts read in that time.
 
-        ``coming`` is the share of that time taken by newly sent prompts.
+        ``arriving_share`` is the share of that time taken by newly sent prompts.
         """
-        read_ms = _milliseconds(age) * max(0.0, 1.0 - coming)
+        read_ms = _milliseconds(age) * max(0.0, 1.0 - arriving_share)
         return LoadShare(
             tuple(max(0.0, ms - read_ms) for ms in self.waiting_ms),
             self.waiting,
@@ -143,41 +143,41 @@
 class TargetLoad:
     """One target's load and health; guarded by the balancer's lock."""
 
-    own: dict[int, Outstanding] = field(default_factory=dict)
-    peers: dict[str, tuple[LoadShare, timedelta]] = field(default_factory=dict)
+    own_requests: dict[int, OutstandingRequest] = field(default_factory=dict)
+    peer_shares: dict[str, tuple[LoadShare, timedelta]] = field(default_factory=dict)
     """Reports of single nodes, each with its time, by node name."""
-    domains: dict[str, tuple[LoadShare, timedelta]] = field(default_factory=dict)
+    domain_shares: dict[str, tuple[LoadShare, timedelta]] = field(default_factory=dict)
     """Sums over the nodes of other failure domains, each with its time, by domain. The
     sum over all other nodes has an empty key."""
     slowness: float = 1.0
     slowness_at: timedelta = timedelta()
     faults: float = 0.0
     faults_at: timedelta = timedelta()
-    heard_at: timedelta = timedelta()
-    shut_until: timedelta = timedelta()
-    shut_times: int = 0
-    rests_until: timedelta = timedelta()
+    last_received_at: timedelta = timedelta()
+    avoided_until: timedelta = timedelta()
+    avoidance_count: int = 0
+    backoff_until: timedelta = timedelta()
     """End of the backoff that the target requested from this node."""
-    step_ms: float = STEP_MS
+    step_ms: float = INITIAL_STEP_MS
     """Measured time between two tokens while no prompts are read."""
     sent_busy: float = 0.0
     sent_busy_at: timedelta = timedelta()
 
-    def sent(self, work_ms: float, now: timedelta) -> None:
+    def record_sent(self, work_ms: float, now: timedelta) -> None:
         """Record that a prompt was sent that takes ``work_ms`` to read."""
-        added = work_ms / _milliseconds(BUSY_TIME)
+        added = work_ms / _milliseconds(BUSY_TIME_CONSTANT)
         self.sent_busy = self._own_busy(now) + added
         self.sent_busy_at = now
 
     def _own_busy(self, now: timedelta) -> float:
         return self.sent_busy * _decay(now - self.sent_busy_at)
 
-    def share(self, now: timedelta) -> LoadShare:
+    def own_share(self, now: timedelta) -> LoadShare:
         """Return what this node has outstanding at the target."""
-        held = [o for o in self.own.values() if o.held]
-        sent = [o for o in self.own.values() if not o.held]
+        held = [o for o in self.own_requests.values() if o.held]
+        sent = [o for o in self.own_requests.values() if not o.held]
         waiting = [o for o in sent if not o.started]
-        waiting_ms = [0.0] * TIERS
+        waiting_ms = [0.0] * TIER_COUNT
         for outstanding in waiting:
             waiting_ms[outstanding.tier] += outstanding.remaining_ms(now)
         return LoadShare(
@@ -192,11 +192,19 @@
     def held_ahead_ms(self, since: timedelta, now: timedelta) -> float:
         """Return the prompt reading of requests held before ``since``, in milliseconds.
 
-        For other nodes it is estimated as the share ``OLDER_SHARE`` of what they hold.
+        For other nodes it is estimated as the share ``OLDER_HELD_SHARE`` of what they
+        hold.
         """
-        own = sum(o.work_ms for o in self.own.values() if o.held and o.sent_at < since)
-        remote = [*_valid_reports(self.peers, now), *_valid_reports(self.domains, now)]
-        return own + sum(share.held_ms for share, _ in remote) * OLDER_SHARE
+        own = sum(
+            o.work_ms
+            for o in self.own_requests.values()
+            if o.held and o.sent_at < since
+        )
+        remote = [
+            *_valid_reports(self.peer_shares, now),
+            *_valid_reports(self.domain_shares, now),
+        ]
+        return own + sum(share.held_ms for share, _ in remote) * OLDER_HELD_SHARE
 
     def total(self, now: timedelta) -> LoadShare:
         """Return what all nodes are known to have outstanding at the target.
@@ -204,34 +212,36 @@
         Sums of domains are older than reports of single nodes, so prompts that arrived
         since are estimated from their busy share.
         """
-        total = self.gathered(now)
-        for share, age in _valid_reports(self.domains, now):
+        total = self.direct_total(now)
+        for share, age in _valid_reports(self.domain_shares, now):
             total = total.plus(share.aged(age, share.busy))
         return total
 
-    def gathered(self, now: timedelta) -> LoadShare:
+    def direct_total(self, now: timedelta) -> LoadShare:
         """Return what this node and its directly reporting peers have outstanding."""
-        total = self.share(now)
-        for share, age in _valid_reports(self.peers, now):
+        total = self.own_share(now)
+        for share, age in _valid_reports(self.peer_shares, now):
             total = total.plus(share.aged(age))
         return total
 
-    def factor(self, now: timedelta) -> float:
+    def slowness_factor(self, now: timedelta) -> float:
         """Return the recent ratio of actual to predicted time to the first byte."""
         age = (now - self.slowness_at) / SLOWNESS_HALF_LIFE
         return float(1.0 + (self.slowness - 1.0) * 0.5**age)
 
-    def began(self, predicted_ms: float, took: timedelta, now: timedelta) -> None:
+    def record_first_byte(
+        self, predicted_ms: float, took: timedelta, now: timedelta
+    ) -> None:
         """Record that the first byte arrived after ``took``, to correct predictions."""
         observed = _milliseconds(took) / max(predicted_ms, 1.0)
-        observed = min(max(observed, LEAST_SLOWNESS), MOST_SLOWNESS)
-        previous = self.factor(now)
+        observed = min(max(observed, MIN_SLOWNESS), MAX_SLOWNESS)
+        previous = self.slowness_factor(now)
         self.slowness = previous + (observed - previous) * SLOWNESS_GAIN
         self.slowness_at = now
 
-    def stepped(self, step_ms: float) -> None:
+    def record_step_time(self, step_ms: float) -> None:
         """Record the mean time between two tokens of a finished stream."""
-        observed = min(max(step_ms, LEAST_STEP_MS), MOST_STEP_MS)
+        observed = min(max(step_ms, MIN_STEP_MS), MAX_STEP_MS)
         gain = SHORTER_GAIN if observed < self.step_ms else LONGER_GAIN
         self.step_ms += (observed - self.step_ms) * gain
 
@@ -240,7 +250,7 @@
         age = (now - self.faults_at) / FAULT_HALF_LIFE
         return float(self.faults * 0.5**age)
 
-    def noted(self, faulty: bool, now: timedelta) -> None:
+    def record_outcome(self, faulty: bool, now: timedelta) -> None:
         """Record whether the target failed a request."""
         rate = self.fault_rate(now)
         self.faults = rate + ((1.0 if faulty else 0.0) - rate) * FAULT_GAIN
@@ -248,10 +258,10 @@
 
     def is_silent(self, now: timedelta) -> bool:
         """Return whether a request has waited far too long with no response at all."""
-        for outstanding in self.own.values():
+        for outstanding in self.own_requests.values():
             if outstanding.started or outstanding.held:
                 continue
-            if self.heard_at > outstanding.sent_at:
+            if self.last_received_at > outstanding.sent_at:
                 continue
             silence_limit = max(
                 SILENT_AFTER,
@@ -267,13 +277,13 @@
 ) -> Iterator[tuple[LoadShare, timedelta]]:
     """Yield the reports that are still valid, each with its age."""
     for share, at in reports.values():
-        if now - at < PEER_LOAD_VALID:
+        if now - at < PEER_LOAD_TTL:
             yield share, now - at
 
 
 def _decay(age: timedelta) -> float:
-    """Return the decay factor of an average over ``BUSY_TIME`` after ``age``."""
-    return math.exp(-(age / BUSY_TIME))
+    """Return the decay over ``age`` of an average over ``BUSY_TIME_CONSTANT``."""
+    return math.exp(-(age / BUSY_TIME_CONSTANT))
 
 
 def _milliseconds(duration: timedelta) -> float:
--- a/packages/runhatch-server/src/runhatch_server/decisions/_load_book.py
+++ b/packages/runhatch-server/src/runhatch_server/decisions/_load_book.py
@@ -5,14 +5,14 @@
 
 from runhatch_server.decisions._load import (
     LoadShare,
-    Outstanding,
+    OutstandingRequest,
     TargetLoad,
 )
 from runhatch_server.decisions._prefixes import PrefixIndex
 from runhatch_server.decisions._rates import WorkRates
 from runhatch_server.decisions._request import GatewayRequest, ModelWork
 
-ALL_OTHERS = ""
+ALL_OTHER_NODES = ""
 """Key used in place of a failure domain for the sum over all other nodes."""
 
 
@@ -32,78 +32,94 @@
             self._loads[target] = load
         return load
 
-    def began(
-        self, target: str, work: ModelWork, outstanding: Outstanding, took: timedelta
+    def record_first_byte(
+        self,
+        target: str,
+        work: ModelWork,
+        outstanding: OutstandingRequest,
+        took: timedelta,
     ) -> None:
         """Update predictions from an answer whose first byte came after ``took``."""
         load = self.load(target)
-        load.began(outstanding.predicted_ms, took, outstanding.sent_at + took)
-        self.rates.first_token(work.model, outstanding, took)
-        self._prefixes.stored(target, _prefix_blocks(work))
+        load.record_first_byte(
+            outstanding.predicted_ms, took, outstanding.sent_at + took
+        )
+        self.rates.record_first_token(work.model, outstanding, took)
+        self._prefixes.record_blocks(target, _prefix_blocks(work))
 
-    def full_work_ms(self, request: GatewayRequest) -> float:
+    def full_prompt_ms(self, request: GatewayRequest) -> float:
         """Return the time in milliseconds to read the whole prompt of ``request``."""
         work = request.work
         if work is None:
             return 0.0
         return self.rates.prompt_ms(work.model, work.prompt_tokens)
 
-    def uncached(self, target: str, work: ModelWork) -> int:
+    def count_uncached_tokens(self, target: str, work: ModelWork) -> int:
         """Return how many prompt tokens are not cached at ``target``, at least one."""
-        matched = self._prefixes.matched(target, _prefix_blocks(work))
+        matched = self._prefixes.count_matching(target, _prefix_blocks(work))
         cached = sum(part.tokens for part in work.prompt[:matched])
         return max(1, work.prompt_tokens - cached)
 
-    def shares(self, now: timedelta) -> dict[str, LoadShare]:
+    def own_shares(self, now: timedelta) -> dict[str, LoadShare]:
         """Return what this node has outstanding at each target."""
         return {
-            target: load.share(now) for target, load in self._loads.items() if load.own
+            target: load.own_share(now)
+            for target, load in self._loads.items()
+            if load.own_requests
         }
 
-    def peer_shares(
-        self, node: str, shares: Mapping[str, LoadShare], whole: bool, now: timedelta
+    def record_peer_shares(
+        self,
+        node: str,
+        shares: Mapping[str, LoadShare],
+        is_complete: bool,
+        now: timedelta,
     ) -> None:
         """Record what ``node`` has outstanding at each target.
 
-        If ``whole``, ``shares`` replaces all that was recorded of ``node``.
+        If ``is_complete``, ``shares`` replaces all that was recorded of ``node``.
         """
-        for load in self._loads.values() if whole else ():
-            load.peers.pop(node, None)
+        for load in self._loads.values() if is_complete else ():
+            load.peer_shares.pop(node, None)
         for target, share in shares.items():
-            self.load(target).peers[node] = (share, now)
-
-    def domain_shares(
-        self, domain: str, shares: Mapping[str, LoadShare], whole: bool, now: timedelta
+            self.load(target).peer_shares[node] = (share, now)
+
+    def record_domain_shares(
+        self,
+        domain: str,
+        shares: Mapping[str, LoadShare],
+        is_complete: bool,
+        now: timedelta,
     ) -> None:
         """Record what the nodes of a failure domain have outstanding together.
 
-        If ``whole``, ``shares`` replaces all that was recorded of the domain, and the
-        sums over all other nodes.
+        If ``is_complete``, ``shares`` replaces all that was recorded of the domain, and
+        the sums over all other nodes.
         """
-        for load in self._loads.values() if whole else ():
-            load.domains.pop(domain, None)
-            load.domains.pop(ALL_OTHERS, None)
+        for load in self._loads.values() if is_complete else ():
+            load.domain_shares.pop(domain, None)
+            load.domain_shares.pop(ALL_OTHER_NODES, None)
         for target, share in shares.items():
-            self.load(target).domains[domain] = (share, now)
+            self.load(target).domain_shares[domain] = (share, now)
 
-    def all_shares(
-        self, shares: Mapping[str, LoadShare], whole: bool, now: timedelta
+    def record_total_shares(
+        self, shares: Mapping[str, LoadShare], is_complete: bool, now: timedelta
     ) -> None:
         """Record the sum over all other nodes, replacing reports of single ones.
 
-        If ``whole``, targets that are not in ``shares`` are cleared too.
+        If ``is_complete``, targets that are not in ``shares`` are cleared too.
         """
-        for target in [*self._loads] if whole else [*shares]:
+        for target in [*self._loads] if is_complete else [*shares]:
             load = self.load(target)
-            load.peers.clear()
-            load.domains.clear()
+            load.peer_shares.clear()
+            load.domain_shares.clear()
         for target, share in shares.items():
-            self.load(target).domains[ALL_OTHERS] = (share, now)
+            self.load(target).domain_shares[ALL_OTHER_NODES] = (share, now)
 
-    def gathered(self, now: timedelta) -> dict[str, LoadShare]:
+    def direct_totals(self, now: timedelta) -> dict[str, LoadShare]:
         """Return, by engine, what this node and its directly reporting peers have."""
         return _engine_shares(
-            (target, load.gathered(now)) for target, load in self._loads.items()
+            (target, load.direct_total(now)) for target, load in self._loads.items()
         )
 
     def totals(self, now: timedelta) -> dict[str, LoadShare]:
@@ -112,16 +128,20 @@
             (target, load.total(now)) for target, load in self._loads.items()
         )
 
-    def forget(self, is_known: Callable[[str], bool], now: timedelta) -> None:
+    def remove_ended(self, is_known: Callable[[str], bool], now: timedelta) -> None:
         """Remove the state of targets that no longer exist.
 
         A target that is backing off is kept, because its entry may be missing only
         while the store is unavailable.
         """
         for target, load in list(self._loads.items()):
-            if not is_known(target) and not load.own and now >= load.rests_until:
+            if (
+                not is_known(target)
+                and not load.own_requests
+                and now >= load.backoff_until
+            ):
                 del self._loads[target]
-                self._prefixes.forget(target)
+                self._prefixes.remove_target(target)
 
 
 def _engine_shares(shares: Iterable[tuple[str, LoadShare]]) -> dict[str, LoadShare]:
@@ -130,7 +150,7 @@
     Plain services answer in 20 to 70 ms, faster than sums are distributed. Outdated
     sums would send all nodes to the same target.
     """
-    return {target: share for target, share in shares if share.is_of_engine}
+    return {target: share for target, share in shares if share.is_engine_share}
 
 
 def _prefix_blocks(work: ModelWork) -> tuple[str, ...]:
--- a/packages/runhatch-server/src/runhatch_server/decisions/_prefixes.py
+++ b/packages/runhatch-server/src/runhatch_server/decisions/_prefixes.py
@@ -10,7 +10,7 @@
 from runhatch_server.targets import block_names
 
 MAX_BLOCKS = 16
-MAX_KNOWN = 20_000
+MAX_INDEXED_BLOCKS = 20_000
 
 
 def prefix_blocks(model: str, text: str) -> tuple[str, ...]:
@@ -21,8 +21,8 @@
 class PrefixIndex:
     """Bounded LRU index of blocks by target; guarded by the dispatcher's lock."""
 
-    def __init__(self, known: int = MAX_KNOWN) -> None:
-        self._max_blocks = known
+    def __init__(self, max_blocks: int = MAX_INDEXED_BLOCKS) -> None:
+        self._max_blocks = max_blocks
         self._blocks: OrderedDict[tuple[str, str], None] = OrderedDict()
         self._target_counts: Counter[str] = Counter()
         self._block_counts: Counter[str] = Counter()
@@ -31,7 +31,7 @@
         """Return the sorted names of the targets that have any block."""
         return sorted(self._block_counts)
 
-    def stored(self, target: str, blocks: Iterable[str]) -> None:
+    def record_blocks(self, target: str, blocks: Iterable[str]) -> None:
         """Record that ``target`` has read ``blocks``."""
         for block in blocks:
             if (target, block) not in self._blocks:
@@ -42,12 +42,12 @@
         while len(self._blocks) > self._max_blocks:
             self._remove(*next(iter(self._blocks)))
 
-    def dropped(self, target: str, block: str) -> None:
+    def remove_block(self, target: str, block: str) -> None:
         """Record that ``target`` no longer has ``block``."""
         if (target, block) in self._blocks:
             self._remove(target, block)
 
-    def forget(self, target: str) -> None:
+    def remove_target(self, target: str) -> None:
         """Remove all blocks of ``target``."""
         for pair in [pair for pair in self._blocks if pair[0] == target]:
             self._remove(*pair)
@@ -56,7 +56,7 @@
         """Return whether any target is expected to have ``block``."""
         return block in self._target_counts
 
-    def matched(self, target: str, blocks: tuple[str, ...]) -> int:
+    def count_matching(self, target: str, blocks: tuple[str, ...]) -> int:
         """Return how many leading ``blocks`` the target is expected to have."""
         for count, block in enumerate(blocks):
             if (target, block) not in self._blocks:
--- a/packages/runhatch-server/src/runhatch_server/decisions/_rate_limits.py
+++ b/packages/runhatch-server/src/runhatch_server/decisions/_rate_limits.py
@@ -9,29 +9,29 @@
 from dataclasses import dataclass, field
 from datetime import timedelta
 
-from runhatch_server.decisions._load import TIERS
+from runhatch_server.decisions._load import TIER_COUNT
 
-TRIAL_RATE = 0.2
+MIN_RATE = 0.2
 """Minimum requests per second sent to a target, even if its limit is lower. Only its
 answers show when the limit ends."""
-BURST = 3.0
+BURST_PERMITS = 3.0
 BURST_SECONDS = 0.25
-"""Capacity of a bucket: ``BURST`` permits plus those of ``BURST_SECONDS`` at the rate.
-Without it, permits would be lost whenever a node requests one late."""
-RESERVES = (0.0, 0.5, 0.5, 1.0)
+"""Capacity of a bucket: ``BURST_PERMITS`` permits plus those of ``BURST_SECONDS`` at
+the rate. Without it, permits would be lost whenever a node requests one late."""
+TIER_RESERVES = (0.0, 0.5, 0.5, 1.0)
 """Permits that each tier leaves for more urgent tiers, most urgent tier first."""
-PERMIT_VALID = timedelta(milliseconds=250)
-VALID_PERMITS = 1.0
-"""Validity of a permit: ``PERMIT_VALID`` plus the time in which the rate yields
-``VALID_PERMITS``. Permits used late are sent in addition to newer ones, which limits
-how long they may be valid."""
-LONGEST_TURN = timedelta(seconds=2)
+MIN_PERMIT_VALIDITY = timedelta(milliseconds=250)
+PERMIT_VALIDITY_PERMITS = 1.0
+"""Validity of a permit: ``MIN_PERMIT_VALIDITY`` plus the time in which the rate yields
+``PERMIT_VALIDITY_PERMITS``. Permits used late are sent in addition to newer ones, which
+limits how long they may be valid."""
+MAX_RETRY_DELAY = timedelta(seconds=2)
 """Maximum delay after which a node that was denied a permit requests one again."""
 SECOND = timedelta(seconds=1)
 
 
 @dataclass(frozen=True, slots=True)
-class LimitSeen:
+class ObservedLimit:
     """Rate limit in an answer of a target, in requests per second.
 
     ``rate`` is ``None`` if the answer announced no limit. ``at`` is the arrival time of
@@ -43,16 +43,16 @@
     rate: float | None
     at: timedelta
 
-    def supersedes(self, known: "LimitSeen | None") -> bool:
+    def supersedes(self, known: "ObservedLimit | None") -> bool:
         """Return whether this replaces the limit in ``known``."""
         if known is None:
             return self.rate is not None
         return self.at > known.at
 
 
-def most_permits(rate: float) -> float:
+def bucket_capacity(rate: float) -> float:
     """Return the capacity of a bucket filled at ``rate`` permits per second."""
-    return BURST + BURST_SECONDS * rate
+    return BURST_PERMITS + BURST_SECONDS * rate
 
 
 @dataclass(slots=True)
@@ -66,30 +66,32 @@
     rate: float
     filled_at: timedelta
     level: float = 0.0
-    turn: timedelta = timedelta()
+    next_retry_at: timedelta = timedelta()
     """Time at which the last denied node is to request a permit again."""
 
-    def ask(self, tier: int, rate: float, now: timedelta) -> timedelta | None:
+    def request_permit(
+        self, tier: int, rate: float, now: timedelta
+    ) -> timedelta | None:
         """Take a permit for a request of ``tier`` at the current limit ``rate``.
 
         Returns ``None`` if a permit was taken, else the delay before requesting one
         again. Successive delays are one permit apart, so that nodes do not all retry
         at once.
         """
-        self._refill(max(rate, TRIAL_RATE), now)
-        needed = 1.0 + RESERVES[tier]
+        self._refill(max(rate, MIN_RATE), now)
+        needed = 1.0 + TIER_RESERVES[tier]
         if self.level >= needed:
             self.level -= 1.0
             return None
         ready = now + SECOND * ((needed - self.level) / self.rate)
-        turn = max(ready, self.turn + SECOND / self.rate)
-        self.turn = max(ready, min(turn, now + LONGEST_TURN))
-        return self.turn - now
+        turn = max(ready, self.next_retry_at + SECOND / self.rate)
+        self.next_retry_at = max(ready, min(turn, now + MAX_RETRY_DELAY))
+        return self.next_retry_at - now
 
     def _refill(self, rate: float, now: timedelta) -> None:
         refilled = self.level + self.rate * ((now - self.filled_at) / SECOND)
         self.rate = rate
-        self.level = min(refilled, most_permits(rate))
+        self.level = min(refilled, bucket_capacity(rate))
         self.filled_at = now
 
 
@@ -97,59 +99,61 @@
 class LimitedTarget:
     """The rate limit of one target as known to a node, and the node's permits."""
 
-    seen: LimitSeen
+    observed_limit: ObservedLimit
     permits: list[timedelta] = field(default_factory=list)
     """Expiry time of each permit."""
-    closed_until: list[timedelta] = field(
-        default_factory=lambda: [timedelta(days=-1)] * TIERS
+    denied_until: list[timedelta] = field(
+        default_factory=lambda: [timedelta(days=-1)] * TIER_COUNT
     )
     """Time from which permits may be requested again, by tier."""
-    waiting: int = 0
+    waiting_requests: int = 0
     """Number of requests that wait for a permit that they requested."""
-    lapsed: int = 0
-    """Expired permits not yet returned by :meth:`count_lapsed`."""
+    expired_permits: int = 0
+    """Expired permits not yet returned by :meth:`take_expired_count`."""
 
     def opens_at(self, tier: int, now: timedelta) -> timedelta:
         """Return when a request of ``tier`` may be sent, or request a permit."""
-        return now if self._has_permit(now) else self.closed_until[tier]
+        return now if self._has_permit(now) else self.denied_until[tier]
 
-    def take(self, now: timedelta, asked: bool) -> bool:
+    def take_permit(self, now: timedelta, has_requested: bool) -> bool:
         """Use a permit and return whether there was one for this request.
 
-        Requests that have not ``asked`` for a permit leave the permits to those that
-        wait for one.
+        Requests without ``has_requested`` leave the permits to those
+        that wait for one.
         """
         if not self._has_permit(now):
             return False
-        if not asked and len(self.permits) <= self.waiting:
+        if not has_requested and len(self.permits) <= self.waiting_requests:
             return False
         self.permits.pop(0)
         return True
 
-    def add(self, now: timedelta) -> None:
+    def add_permit(self, now: timedelta) -> None:
         """Add a permit received at ``now``."""
-        rate = max(self.seen.rate or 0.0, TRIAL_RATE)
-        self.permits.append(now + PERMIT_VALID + SECOND * (VALID_PERMITS / rate))
+        rate = max(self.observed_limit.rate or 0.0, MIN_RATE)
+        self.permits.append(
+            now + MIN_PERMIT_VALIDITY + SECOND * (PERMIT_VALIDITY_PERMITS / rate)
+        )
 
-    def close(self, tier: int, until: timedelta) -> None:
+    def deny_tier(self, tier: int, until: timedelta) -> None:
         """Record that ``tier`` and less urgent tiers get no permit before ``until``."""
-        for closed in range(tier, TIERS):
-            self.closed_until[closed] = max(self.closed_until[closed], until)
+        for closed in range(tier, TIER_COUNT):
+            self.denied_until[closed] = max(self.denied_until[closed], until)
 
-    def count_lapsed(self, now: timedelta) -> int:
+    def take_expired_count(self, now: timedelta) -> int:
         """Return how many permits expired since the previous call."""
         self._has_permit(now)
-        lapsed, self.lapsed = self.lapsed, 0
+        lapsed, self.expired_permits = self.expired_permits, 0
         return lapsed
 
     def _has_permit(self, now: timedelta) -> bool:
         count = len(self.permits)
         self.permits = [expiry for expiry in self.permits if expiry > now]
-        self.lapsed += count - len(self.permits)
+        self.expired_permits += count - len(self.permits)
         return bool(self.permits)
 
 
-def share_of_rate(alive: int, lost: int) -> float:
+def issued_rate_share(alive: int, lost: int) -> float:
     """Return the share of a limit that a node issues that sees ``alive`` nodes.
 
     ``lost`` nodes were seen before but not recently. In a network partition, nodes in
--- a/packages/runhatch-server/src/runhatch_server/decisions/_rates.py
+++ b/packages/runhatch-server/src/runhatch_server/decisions/_rates.py
@@ -2,32 +2,32 @@
 
 from datetime import timedelta
 
-from runhatch_server.decisions._load import Outstanding
+from runhatch_server.decisions._load import OutstandingRequest
 
-FIRST_BASE_MS = 25.0
+INITIAL_BASE_MS = 25.0
 """Initial estimate of the time to the first token that does not depend on the prompt:
 the network round trip and one or two engine steps."""
-LEAST_BASE_MS, MOST_BASE_MS = 2.0, 100.0
-FIRST_MS_PER_TOKEN = 0.06
+MIN_BASE_MS, MAX_BASE_MS = 2.0, 100.0
+INITIAL_MS_PER_TOKEN = 0.06
 """Initial estimate of the time to read a prompt token. Engines with 70 billion
 parameters read 17 to 40 tokens per millisecond between the tokens of other
 requests."""
-LEAST_MS_PER_TOKEN, MOST_MS_PER_TOKEN = 0.002, 1.0
+MIN_MS_PER_TOKEN, MAX_MS_PER_TOKEN = 0.002, 1.0
 """Bounds of the learned time per token, against wrong measurements."""
-USUAL_PROMPT = 600.0
+REFERENCE_PROMPT_TOKENS = 600.0
 """Prompt length in tokens whose error is split equally between base time and speed."""
 SOONER_GAIN, LATER_GAIN = 0.3, 0.15
 """Weights of the newest first token; estimates converge after about ten. Requests
 of other nodes may have delayed it unnoticed, so a token that arrives sooner than
 predicted gets the larger weight."""
-MOST_AHEAD = 0.5
+MAX_QUEUED_SHARE = 0.5
 """Maximum queued reading, as a share of the prompt's own time, up to which its first
 token is used to learn the speed."""
-MOST_ERROR = 2.0
+MAX_RELATIVE_ERROR = 2.0
 """Maximum error of one measurement, as a multiple of the prediction."""
-OTHERS_GAIN = 0.1
+DEFAULT_RATE_GAIN = 0.1
 """Weight of the newest prompt in the estimate for models not measured yet."""
-FIRST_SERVICE_MS = 30.0
+INITIAL_SERVICE_MS = 30.0
 """Initial estimate of the time of a plain request."""
 SERVICE_GAIN = 0.1
 """Weight of the newest plain request in the average time of its route."""
@@ -42,10 +42,10 @@
     """
 
     def __init__(self) -> None:
-        self.base_ms = FIRST_BASE_MS
+        self.base_ms = INITIAL_BASE_MS
         """Time to the first token that does not depend on the prompt."""
         self._ms_per_token: dict[str, float] = {}
-        self._default_ms_per_token = FIRST_MS_PER_TOKEN
+        self._default_ms_per_token = INITIAL_MS_PER_TOKEN
         self._service_ms: dict[str, float] = {}
 
     def prompt_ms(self, model: str, tokens: int) -> float:
@@ -54,30 +54,35 @@
 
     def service_ms(self, route: str) -> float:
         """Return the usual time in milliseconds of a plain request of ``route``."""
-        return self._service_ms.get(route, FIRST_SERVICE_MS)
+        return self._service_ms.get(route, INITIAL_SERVICE_MS)
 
-    def first_token(
-        self, model: str, outstanding: Outstanding, took: timedelta
+    def record_first_token(
+        self, model: str, outstanding: OutstandingRequest, took: timedelta
     ) -> None:
         """Learn from a first token that waited mostly for its own prompt."""
         previous = self._ms_per_token.get(model, self._default_ms_per_token)
-        expected_ms = self.base_ms + outstanding.unread * previous
-        if not outstanding.unread or outstanding.ahead_ms > expected_ms * MOST_AHEAD:
+        expected_ms = self.base_ms + outstanding.uncached_tokens * previous
+        if (
+            not outstanding.uncached_tokens
+            or outstanding.queued_ms > expected_ms * MAX_QUEUED_SHARE
+        ):
             return
-        error_ms = took / timedelta(milliseconds=1) - expected_ms - outstanding.ahead_ms
-        error_ms = min(max(error_ms, -expected_ms), expected_ms * MOST_ERROR)
+        error_ms = (
+            took / timedelta(milliseconds=1) - expected_ms - outstanding.queued_ms
+        )
+        error_ms = min(max(error_ms, -expected_ms), expected_ms * MAX_RELATIVE_ERROR)
         error_ms *= SOONER_GAIN if error_ms < 0 else LATER_GAIN
-        relative_length = outstanding.unread / USUAL_PROMPT
+        relative_length = outstanding.uncached_tokens / REFERENCE_PROMPT_TOKENS
         error_ms /= 1.0 + relative_length**2
-        self.base_ms = _clamp(self.base_ms + error_ms, LEAST_BASE_MS, MOST_BASE_MS)
-        learned = previous + error_ms * relative_length / USUAL_PROMPT
-        learned = _clamp(learned, LEAST_MS_PER_TOKEN, MOST_MS_PER_TOKEN)
+        self.base_ms = _clamp(self.base_ms + error_ms, MIN_BASE_MS, MAX_BASE_MS)
+        learned = previous + error_ms * relative_length / REFERENCE_PROMPT_TOKENS
+        learned = _clamp(learned, MIN_MS_PER_TOKEN, MAX_MS_PER_TOKEN)
         self._ms_per_token[model] = learned
         self._default_ms_per_token += (
             learned - self._default_ms_per_token
-        ) * OTHERS_GAIN
+        ) * DEFAULT_RATE_GAIN
 
-    def served(self, route: str, took: timedelta) -> None:
+    def record_service_time(self, route: str, took: timedelta) -> None:
         """Learn from a plain request of ``route`` that took ``took``."""
         observed_ms = took / timedelta(milliseconds=1)
         previous = self._service_ms.get(route, observed_ms)
--- a/packages/runhatch-server/src/runhatch_server/decisions/_request.py
+++ b/packages/runhatch-server/src/runhatch_server/decisions/_request.py
@@ -20,16 +20,16 @@
 class ModelWork:
     """Model, adapter and prompt of a request, and the length of its answer.
 
-    ``expected_output`` is the caller's estimate of the output tokens, ``most_output``
-    their maximum.
+    ``expected_output_tokens`` is the caller's estimate of the output tokens,
+    ``max_output_tokens`` their maximum.
     """
 
     model: str
     adapter: str
     prompt: tuple[PromptPart, ...]
     prompt_tokens: int
-    most_output: int
-    expected_output: int
+    max_output_tokens: int
+    expected_output_tokens: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,25 +45,25 @@
     service: str
     method: str
     uri: str
-    passed: Headers
+    forwarded_headers: Headers
     body: bytes
-    received: timedelta
+    received_at: timedelta
     goal_at: timedelta
     deadline: timedelta
     work: ModelWork | None = None
-    last_event: str = ""
-    configuration: int = 0
+    last_event_id: str = ""
+    configuration_version: int = 0
     """Version of the configuration that contains its route."""
     fingerprint: str = ""
-    """Equal for all retries of the request, see :func:`fingerprint_of`."""
+    """Equal for all retries of the request, see :func:`compute_fingerprint`."""
 
     @property
-    def begin_by(self) -> timedelta:
+    def start_deadline(self) -> timedelta:
         """Time until which the caller waits for the first byte of an answer."""
         patience = self.route.patience
         if patience is None:
             return self.deadline
-        return min(self.deadline, self.received + patience)
+        return min(self.deadline, self.received_at + patience)
 
     @property
     def model(self) -> str:
--- a/packages/runhatch-server/src/runhatch_server/decisions/_scoring.py
+++ b/packages/runhatch-server/src/runhatch_server/decisions/_scoring.py
@@ -7,7 +7,7 @@
 
 from runhatch_server.decisions._load import (
     LATE_TIER,
-    STREAM_TOKENS_AT_ONCE,
+    MAX_CACHE_FILL_SHARE,
     LoadShare,
     TargetLoad,
 )
@@ -16,51 +16,51 @@
 from runhatch_server.fleet import Target
 from runhatch_server.routing import EngineSpec, ServiceSpec
 
-ELSEWHERE_MS = 3.0
+REMOTE_DOMAIN_PENALTY_MS = 3.0
 """Penalty for a target in another failure domain: the network round trip and the
 price of the traffic."""
-HANDSHAKE_MS = 8.0
+NEW_CONNECTION_PENALTY_MS = 8.0
 """Penalty for a new connection: a millisecond or more at the target, a slot that may
 be occupied meanwhile, and its price."""
-FAULT_COST = 1.5
+FAULT_PENALTY_FACTOR = 1.5
 """Penalty for a failed request, as a multiple of the request's goal."""
-SILENT_COST_MS = 10_000.0
+SILENT_PENALTY_MS = 10_000.0
 """Penalty for a silent target, large enough that any other target is preferred."""
 SLOW_START_FACTOR = 1.5
 """Factor on the prediction for a target that is still in slow start."""
-RUN_MS = 1_500.0
+TYPICAL_RUN_MS = 1_500.0
 """Typical time between first and last token. A request that finds no free slot waits
 until another one ends."""
 CHUNK_TOKENS = 2_048
 """Prompt tokens that an engine reads between two tokens of its streams."""
-MOST_BUSY_COUNTED = 0.98
+MAX_BUSY_SHARE = 0.98
 """Upper bound of the busy share of an engine that predictions use."""
-COMING_SHARE = 0.5
+ARRIVING_SHARE = 0.5
 """Share of the recent prompt rate expected to continue while a queue is read. Counting
 all of it refuses requests that would have been served on time; counting none admits
 some that are not."""
 SCORE_JITTER = 0.03
 """Random variation of scores, so that nodes with equal information do not all choose
 the same target."""
-SUMS_JITTER = 0.2
+SUMMED_LOAD_JITTER = 0.2
 """Variation used when loads are sums over many nodes, which are about 0.2 s old. With
 less, all nodes would send their prompts to the target that was least busy then."""
 
 
 @dataclass(slots=True)
-class HeldPlace:
+class HeldRequest:
     """Place in the queue of a request that waits for ``target`` to load its model.
 
-    ``since`` is the time at which the request was first held.
+    ``held_since`` is the time at which the request was first held.
     """
 
     number: int
-    since: timedelta
+    held_since: timedelta
     target: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class Scored:
+class ScoredTarget:
     """A target scored for a request; the lowest ``score`` is the best.
 
     Times are in milliseconds. ``predicted_ms`` is the time to the first byte, of which
@@ -77,7 +77,7 @@
     busy: float = 0.0
     token_ms: float = 0.0
     pause_ms: float = 0.0
-    unread: int = 0
+    uncached_tokens: int = 0
     """Prompt tokens that are not cached at the target."""
     queue_ms: float = 0.0
     """Prompt reading queued at the target, of all tiers."""
@@ -98,25 +98,23 @@
         self._has_connection = has_connection
         self._random = random.Random(seed)
 
-    def best(
+    def find_best(
         self,
         request: GatewayRequest,
         service: ServiceSpec,
         targets: list[Target],
         tier: int,
         now: timedelta,
-        place: HeldPlace | None,
-        longest_pause_ms: float,
-    ) -> Scored:
+        place: HeldRequest | None,
+        max_pause_ms: float,
+    ) -> ScoredTarget:
         """Return the best of ``targets``, which must not be empty.
 
-        Targets whose streams would pause for at most ``longest_pause_ms`` are preferred
+        Targets whose streams would pause for at most ``max_pause_ms`` are preferred
         to all others; among equals the lowest score wins.
         """
         scored = [self.score(request, service, t, tier, now, place) for t in targets]
-        return min(
-            scored, key=lambda each: (each.pause_ms > longest_pause_ms, each.score)
-        )
+        return min(scored, key=lambda each: (each.pause_ms > max_pause_ms, each.score))
 
     def score(
         self,
@@ -125,8 +123,8 @@
         target: Target,
         tier: int,
         now: timedelta,
-        place: HeldPlace | None,
-    ) -> Scored:
+        place: HeldRequest | None,
+    ) -> ScoredTarget:
         """Return the score and predictions for sending ``request`` to ``target``."""
         load = self._book.load(target.incarnation)
         total = load.total(now)
@@ -135,36 +133,38 @@
         token_ms = 0.0
         pause_ms = 0.0
         if request.work is not None and service.engine is not None:
-            uncached = self._book.uncached(target.incarnation, request.work)
+            uncached = self._book.count_uncached_tokens(
+                target.incarnation, request.work
+            )
             work_ms = self._book.rates.prompt_ms(request.work.model, uncached)
             base_ms = self._book.rates.base_ms
             predicted_ms = _engine_ms(
                 service.engine, request.work, total, base_ms + work_ms, tier
             )
-            predicted_ms *= load.factor(now)
+            predicted_ms *= load.slowness_factor(now)
             chunk_ms = self._book.rates.prompt_ms(request.work.model, CHUNK_TOKENS)
             token_ms = _token_ms(total.busy, chunk_ms, load.step_ms)
             pause_ms = _pause_ms(service.engine, load, total, work_ms, chunk_ms)
             if place is not None or tier == LATE_TIER:
-                since = now if place is None else place.since
+                since = now if place is None else place.held_since
                 predicted_ms += load.held_ahead_ms(since, now)
         else:
             usual_ms = self._book.rates.service_ms(request.route.name)
             excess = max(0, total.waiting + total.running + 1 - target.slots)
             predicted_ms = usual_ms * (1 + excess / max(1, target.slots))
-        if target.slow_start_left > timedelta():
+        if target.slow_start_remaining > timedelta():
             predicted_ms *= SLOW_START_FACTOR
-        jitter = SUMS_JITTER if load.domains else SCORE_JITTER
+        jitter = SUMMED_LOAD_JITTER if load.domain_shares else SCORE_JITTER
         score = predicted_ms * self._random.uniform(1 - jitter, 1 + jitter)
         if target.failure_domain != self._failure_domain:
-            score += ELSEWHERE_MS
+            score += REMOTE_DOMAIN_PENALTY_MS
         if not self._has_connection(target.incarnation):
-            score += HANDSHAKE_MS
+            score += NEW_CONNECTION_PENALTY_MS
         goal_ms = request.route.goal / timedelta(milliseconds=1)
-        score += load.fault_rate(now) * FAULT_COST * goal_ms
+        score += load.fault_rate(now) * FAULT_PENALTY_FACTOR * goal_ms
         if load.is_silent(now):
-            score += SILENT_COST_MS
-        return Scored(
+            score += SILENT_PENALTY_MS
+        return ScoredTarget(
             target,
             score,
             predicted_ms,
@@ -193,7 +193,7 @@
     if not total.waiting and not total.running:
         return 0.0
     event_ms = engine.event_tokens * load.step_ms
-    arriving = min(total.busy, MOST_BUSY_COUNTED) * COMING_SHARE
+    arriving = min(total.busy, MAX_BUSY_SHARE) * ARRIVING_SHARE
     max_event_ms = event_ms + engine.event_tokens * chunk_ms
     return min(
         (event_ms + sum(total.waiting_ms) + work_ms) / (1.0 - arriving), max_event_ms
@@ -205,7 +205,7 @@
 
     The engine produces one token per chunk while it reads prompts, else one per step.
     """
-    reading_share = min(busy, MOST_BUSY_COUNTED)
+    reading_share = min(busy, MAX_BUSY_SHARE)
     return 1.0 / (
         (1.0 - reading_share) / step_ms + reading_share / max(chunk_ms, step_ms)
     )
@@ -222,9 +222,11 @@
     predicted_ms = sum(total.waiting_ms[: tier + 1]) + own_ms
     excess = total.waiting + total.running + 1 - engine.slots
     if excess > 0:
-        predicted_ms += RUN_MS * excess / engine.slots
-    capacity = engine.kv_tokens * STREAM_TOKENS_AT_ONCE
-    missing_tokens = total.tokens + work.prompt_tokens + work.expected_output - capacity
+        predicted_ms += TYPICAL_RUN_MS * excess / engine.slots
+    capacity = engine.kv_tokens * MAX_CACHE_FILL_SHARE
+    missing_tokens = (
+        total.tokens + work.prompt_tokens + work.expected_output_tokens - capacity
+    )
     if engine.kv_tokens and missing_tokens > 0:
-        predicted_ms += RUN_MS * missing_tokens / engine.kv_tokens
+        predicted_ms += TYPICAL_RUN_MS * missing_tokens / engine.kv_tokens
     return predicted_ms
--- a/packages/runhatch-server/src/runhatch_server/decisions/_spread.py
+++ b/packages/runhatch-server/src/runhatch_server/decisions/_spread.py
@@ -4,12 +4,12 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 
-PASSES = 3
+PASS_COUNT = 3
 """Passes of the distribution; further ones hardly change the result."""
 
 
 @dataclass(frozen=True, slots=True)
-class Spread:
+class WorkDistribution:
     """Concurrent requests by target, and by model and target.
 
     ``capacities`` are the concurrent requests that each target can run.
@@ -27,20 +27,20 @@
         """Return the load of ``target`` divided by its capacity."""
         return self.loads[target] / self.capacities[target]
 
-    def overload(self, target: str, high: float) -> float:
-        """Return the concurrent requests above the utilisation ``high``."""
-        return max(0.0, self.loads[target] - high * self.capacities[target])
+    def overload(self, target: str, max_utilisation: float) -> float:
+        """Return the concurrent requests above the utilisation ``max_utilisation``."""
+        return max(0.0, self.loads[target] - max_utilisation * self.capacities[target])
 
-    def headroom(self, target: str, high: float) -> float:
-        """Return the concurrent requests that fit below the utilisation ``high``."""
-        return max(0.0, high * self.capacities[target] - self.loads[target])
+    def headroom(self, target: str, max_utilisation: float) -> float:
+        """Return the concurrent requests that fit below ``max_utilisation``."""
+        return max(0.0, max_utilisation * self.capacities[target] - self.loads[target])
 
 
-def spread(
+def distribute_work(
     work: Mapping[str, float],
     hosts: Mapping[str, Sequence[str]],
     capacities: dict[str, float],
-) -> Spread:
+) -> WorkDistribution:
     """Distribute each model's work over its hosts as the routers would.
 
     ``work`` is in concurrent requests by model. Work goes to the least utilised
@@ -50,7 +50,7 @@
     loads: dict[str, float] = dict.fromkeys(capacities, 0.0)
     shares: dict[tuple[str, str], float] = defaultdict(float)
     by_work = sorted(hosts, key=lambda model: work.get(model, 0.0), reverse=True)
-    for _ in range(PASSES):
+    for _ in range(PASS_COUNT):
         for model in by_work:
             for host in hosts[model]:
                 loads[host] -= shares[model, host]
@@ -58,7 +58,7 @@
             _add_work(
                 model, work.get(model, 0.0), hosts[model], loads, shares, capacities
             )
-    return Spread(loads, dict(shares), capacities)
+    return WorkDistribution(loads, dict(shares), capacities)
 
 
 def _add_work(
--- a/packages/runhatch-server/src/runhatch_server/fleet/__init__.py
+++ b/packages/runhatch-server/src/runhatch_server/fleet/__init__.py
@@ -1,6 +1,6 @@
 """Targets discovered at run time."""
 
-from runhatch_server.fleet._directory import Directory, ExpectedLoad
+from runhatch_server.fleet._directory import ExpectedLoad, TargetDirectory
 from runhatch_server.fleet._targets import (
     HeldModels,
     StoredCopies,
@@ -9,7 +9,7 @@
 )
 
 __all__ = [
-    "Directory",
+    "TargetDirectory",
     "ExpectedLoad",
     "HeldModels",
     "StoredCopies",
--- a/packages/runhatch-server/src/runhatch_server/fleet/_directory.py
+++ b/packages/runhatch-server/src/runhatch_server/fleet/_directory.py
@@ -17,24 +17,24 @@
 RELIST_GRACE = timedelta(seconds=1.8)
 """Time after an outage of the store before a target missing from it is removed: running
 targets are listed again within about two seconds."""
-TOLD_VALID = timedelta(seconds=8)
+ORDERER_REPORT_VALIDITY = timedelta(seconds=8)
 """Time for which the orderer's report on a target takes precedence over the target's
 entry.  The orderer repeats it every few seconds; entries are written every 1.2 s and
 only if more than adapters changed."""
-OLDER_LIFE_DOUBTED = timedelta(seconds=3)
+OLDER_INCARNATION_GRACE = timedelta(seconds=3)
 """Time for which an entry of an older incarnation than the known one is ignored.  Late
 writes of an ended incarnation arrive within seconds, and its successor overwrites them
 meanwhile; an entry that remains is that of a target whose clock was set back."""
-RESTORED_DOUBTED = timedelta(seconds=6)
+RESTORED_ENTRY_GRACE = timedelta(seconds=6)
 """Time after a restore of the store from an older copy for which entries of removed
 targets are ignored unless written again: those of ended targets expire meanwhile."""
-GONE_REMEMBERED = timedelta(minutes=2)
+REMOVED_RETENTION = timedelta(minutes=2)
 """Time for which removed incarnations are remembered; restored copies of the store are
 only seconds old."""
-LEAVING_REMEMBERED = timedelta(minutes=10)
+DRAINING_RETENTION = timedelta(minutes=10)
 """Time for which an announced drain is remembered: the target's entry may expire in an
 outage of the store and come back with the state ``ready`` as last written."""
-CORRECTION_HOLDS = timedelta(milliseconds=120)
+CORRECTION_VALIDITY = timedelta(milliseconds=120)
 """Time for which a target that answered that it lacks a model gets no requests for it,
 unless the orderer reports on the target: an adapter may be loaded within some ten
 milliseconds."""
@@ -55,16 +55,16 @@
     received_at: timedelta
 
 
-class Directory:
+class TargetDirectory:
     """Targets by name, one incarnation of each; readers get immutable values.
 
-    ``news`` is notified whenever a request that found no target may find one now.
-    A :class:`runhatch_coordination.FeedListener`.
+    ``update_condition`` is notified whenever a request that found no target may find
+    one now. A :class:`runhatch_coordination.FeedListener`.
     """
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self.news = threading.Condition()
+        self.update_condition = threading.Condition()
         self._targets: dict[str, Target] = {}
         self._by_incarnation: dict[str, Target] = {}
         self._reports: dict[str, _Report] = {}
@@ -82,26 +82,26 @@
         self._reachable = True
         self._reachable_since = clock.elapsed()
         self._restored_at = timedelta(days=-1)
-        self.known = False
+        self.is_listed = False
         """Whether the targets have been listed at least once."""
 
     # Updates from the store.
 
     def listed(self, entries: tuple[Entry[Target], ...]) -> None:
         """Replace all targets by those in ``entries``."""
-        with self.news:
+        with self.update_condition:
             present = {entry.key for entry in entries if entry.value is not None}
             for key in set(self._targets) - present:
                 self._remove_after_grace(key)
             for entry in entries:
                 if not self._is_of_removed(entry):
                     self._apply(entry)
-            self.known = True
+            self.is_listed = True
             self._rebuild()
 
     def changed(self, entries: tuple[Entry[Target], ...]) -> None:
         """Apply changes of single targets."""
-        with self.news:
+        with self.update_condition:
             for entry in entries:
                 self._apply(entry)
             self._rebuild()
@@ -113,7 +113,7 @@
         removed stay so, even if the copy lists them as ready.
         """
         now = self._clock.elapsed()
-        with self.news:
+        with self.update_condition:
             self._reachable_since = self._restored_at = now
             for target in self._targets.values():
                 if target.state is TargetState.DRAINING:
@@ -122,20 +122,20 @@
     def unreachable(self, reason: str) -> None:
         """Record that the store sends no updates from now on."""
         log_change("targets_unreachable", why=reason)
-        with self.news:
+        with self.update_condition:
             self._reachable = False
 
     def reachable(self) -> None:
         """Record that the store sends updates again."""
         log_change("targets_reachable")
-        with self.news:
+        with self.update_condition:
             self._reachable = True
             self._reachable_since = self._clock.elapsed()
 
-    def settle(self) -> None:
+    def remove_expired(self) -> None:
         """Remove targets missing for too long, and apply old entries that remained."""
         now = self._clock.elapsed()
-        with self.news:
+        with self.update_condition:
             expired = [
                 key for key, until in self._missing_until.items() if now >= until
             ]
@@ -151,19 +151,19 @@
             if expired or remaining:
                 self._rebuild()
             self._delete_unknown(now)
-            _delete_older(self._draining, now - LEAVING_REMEMBERED)
-            _delete_older(self._removed, now - GONE_REMEMBERED)
+            _delete_older(self._draining, now - DRAINING_RETENTION)
+            _delete_older(self._removed, now - REMOVED_RETENTION)
 
     # Updates from the orderer and from answers of targets.
 
-    def told(
+    def record_report(
         self, target: str, held: HeldModels, expected: Iterable[ExpectedLoad]
     ) -> None:
         """Record the orderer's report of what ``target`` holds and is loading."""
-        self.told_all([(target, held, expected)])
+        self.record_reports([(target, held, expected)])
 
-    def told_all(
-        self, holdings: Iterable[tuple[str, HeldModels, Iterable[ExpectedLoad]]]
+    def record_reports(
+        self, reports: Iterable[tuple[str, HeldModels, Iterable[ExpectedLoad]]]
     ) -> None:
         """Record the orderer's reports on several targets.
 
@@ -171,9 +171,9 @@
         second, and each report reaches a node by several paths.
         """
         reported = set()
-        with self.news:
+        with self.update_condition:
             now = self._clock.elapsed()
-            for target, held, expected in holdings:
+            for target, held, expected in reports:
                 self._expected[target] = tuple(expected)
                 self._reports[target] = _Report(held, now)
                 self._delete_corrections(target)
@@ -181,13 +181,13 @@
             if reported:
                 self._refresh(reported)
 
-    def leaves(self, incarnation: str, source: str = "answer") -> bool:
+    def record_draining(self, incarnation: str, source: str = "answer") -> bool:
         """Record that a target drains, whatever state its entry gives.
 
         The entry may change many seconds later, or never.  Return whether the drain
         was unknown.
         """
-        with self.news:
+        with self.update_condition:
             if incarnation in self._draining:
                 return False
             self._draining[incarnation] = self._clock.elapsed()
@@ -197,16 +197,16 @@
                 self._rebuild()
         return True
 
-    def correct(self, target: str, model: str, adapter: str) -> None:
+    def record_missing_model(self, target: str, model: str, adapter: str) -> None:
         """Record that ``target`` answered that it does not hold ``model``."""
-        with self.news:
-            until = self._clock.elapsed() + CORRECTION_HOLDS
+        with self.update_condition:
+            until = self._clock.elapsed() + CORRECTION_VALIDITY
             self._lacking_until[target, model, adapter] = until
 
-    def wake(self) -> None:
+    def notify_waiters(self) -> None:
         """Wake requests that wait for an update, so that they search again."""
-        with self.news:
-            self.news.notify_all()
+        with self.update_condition:
+            self.update_condition.notify_all()
 
     # Queries.
 
@@ -218,26 +218,26 @@
         """Return all known targets."""
         return tuple(self._targets.values())
 
-    def ready(self, service: str) -> tuple[Target, ...]:
+    def ready_targets(self, service: str) -> tuple[Target, ...]:
         """Return the targets of ``service`` that accept new requests."""
         return self._by_service.get(service, ())
 
     def holders(self, service: str, model: str, adapter: str) -> list[Target]:
         """Return the ready targets that hold ``model`` with ``adapter``."""
         if not model:
-            return list(self.ready(service))
+            return list(self.ready_targets(service))
         return [
             target
-            for target in self.ready(service)
+            for target in self.ready_targets(service)
             if target.held.holds(model, adapter)
             and not self._lacks(target.incarnation, model, adapter)
         ]
 
-    def expected(self, service: str, model: str) -> ExpectedLoad | None:
+    def earliest_load(self, service: str, model: str) -> ExpectedLoad | None:
         """Return the load of ``model`` in progress that ends first, if any."""
         loads = [
             load
-            for target in self.ready(service)
+            for target in self.ready_targets(service)
             for load in self._expected.get(target.incarnation, ())
             if load.model == model
         ]
@@ -247,7 +247,7 @@
         """Return the loads in progress at ``target``, as reported by the orderer."""
         return self._expected.get(target, ())
 
-    # The methods below require the lock of ``news``.
+    # The methods below require the lock of ``update_condition``.
 
     def _apply(self, entry: Entry[Target]) -> None:
         if entry.value is None:
@@ -256,7 +256,7 @@
         known = self._targets.get(entry.key)
         if known is not None and entry.value.is_older_than(known):
             log_change("target_entry_old", target=known.incarnation)
-            until = self._clock.elapsed() + OLDER_LIFE_DOUBTED
+            until = self._clock.elapsed() + OLDER_INCARNATION_GRACE
             self._ignored_entries.setdefault(entry.key, (entry.value, until))
             return
         self._put(entry.value)
@@ -266,7 +266,7 @@
 
         The entry is applied later if it still exists then.
         """
-        until = self._restored_at + RESTORED_DOUBTED
+        until = self._restored_at + RESTORED_ENTRY_GRACE
         target = entry.value
         if target is None or self._clock.elapsed() >= until:
             return False
@@ -302,7 +302,7 @@
                 "target_draining",
                 target=target.incarnation,
                 source=source,
-                leaves_in=_to_seconds(target.leaves_in),
+                leaves_in=_to_seconds(target.drains_in),
             )
 
     def _remove_after_grace(self, key: str) -> None:
@@ -334,7 +334,7 @@
             name
             for name, report in self._reports.items()
             if name not in self._by_incarnation
-            and now - report.received_at >= TOLD_VALID
+            and now - report.received_at >= ORDERER_REPORT_VALIDITY
         ]
         for name in unknown:
             del self._reports[name]
@@ -361,7 +361,7 @@
         self._by_service = {
             service: tuple(targets.values()) for service, targets in self._ready.items()
         }
-        self.news.notify_all()
+        self.update_condition.notify_all()
 
     def _refresh(self, incarnations: set[str]) -> None:
         """Refresh the ready targets with these incarnations in the views."""
@@ -374,11 +374,14 @@
                 services.add(target.service)
         for service in services:
             self._by_service[service] = tuple(self._ready[service].values())
-        self.news.notify_all()
+        self.update_condition.notify_all()
 
     def _newest_held(self, target: Target) -> HeldModels:
         report = self._reports.get(target.incarnation)
-        if report is None or self._clock.elapsed() - report.received_at >= TOLD_VALID:
+        if (
+            report is None
+            or self._clock.elapsed() - report.received_at >= ORDERER_REPORT_VALIDITY
+        ):
             return target.held
         return report.held
 
--- a/packages/runhatch-server/src/runhatch_server/fleet/_targets.py
+++ b/packages/runhatch-server/src/runhatch_server/fleet/_targets.py
@@ -45,7 +45,7 @@
 
     A target may restart under the same ``name``; it then holds no models and numbers
     its orders from the start.  Its address may be reused by another target later.
-    ``leaves_in`` is the time to its announced removal, if it is to be removed soon.
+    ``drains_in`` is the time to its announced removal, if it is to be removed soon.
 
     >>> from datetime import UTC
     >>> born = datetime.fromtimestamp(1.5, UTC)
@@ -63,8 +63,8 @@
     state: TargetState
     held: HeldModels = HeldModels()
     copies: StoredCopies = StoredCopies()
-    slow_start_left: timedelta = timedelta()
-    leaves_in: timedelta | None = None
+    slow_start_remaining: timedelta = timedelta()
+    drains_in: timedelta | None = None
     started_at: datetime | None = None
     """``None`` if not published; the target then has a new name after each start."""
     incarnation: str = field(init=False)
--- a/packages/runhatch-server/src/runhatch_server/gateway/__init__.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/__init__.py
@@ -5,10 +5,10 @@
     AnswerHead,
     CallerHeaders,
     HeaderCodec,
-    HeaderFault,
+    InvalidHeader,
 )
 from runhatch_server.gateway._node import GatewayNode
-from runhatch_server.gateway._outside import GatewayOutside
+from runhatch_server.gateway._outside import GatewayPlatform
 from runhatch_server.gateway._settings import (
     Endpoint,
     GatewaySettings,
@@ -22,11 +22,11 @@
     "CallerHeaders",
     "Endpoint",
     "GatewayNode",
-    "GatewayOutside",
+    "GatewayPlatform",
     "GatewayRequest",
     "GatewaySettings",
     "HeaderCodec",
-    "HeaderFault",
+    "InvalidHeader",
     "Headers",
     "ModelWork",
     "OrderBounds",
--- a/packages/runhatch-server/src/runhatch_server/gateway/_answers.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_answers.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WholeAnswer:
+class CompleteAnswer:
     """An answer with its complete body."""
 
     status: int
@@ -28,4 +28,4 @@
     events: StreamRelay
 
 
-GatewayAnswer = WholeAnswer | StreamAnswer
+GatewayAnswer = CompleteAnswer | StreamAnswer
--- a/packages/runhatch-server/src/runhatch_server/gateway/_app.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_app.py
@@ -7,9 +7,9 @@
 
 from runhatch_coordination import Clock
 from runhatch_server._progress import Progress
-from runhatch_server.decisions import GatewayRequest, fingerprint_of
-from runhatch_server.gateway._answers import GatewayAnswer, StreamAnswer, WholeAnswer
-from runhatch_server.gateway._messages import HeaderCodec, HeaderFault
+from runhatch_server.decisions import GatewayRequest, compute_fingerprint
+from runhatch_server.gateway._answers import CompleteAnswer, GatewayAnswer, StreamAnswer
+from runhatch_server.gateway._messages import HeaderCodec, InvalidHeader
 from runhatch_server.gateway._service import GatewayService
 from runhatch_server.http import (
     CountedEvents,
@@ -28,11 +28,11 @@
 )
 from runhatch_server.routing import RouteTable, choose_service
 
-NOT_READY_RETRY = timedelta(milliseconds=500)
+NOT_READY_RETRY_AFTER = timedelta(milliseconds=500)
 """Retry-After sent by a node that has no configuration yet."""
 HEADER_PREFIX = "HTTP_"
 CONTENT_TYPE = "CONTENT_TYPE"
-MOST_LOGGED = 80
+MAX_LOGGED_LENGTH = 80
 """Maximum length in characters of a refused request's host and path in the log."""
 
 
@@ -89,8 +89,8 @@
                 "refused_unread",
                 outcome=request.reason.code,
                 detail=request.detail,
-                host=headers.get("host", "")[:MOST_LOGGED],
-                uri=str(environ.get("REQUEST_URI", ""))[:MOST_LOGGED],
+                host=headers.get("host", "")[:MAX_LOGGED_LENGTH],
+                uri=str(environ.get("REQUEST_URI", ""))[:MAX_LOGGED_LENGTH],
                 configuration=None if self.routes is None else self.routes.version,
             )
             return self._build_refusal(request, headers)
@@ -108,17 +108,19 @@
         received = self._clock.elapsed()
         routes = self.routes
         if routes is None:
-            return Refusal(Reason.NOT_READY, Executed.NO, retry_after=NOT_READY_RETRY)
+            return Refusal(
+                Reason.NOT_READY, Executed.NO, retry_after=NOT_READY_RETRY_AFTER
+            )
         uri = str(environ.get("REQUEST_URI", ""))
         if not uri.startswith("/"):
-            detail = f"found target {uri[:MOST_LOGGED]!r}, allowed: a path"
+            detail = f"found target {uri[:MAX_LOGGED_LENGTH]!r}, allowed: a path"
             return Refusal(Reason.BAD_HEADER, Executed.NO, detail)
         host = headers.get("host", "")
         route = routes.find(host, uri.partition("?")[0])
         if route is None:
             return Refusal(Reason.NO_ROUTE, Executed.NO)
-        caller = self._codec.read_caller(headers)
-        if isinstance(caller, HeaderFault):
+        caller = self._codec.decode_caller(headers)
+        if isinstance(caller, InvalidHeader):
             return Refusal(Reason.BAD_HEADER, Executed.NO, caller.detail)
         if not caller.attempt_id:
             return Refusal(Reason.BAD_HEADER, Executed.NO, "the request has no id")
@@ -133,34 +135,34 @@
             service=choose_service(route, self._random),
             method=method,
             uri=uri,
-            passed=caller.passed,
+            forwarded_headers=caller.forwarded,
             body=body,
-            received=received,
+            received_at=received,
             goal_at=received + min(route.goal, time_left),
             deadline=received + time_left,
             work=caller.work,
-            last_event=caller.last_event,
-            configuration=routes.version,
-            fingerprint=fingerprint_of(method, host.lower(), uri, body),
+            last_event_id=caller.last_event,
+            configuration_version=routes.version,
+            fingerprint=compute_fingerprint(method, host.lower(), uri, body),
         )
 
     def _build_refusal(
         self, refusal: Refusal, headers: Mapping[str, str]
-    ) -> WholeAnswer:
+    ) -> CompleteAnswer:
         """Return the problem document for ``refusal``, with its headers."""
         attempt_id = headers.get("x-request-id", "")
-        caller = self._codec.read_caller(headers)
-        if not isinstance(caller, HeaderFault):
+        caller = self._codec.decode_caller(headers)
+        if not isinstance(caller, InvalidHeader):
             attempt_id = caller.attempt_id
         response_headers = (
             ("Content-Type", PROBLEM_TYPE),
-            *self._codec.for_refusal(attempt_id),
+            *self._codec.encode_refusal(attempt_id),
         )
         if refusal.retry_after is not None:
             seconds = refusal.retry_after.total_seconds()
             response_headers += (("Retry-After", f"{seconds:.2f}"),)
         body = problem_document(refusal, attempt_id)
-        return WholeAnswer(
+        return CompleteAnswer(
             refusal.reason.status, refusal.reason.title, response_headers, body
         )
 
--- a/packages/runhatch-server/src/runhatch_server/gateway/_balancer.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_balancer.py
@@ -12,47 +12,52 @@
 
 from runhatch_coordination import Clock
 from runhatch_server.decisions import (
-    BUSY_HOLDS,
-    BUSY_RETRY,
+    BUSY_AVOIDANCE_DURATION,
+    BUSY_RETRY_DELAY,
     Admitted,
     GatewayRequest,
-    HeldPlace,
+    HeldRequest,
     LoadBook,
-    NoneWilling,
-    Outstanding,
+    NoCandidates,
+    OutstandingRequest,
     Postponed,
     Rejected,
-    Scored,
+    ScoredTarget,
     Scorer,
-    Tried,
+    TriedTargets,
     choose_candidates,
-    judge,
+    decide_admission,
     request_tier,
 )
-from runhatch_server.fleet import Directory, Target
+from runhatch_server.fleet import Target, TargetDirectory
 from runhatch_server.gateway._grant import Grant
-from runhatch_server.gateway._held import HeldRequests, Wait
+from runhatch_server.gateway._held import HeldRequests, HoldDecision
 from runhatch_server.gateway._rate_limits import RateLimits
-from runhatch_server.gateway._refusing import Refuser, missing_retry
-from runhatch_server.gateway._search import Closed, PermitWanted, Search, use_permit
+from runhatch_server.gateway._refusing import RefusalBuilder, missing_model_retry_delay
+from runhatch_server.gateway._search import (
+    NoPermit,
+    PermitNeeded,
+    TargetSearch,
+    use_permit,
+)
 from runhatch_server.gateway._shared_loads import SharedLoads
 from runhatch_server.refusals import Executed, Reason, Refusal
 from runhatch_server.routing import RequestKind, ServiceSpec
 
-GONE_CHECK = timedelta(milliseconds=150)
+CALLER_CHECK_INTERVAL = timedelta(milliseconds=150)
 """Interval at which a held request checks that its caller is still connected: work
 must stop within half a second of a disconnect."""
-DOWN_AFTER = 2
+MAX_CONNECT_FAILURES = 2
 """Consecutive failed connects after which a target counts as down and is replaced."""
-FIRST_SHUT = timedelta(milliseconds=500)
-LONGEST_SHUT = timedelta(seconds=4)
+MIN_CONNECT_BACKOFF = timedelta(milliseconds=500)
+MAX_CONNECT_BACKOFF = timedelta(seconds=4)
 """Bounds of the backoff after a failed connect to a target; it doubles each time."""
-LAST_STREAMS = timedelta(seconds=2.5)
+SHUTDOWN_STREAM_WINDOW = timedelta(seconds=2.5)
 """Time after the start of a shutdown in which streams are still accepted.  Later ones
 would be cut off at exit, and the load balancer has polled readiness twice by then."""
-SHUT_DOUBLINGS = 4
+MAX_BACKOFF_DOUBLINGS = 4
 """Doublings after which the backoff has reached its maximum."""
-LEAST_CONNECTIONS = 4
+MIN_CONNECTIONS = 4
 """Connections to a target that each node may open, however many nodes there are."""
 
 
@@ -61,22 +66,22 @@
 
     def __init__(
         self,
-        directory: Directory,
+        directory: TargetDirectory,
         clock: Clock,
         failure_domain: str,
         limits: RateLimits,
-        on_missing: Callable[[GatewayRequest], None],
+        on_missing_model: Callable[[GatewayRequest], None],
         has_connection: Callable[[str], bool],
         on_change: Callable[[], None],
-        on_leaving: Callable[[str], None],
+        on_draining: Callable[[str], None],
         seed: int | None = None,
     ) -> None:
         self._directory = directory
         self._clock = clock
-        self._on_missing = on_missing
+        self._on_missing = on_missing_model
         self._on_change = on_change
-        self._on_draining = on_leaving
-        self._refuser = Refuser(seed)
+        self._on_draining = on_draining
+        self._refuser = RefusalBuilder(seed)
         self._lock = threading.Lock()
         self._book = LoadBook()
         self._scorer = Scorer(self._book, failure_domain, has_connection, seed)
@@ -89,11 +94,11 @@
         """The rate limits announced by targets."""
         self._held_requests = HeldRequests(directory, clock, self._book, self._lock)
         self._closed_at: timedelta | None = None
-        self.nodes = 1
+        self.node_count = 1
         """Number of nodes among which the targets' connections are divided."""
 
     @property
-    def held(self) -> int:
+    def held_count(self) -> int:
         """Number of requests that currently wait for a model."""
         return self._held_requests.count
 
@@ -117,12 +122,12 @@
         another node.
         """
         self._closed_at = self._clock.elapsed()
-        self._directory.wake()
+        self._directory.notify_waiters()
 
     def acquire(
         self,
         request: GatewayRequest,
-        tried: Tried,
+        tried: TriedTargets,
         caller_gone: Callable[[], bool],
     ) -> Grant | Refusal:
         """Return a grant for ``request``, or a refusal as soon as none is possible.
@@ -132,26 +137,28 @@
         """
         if self._exits_before_end_of(request):
             return Refusal(Reason.STOPPING, Executed.NO, retry_after=timedelta())
-        search = Search(request, tried, request_tier(request))
+        search = TargetSearch(request, tried, request_tier(request))
         try:
             result = self._find_place(search)
-            if not isinstance(result, Wait):
+            if not isinstance(result, HoldDecision):
                 return result
-            if result.look_after is None:
+            if result.recheck_interval is None:
                 self._on_missing(request)
-            search.place = HeldPlace(next(self._number_sequence), self._clock.elapsed())
+            search.place = HeldRequest(
+                next(self._number_sequence), self._clock.elapsed()
+            )
             return self._wait(search, search.place, caller_gone, result)
         finally:
             if search.place is not None:
-                self._held_requests.leave(search.place)
-            self.limits.settle(search.asked)
+                self._held_requests.uncount(search.place)
+            self.limits.stop_waiting(search.permits_requested_at)
 
     def _wait(
         self,
-        search: Search,
-        place: HeldPlace,
+        search: TargetSearch,
+        place: HeldRequest,
         caller_gone: Callable[[], bool],
-        result: Wait,
+        result: HoldDecision,
     ) -> Grant | Refusal:
         """Hold a request until its model is loaded or waiting can no longer help."""
         request = search.request
@@ -159,37 +166,41 @@
             now = self._clock.elapsed()
             if self._closed_at is not None:
                 return self._refuser.refuse(result.reason)
-            if now >= result.until or self._held_requests.full:
-                retry_after = missing_retry(request)
-                if result.look_after is not None:
-                    retry_after = BUSY_RETRY
+            if now >= result.until or self._held_requests.is_full:
+                retry_after = missing_model_retry_delay(request)
+                if result.recheck_interval is not None:
+                    retry_after = BUSY_RETRY_DELAY
                 return self._refuser.refuse(result.reason, retry_after)
             if caller_gone():
                 return Refusal(Reason.CALLER_GONE, Executed.NO)
             self._held_requests.count_at(request, result.target, place)
-            look_after = result.look_after or GONE_CHECK
-            self._held_requests.pause(min(result.until - now, look_after, GONE_CHECK))
+            look_after = result.recheck_interval or CALLER_CHECK_INTERVAL
+            self._held_requests.wait_for_update(
+                min(result.until - now, look_after, CALLER_CHECK_INTERVAL)
+            )
             next_result = self._find_place(search)
-            if not isinstance(next_result, Wait):
+            if not isinstance(next_result, HoldDecision):
                 return next_result
             result = next_result
 
-    def started(self, grant: Grant) -> None:
+    def record_first_byte(self, grant: Grant) -> None:
         """Record that the first byte of the answer has arrived."""
         now = self._clock.elapsed()
         with self._lock:
             load = self._book.load(grant.target.incarnation)
-            load.heard_at = now
-            outstanding = load.own.get(grant.number)
+            load.last_received_at = now
+            outstanding = load.own_requests.get(grant.number)
             if outstanding is None or outstanding.started:
                 return
             outstanding.started = True
             work = grant.request.work
             if work is not None:
                 duration = now - outstanding.sent_at
-                self._book.began(grant.target.incarnation, work, outstanding, duration)
+                self._book.record_first_byte(
+                    grant.target.incarnation, work, outstanding, duration
+                )
 
-    def streamed(self, grant: Grant, mean_gap: timedelta) -> None:
+    def record_stream_pace(self, grant: Grant, mean_gap: timedelta) -> None:
         """Update the target's pace from a complete stream with this mean event gap."""
         service = self._services.get(grant.request.service)
         if service is None or service.engine is None:
@@ -197,39 +208,43 @@
         gap_ms = mean_gap / timedelta(milliseconds=1)
         with self._lock:
             load = self._book.load(grant.target.incarnation)
-            load.stepped(gap_ms / service.engine.event_tokens)
+            load.record_step_time(gap_ms / service.engine.event_tokens)
 
-    def released(self, grant: Grant, faulty: bool) -> None:
-        """Release ``grant``; ``faulty`` if the target failed the request."""
+    def release(self, grant: Grant, target_failed: bool) -> None:
+        """Release ``grant``; ``target_failed`` if the target failed the request."""
         now = self._clock.elapsed()
         with self._lock:
             load = self._book.load(grant.target.incarnation)
-            load.own.pop(grant.number, None)
-            load.noted(faulty, now)
-            if not faulty:
-                load.heard_at = now
-                load.shut_times = 0
+            load.own_requests.pop(grant.number, None)
+            load.record_outcome(target_failed, now)
+            if not target_failed:
+                load.last_received_at = now
+                load.avoidance_count = 0
                 if grant.request.work is None:
                     duration = now - grant.granted_at
-                    self._book.rates.served(grant.request.route.name, duration)
+                    self._book.rates.record_service_time(
+                        grant.request.route.name, duration
+                    )
 
-    def refused(self, grant: Grant) -> None:
+    def release_refused(self, grant: Grant) -> None:
         """Release ``grant``, whose target was full and didn't run the request."""
-        self._release_and_exclude(grant, BUSY_HOLDS)
+        self._release_and_exclude(grant, BUSY_AVOIDANCE_DURATION)
 
-    def rests(self, grant: Grant, rest: timedelta) -> None:
-        """Send nothing to the target of ``grant`` for the duration ``rest``."""
+    def back_off_target(self, grant: Grant, backoff: timedelta) -> None:
+        """Send nothing to the target of ``grant`` for the duration ``backoff``."""
         now = self._clock.elapsed()
         with self._lock:
             load = self._book.load(grant.target.incarnation)
-            load.rests_until = max(load.rests_until, now + rest)
+            load.backoff_until = max(load.backoff_until, now + backoff)
 
-    def leaves(self, grant: Grant) -> None:
+    def record_draining(self, grant: Grant) -> None:
         """Record that the target of ``grant`` announced that it drains."""
-        if self._directory.leaves(grant.target.incarnation):
+        if self._directory.record_draining(grant.target.incarnation):
             self._on_draining(grant.target.incarnation)
 
-    def unwilling(self, request: GatewayRequest, tried: Tried) -> Refusal | None:
+    def refusal_for_retry(
+        self, request: GatewayRequest, tried: TriedTargets
+    ) -> Refusal | None:
         """Return a refusal if every target with the model rejects a retry now.
 
         Returns ``None`` if one may accept it, or if no target holds the model.
@@ -241,108 +256,116 @@
             return None
         with self._lock:
             result = self._candidates(
-                holders, Search(request, tried, request_tier(request))
+                holders, TargetSearch(request, tried, request_tier(request))
             )
-        if isinstance(result, NoneWilling):
+        if isinstance(result, NoCandidates):
             return self._refuser.refuse_unwilling(result)
         return None
 
-    def unreachable(self, grant: Grant) -> None:
+    def release_unreachable(self, grant: Grant) -> None:
         """Release ``grant``, to whose target no connection could be made."""
         with self._lock:
             load = self._book.load(grant.target.incarnation)
             pause = min(
-                LONGEST_SHUT, FIRST_SHUT * (1 << min(load.shut_times, SHUT_DOUBLINGS))
+                MAX_CONNECT_BACKOFF,
+                MIN_CONNECT_BACKOFF
+                * (1 << min(load.avoidance_count, MAX_BACKOFF_DOUBLINGS)),
             )
-            load.shut_times += 1
+            load.avoidance_count += 1
         self._release_and_exclude(grant, pause)
 
-    def misdirected(self, grant: Grant) -> None:
+    def release_misdirected(self, grant: Grant) -> None:
         """Release ``grant``, whose target does not hold the model at present."""
         self._release_and_exclude(grant, timedelta())
         request = grant.request
         target = grant.target.incarnation
-        self._directory.correct(target, request.model, request.adapter)
+        self._directory.record_missing_model(target, request.model, request.adapter)
 
     def is_down(self, target: str) -> bool:
-        """Return whether the last ``DOWN_AFTER`` connects to ``target`` all failed."""
+        """Return whether the last ``MAX_CONNECT_FAILURES`` connects all failed."""
         with self._lock:
-            return self._book.load(target).shut_times >= DOWN_AFTER
+            return self._book.load(target).avoidance_count >= MAX_CONNECT_FAILURES
 
-    def work_ms(self, request: GatewayRequest) -> float:
+    def prompt_work_ms(self, request: GatewayRequest) -> float:
         """Return the milliseconds that processing the whole prompt would take."""
         with self._lock:
-            return self._book.full_work_ms(request)
+            return self._book.full_prompt_ms(request)
 
-    def forget_unknown(self) -> None:
+    def delete_unknown_targets(self) -> None:
         """Delete the load records of targets that no longer exist."""
         now = self._clock.elapsed()
         with self._lock:
-            self._book.forget(lambda name: self._directory.get(name) is not None, now)
+            self._book.remove_ended(
+                lambda name: self._directory.get(name) is not None, now
+            )
 
     def _exits_before_end_of(self, request: GatewayRequest) -> bool:
         """Return whether this node would exit before the stream ``request`` ends."""
         closed_at = self._closed_at
         if closed_at is None or request.route.kind is not RequestKind.STREAM:
             return False
-        return self._clock.elapsed() - closed_at >= LAST_STREAMS
+        return self._clock.elapsed() - closed_at >= SHUTDOWN_STREAM_WINDOW
 
-    def _find_place(self, search: Search) -> Grant | Refusal | Wait:
+    def _find_place(self, search: TargetSearch) -> Grant | Refusal | HoldDecision:
         while True:
             result = self._try_place(search)
-            if not isinstance(result, PermitWanted):
+            if not isinstance(result, PermitNeeded):
                 return result
-            search.asked[result.target] = self._clock.elapsed()
+            search.permits_requested_at[result.target] = self._clock.elapsed()
             # Granted synchronously if this node issues the target's permits itself.
-            self.limits.ask(result.target, result.tier)
+            self.limits.request_permit(result.target, result.tier)
 
-    def _try_place(self, search: Search) -> Grant | Refusal | Wait | PermitWanted:
+    def _try_place(
+        self, search: TargetSearch
+    ) -> Grant | Refusal | HoldDecision | PermitNeeded:
         request = search.request
         service = self._services.get(request.service)
-        if service is None or not self._directory.ready(request.service):
+        if service is None or not self._directory.ready_targets(request.service):
             return self._refuser.refuse(Reason.NO_TARGET)
         holders = self._directory.holders(
             request.service, request.model, request.adapter
         )
         if not holders:
-            decision = self._held_requests.judge(request, search.place)
-            if isinstance(decision, Wait):
+            decision = self._held_requests.decide(request, search.place)
+            if isinstance(decision, HoldDecision):
                 return decision
             return self._refuser.refuse(Reason.NO_REPLICA, decision.retry_after)
         with self._lock:
             while True:
                 result = self._candidates(holders, search)
-                if isinstance(result, NoneWilling):
+                if isinstance(result, NoCandidates):
                     return self._refuser.refuse_unwilling(result)
                 chosen = self._choose(search, service, result)
-                if not isinstance(chosen, Closed):
+                if not isinstance(chosen, NoPermit):
                     return chosen
-                search.closed[chosen.target] = chosen.until
+                search.no_permit_until[chosen.target] = chosen.until
 
     def _candidates(
-        self, holders: list[Target], search: Search
-    ) -> list[Target] | NoneWilling:
+        self, holders: list[Target], search: TargetSearch
+    ) -> list[Target] | NoCandidates:
         now = self._clock.elapsed()
 
         def opens_at(target: str) -> timedelta:
-            limit_opens_at = self.limits.opens_at(target, search.tier, now)
-            return max(limit_opens_at, search.closed.get(target, limit_opens_at))
+            limit_opens_at = self.limits.available_at(target, search.tier, now)
+            return max(
+                limit_opens_at, search.no_permit_until.get(target, limit_opens_at)
+            )
 
         return choose_candidates(holders, search.tried, self._book.load, now, opens_at)
 
     def _choose(
-        self, search: Search, service: ServiceSpec, targets: list[Target]
-    ) -> Grant | Refusal | Wait | PermitWanted | Closed:
+        self, search: TargetSearch, service: ServiceSpec, targets: list[Target]
+    ) -> Grant | Refusal | HoldDecision | PermitNeeded | NoPermit:
         now = self._clock.elapsed()
         request = search.request
 
-        def find_best(tier: int, allowed_ms: float) -> Scored:
-            return self._scorer.best(
+        def find_best(tier: int, allowed_ms: float) -> ScoredTarget:
+            return self._scorer.find_best(
                 request, service, targets, tier, now, search.place, allowed_ms
             )
 
         max_gap = self._max_gaps.get(request.service)
-        match judge(request, max_gap, find_best, now):
+        match decide_admission(request, max_gap, find_best, now):
             case Admitted(best, tier):
                 blocked = use_permit(
                     self.limits, search, best.target.incarnation, tier, now
@@ -351,7 +374,7 @@
                     return blocked
                 return self._grant(request, service, best, tier, now)
             case Postponed(best, pause, until):
-                return Wait(until, Reason.TOO_BUSY, look_after=pause)
+                return HoldDecision(until, Reason.TOO_BUSY, recheck_interval=pause)
             case Rejected(reason, best, after):
                 return self._refuser.refuse(reason, after, best)
 
@@ -359,27 +382,27 @@
         self,
         request: GatewayRequest,
         service: ServiceSpec,
-        best: Scored,
+        best: ScoredTarget,
         tier: int,
         now: timedelta,
     ) -> Grant:
         number = next(self._number_sequence)
         tokens = 0
         if request.work is not None:
-            tokens = request.work.prompt_tokens + request.work.expected_output
+            tokens = request.work.prompt_tokens + request.work.expected_output_tokens
         load = self._book.load(best.target.incarnation)
-        load.sent(best.work_ms, now)
-        load.own[number] = Outstanding(
+        load.record_sent(best.work_ms, now)
+        load.own_requests[number] = OutstandingRequest(
             best.work_ms,
             tokens,
             now,
             best.predicted_ms,
             tier,
-            best.unread,
+            best.uncached_tokens,
             best.queue_ms,
         )
         self._on_change()
-        max_connections = service.max_connections // max(1, self.nodes)
+        max_connections = service.max_connections // max(1, self.node_count)
         return Grant(
             number,
             best.target,
@@ -389,12 +412,12 @@
             tier,
             best.busy,
             best.pause_ms,
-            max(LEAST_CONNECTIONS, max_connections),
+            max(MIN_CONNECTIONS, max_connections),
         )
 
     def _release_and_exclude(self, grant: Grant, pause: timedelta) -> None:
         now = self._clock.elapsed()
         with self._lock:
             load = self._book.load(grant.target.incarnation)
-            load.own.pop(grant.number, None)
-            load.shut_until = max(load.shut_until, now + pause)
+            load.own_requests.pop(grant.number, None)
+            load.avoided_until = max(load.avoided_until, now + pause)
--- a/packages/runhatch-server/src/runhatch_server/gateway/_configuration.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_configuration.py
@@ -7,7 +7,7 @@
 from runhatch_server.routing import RouteTable, RoutingConfiguration
 
 
-class ConfigurationKeeper:
+class ActiveConfiguration:
     """Holds the current routes.
 
     A :class:`runhatch_coordination.FeedListener`; ``on_routes`` is called with each
@@ -34,9 +34,9 @@
         """Apply new versions."""
         for entry in entries:
             if entry.value is not None:
-                self.offer(entry.value, "store")
+                self.apply_if_newer(entry.value, "store")
 
-    def offer(self, configuration: RoutingConfiguration, source: str) -> bool:
+    def apply_if_newer(self, configuration: RoutingConfiguration, source: str) -> bool:
         """Apply ``configuration`` if it is newer; return whether it was."""
         current = self._routes
         if current is not None and configuration.version <= current.version:
--- a/packages/runhatch-server/src/runhatch_server/gateway/_connections.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_connections.py
@@ -19,9 +19,9 @@
 CONNECT_TIMEOUT = timedelta(milliseconds=400)
 """Targets in the region accept within about 10 ms; a lost SYN is retransmitted only
 after a second, which is too late to wait for."""
-CLOSED_TOGETHER = timedelta(milliseconds=2)
+PROCESS_EXIT_CLOSE_TIME = timedelta(milliseconds=2)
 """Time in which all connections of an exiting process are closed."""
-LONGEST_IDLE = timedelta(seconds=8)
+MAX_IDLE_TIME = timedelta(seconds=8)
 """Maximum idle time of a pooled connection, even if its target allows more."""
 READ_SIZE = 65_536
 CHUNK_END = b"\r\n"
@@ -92,7 +92,7 @@
 
     def __init__(self, target: Target) -> None:
         self.target = target
-        self.uses = 0
+        self.use_count = 0
         self.idle_until = timedelta()
         self._connection = http.client.HTTPConnection(target.host, target.port)
         self._connection.response_class = _LeftoverResponse
@@ -115,7 +115,7 @@
 
         Raises ``OSError`` on failure; the target may have received it nonetheless.
         """
-        self.uses += 1
+        self.use_count += 1
         self.set_timeout(timeout)
         connection = self._connection
         connection.putrequest(method, uri, skip_host=True, skip_accept_encoding=True)
@@ -125,7 +125,7 @@
             connection.putheader("Content-Length", str(len(body)))
         connection.endheaders(body or None)
 
-    def wait(self, timeout: timedelta) -> bool:
+    def wait_readable(self, timeout: timedelta) -> bool:
         """Wait until data can be read; return false if ``timeout`` passes first."""
         if self._response is not None and self._response.has_pending():
             return True
@@ -140,7 +140,7 @@
         self._body_left = None if response.chunked else response.length
         return response
 
-    def read_some(self) -> bytes:
+    def read_chunk(self) -> bytes:
         """Return the next bytes of the body as they arrive; empty at its end.
 
         Raises ``OSError`` or ``HTTPException`` if the body ends early.
@@ -159,8 +159,8 @@
         self._body_left -= len(chunk)
         return chunk
 
-    def read_whole(self) -> bytes:
-        """Return the whole body; raises like :meth:`read_some` if it ends early."""
+    def read_body(self) -> bytes:
+        """Return the whole body; raises like :meth:`read_chunk` if it ends early."""
         return self._require_response().read()
 
     def set_timeout(self, timeout: timedelta) -> None:
@@ -168,7 +168,7 @@
         if self._socket is not None:
             self._socket.settimeout(max(0.001, timeout.total_seconds()))
 
-    def finish(self) -> bool:
+    def finish_answer(self) -> bool:
         """Close a completely read answer; return whether the connection is reusable.
 
         It isn't if bytes or the end of the connection follow the answer.
@@ -207,12 +207,12 @@
         self._idle_connections: dict[str, list[TargetConnection]] = defaultdict(list)
         self._open_counts: dict[str, int] = defaultdict(int)
 
-    def take(
-        self, target: Target, most: int, timeout: timedelta
+    def acquire(
+        self, target: Target, max_open: int, timeout: timedelta
     ) -> TargetConnection | NotSent:
         """Return a clean connection to ``target``, pooled or new.
 
-        Returns ``NotSent`` if ``most`` connections are open or connecting fails.
+        Returns ``NotSent`` if ``max_open`` connections are open or connecting fails.
         """
         while True:
             pooled = self._pop_idle(target.incarnation)
@@ -222,7 +222,7 @@
                 return pooled
             self.discard(pooled)
         with self._lock:
-            if self._open_counts[target.incarnation] >= most:
+            if self._open_counts[target.incarnation] >= max_open:
                 return NotSent(AttemptReason.TARGET_BUSY)
             self._open_counts[target.incarnation] += 1
         connection = TargetConnection(target)
@@ -238,26 +238,26 @@
         with self._lock:
             return bool(self._idle_connections.get(target))
 
-    def refuses(self, target: Target) -> bool:
+    def refuses_connections_of(self, target: Target) -> bool:
         """Return whether the address of ``target`` refuses connections.
 
         A process that exits closes its idle connections too, so if all are still
         open, the target most likely runs, and no new connection is tried.
         """
         if self.has_idle(target.incarnation):
-            self._clock.sleep(CLOSED_TOGETHER)
+            self._clock.sleep(PROCESS_EXIT_CLOSE_TIME)
             if self._all_idle_open(target.incarnation):
                 return False
         return refuses_connections(target.host, target.port)
 
-    def give_back(self, connection: TargetConnection, idle: timedelta) -> None:
+    def release(self, connection: TargetConnection, idle: timedelta) -> None:
         """Pool ``connection`` for ``idle``, or close it if it isn't clean.
 
         Its answer must have been read to the end.
         """
         now = self._clock.elapsed()
-        connection.idle_until = now + min(idle, LONGEST_IDLE)
-        if not connection.finish():
+        connection.idle_until = now + min(idle, MAX_IDLE_TIME)
+        if not connection.finish_answer():
             self.discard(connection)
             return
         with self._lock:
@@ -269,19 +269,21 @@
         with self._lock:
             self._open_counts[connection.target.incarnation] -= 1
 
-    def close_expired(self, known: frozenset[str]) -> None:
-        """Close idle connections that expired or whose target isn't in ``known``."""
+    def close_expired(self, known_targets: frozenset[str]) -> None:
+        """Close idle connections that expired or lack a target in ``known_targets``."""
         now = self._clock.elapsed()
         with self._lock:
             expired = [
                 connection
                 for target, idle in self._idle_connections.items()
                 for connection in idle
-                if now >= connection.idle_until or target not in known
+                if now >= connection.idle_until or target not in known_targets
             ]
             for connection in expired:
                 self._idle_connections[connection.target.incarnation].remove(connection)
-            for target in [name for name in self._open_counts if name not in known]:
+            for target in [
+                name for name in self._open_counts if name not in known_targets
+            ]:
                 if not self._open_counts[target]:
                     del self._open_counts[target]
                     self._idle_connections.pop(target, None)
--- a/packages/runhatch-server/src/runhatch_server/gateway/_demand.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_demand.py
@@ -4,7 +4,7 @@
 from collections import Counter, defaultdict
 
 from runhatch_server.decisions import GatewayRequest
-from runhatch_server.residency import DemandShare, Wanted
+from runhatch_server.residency import DemandKey, DemandShare
 
 
 class DemandCounter:
@@ -12,13 +12,13 @@
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._requests: Counter[Wanted] = Counter()
-        self._misses: Counter[Wanted] = Counter()
-        self._work_ms: defaultdict[Wanted, float] = defaultdict(float)
-        self.wake = threading.Event()
+        self._requests: Counter[DemandKey] = Counter()
+        self._misses: Counter[DemandKey] = Counter()
+        self._work_ms: defaultdict[DemandKey, float] = defaultdict(float)
+        self.missed_event = threading.Event()
         """Set when a request waits for its model: the counts are then sent at once."""
 
-    def note(self, request: GatewayRequest, work_ms: float) -> None:
+    def count_request(self, request: GatewayRequest, work_ms: float) -> None:
         """Count a request whose prompt takes ``work_ms`` milliseconds to process."""
         if request.work is not None:
             wanted = _wanted_of(request)
@@ -26,13 +26,13 @@
                 self._requests[wanted] += 1
                 self._work_ms[wanted] += work_ms
 
-    def miss(self, request: GatewayRequest) -> None:
+    def count_miss(self, request: GatewayRequest) -> None:
         """Count a request whose model or adapter no target holds."""
         with self._lock:
             self._misses[_wanted_of(request)] += 1
-        self.wake.set()
+        self.missed_event.set()
 
-    def take(self) -> list[DemandShare]:
+    def pop_shares(self) -> list[DemandShare]:
         """Return the counts since the previous call and reset them."""
         with self._lock:
             wanted = sorted({*self._requests, *self._misses})
@@ -51,8 +51,8 @@
             return shares
 
 
-def _wanted_of(request: GatewayRequest) -> Wanted:
-    return Wanted(
+def _wanted_of(request: GatewayRequest) -> DemandKey:
+    return DemandKey(
         request.service,
         request.model,
         request.adapter,
--- a/packages/runhatch-server/src/runhatch_server/gateway/_forward.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_forward.py
@@ -13,16 +13,16 @@
 from runhatch_server.targets import (
     AttemptReason,
     NotSent,
-    RefusedUnrun,
+    RefusedNotRun,
     UnknownResult,
 )
 
-WATCH_SLICE = timedelta(milliseconds=150)
+CALLER_CHECK_INTERVAL = timedelta(milliseconds=150)
 """Interval at which a wait for a target checks that the caller is still connected:
 work must stop within half a second of a disconnect, network delay included."""
 READ_TIMEOUT = timedelta(seconds=2)
 """Timeout of reads within a head or chunk that has begun to arrive."""
-MISDIRECTED = 421
+MISDIRECTED_STATUS = 421
 
 
 @dataclass(slots=True)
@@ -33,7 +33,7 @@
     head: AnswerHead
 
 
-AttemptResult = OpenedAnswer | NotSent | RefusedUnrun | UnknownResult
+AttemptResult = OpenedAnswer | NotSent | RefusedNotRun | UnknownResult
 
 
 class Forwarder:
@@ -48,7 +48,7 @@
         self,
         request: GatewayRequest,
         grant: Grant,
-        until: timedelta,
+        wait_until: timedelta,
         caller_gone: Callable[[], bool],
         resume_after: str = "",
     ) -> AttemptResult:
@@ -60,43 +60,45 @@
         time_left = request.deadline - self._clock.elapsed()
         if time_left <= timedelta():
             return NotSent(AttemptReason.TIMED_OUT)
-        connection = self._pool.take(grant.target, grant.most_connections, time_left)
+        connection = self._pool.acquire(grant.target, grant.max_connections, time_left)
         if isinstance(connection, NotSent):
             return connection
         time_left = request.deadline - self._clock.elapsed()
-        headers = self._codec.for_target(request, grant.target, time_left, grant.tier)
+        headers = self._codec.encode_request(
+            request, grant.target, time_left, grant.tier
+        )
         if resume_after:
-            headers = self._codec.resumed_after(headers, resume_after)
-        result = self._exchange(connection, request, headers, until, caller_gone)
-        if isinstance(result, RefusedUnrun):
+            headers = self._codec.add_resume_after(headers, resume_after)
+        result = self._exchange(connection, request, headers, wait_until, caller_gone)
+        if isinstance(result, RefusedNotRun):
             self._recycle_after_refusal(connection, result)
         elif not isinstance(result, OpenedAnswer):
             self._pool.discard(connection)
         return result
 
-    def finished(self, opened: OpenedAnswer) -> None:
+    def recycle_connection(self, opened: OpenedAnswer) -> None:
         """Pool or close the connection of an answer read to its end."""
-        if opened.head.idle is None:
+        if opened.head.idle_timeout is None:
             self._pool.discard(opened.connection)
         else:
-            self._pool.give_back(opened.connection, opened.head.idle)
+            self._pool.release(opened.connection, opened.head.idle_timeout)
 
     def _recycle_after_refusal(
-        self, connection: TargetConnection, refused: RefusedUnrun
+        self, connection: TargetConnection, refused: RefusedNotRun
     ) -> None:
         """Pool the connection of a refusal if its body can be read to the end."""
         try:
             connection.set_timeout(READ_TIMEOUT)
-            connection.read_whole()
+            connection.read_body()
         except (OSError, http.client.HTTPException):
             self._pool.discard(connection)
             return
-        if refused.idle is None:
+        if refused.idle_timeout is None:
             self._pool.discard(connection)
         else:
-            self._pool.give_back(connection, refused.idle)
+            self._pool.release(connection, refused.idle_timeout)
 
-    def abandon(self, opened: OpenedAnswer) -> None:
+    def discard_answer(self, opened: OpenedAnswer) -> None:
         """Close the connection of an answer that is not read to its end."""
         self._pool.discard(opened.connection)
 
@@ -122,7 +124,7 @@
         except (OSError, http.client.HTTPException, ValueError):
             return UnknownResult(AttemptReason.BROKEN)
         names = {name.lower(): value for name, value in response.getheaders()}
-        head = self._codec.read_answer(
+        head = self._codec.decode_answer(
             response.status, response.reason, names, response.will_close
         )
         return self._classify(connection, request, head)
@@ -137,7 +139,7 @@
             time_left = until - self._clock.elapsed()
             if time_left <= timedelta():
                 return AttemptReason.TIMED_OUT
-            if connection.wait(min(time_left, WATCH_SLICE)):
+            if connection.wait_readable(min(time_left, CALLER_CHECK_INTERVAL)):
                 return None
             if caller_gone():
                 return AttemptReason.CALLER_GONE
@@ -151,23 +153,23 @@
             return UnknownResult(AttemptReason.WRONG_ANSWER)
         if head.not_run:
             return _make_refusal(head)
-        if head.encoded or not head.sealed:
+        if head.encoded or not head.is_authentic:
             return UnknownResult(AttemptReason.WRONG_ANSWER)
         return OpenedAnswer(connection, head)
 
 
-def _make_refusal(head: AnswerHead) -> RefusedUnrun:
-    if head.status == MISDIRECTED:
-        return RefusedUnrun(
+def _make_refusal(head: AnswerHead) -> RefusedNotRun:
+    if head.status == MISDIRECTED_STATUS:
+        return RefusedNotRun(
             AttemptReason.MODEL_NOT_THERE,
-            idle=head.idle,
-            leaving=head.leaving,
+            idle_timeout=head.idle_timeout,
+            draining=head.draining,
             rate_limit=head.rate_limit,
         )
-    return RefusedUnrun(
+    return RefusedNotRun(
         AttemptReason.TARGET_BUSY,
-        retry_after=head.rest,
-        idle=head.idle,
-        leaving=head.leaving,
+        retry_after=head.backoff,
+        idle_timeout=head.idle_timeout,
+        draining=head.draining,
         rate_limit=head.rate_limit,
     )
--- a/packages/runhatch-server/src/runhatch_server/gateway/_grant.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_grant.py
@@ -11,7 +11,7 @@
 class Grant:
     """Permission to send one request to one target.
 
-    The holder must end it by ``Balancer.released`` or one of its variants.
+    The holder must end it by ``Balancer.release`` or one of its variants.
     """
 
     number: int
@@ -22,4 +22,4 @@
     tier: int
     busy: float
     pause_ms: float
-    most_connections: int
+    max_connections: int
--- a/packages/runhatch-server/src/runhatch_server/gateway/_held.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_held.py
@@ -10,14 +10,14 @@
 
 from runhatch_coordination import Clock
 from runhatch_server.decisions import (
-    BEGIN_SLACK,
     LATE_TIER,
+    MIN_START_SLACK,
     GatewayRequest,
-    HeldPlace,
+    HeldRequest,
     LoadBook,
-    Outstanding,
+    OutstandingRequest,
 )
-from runhatch_server.fleet import Directory
+from runhatch_server.fleet import TargetDirectory
 from runhatch_server.refusals import Reason
 
 ADAPTER_WAIT = timedelta(milliseconds=400)
@@ -27,25 +27,25 @@
 PLAN_WAIT_SHARE = 0.125
 """Maximum wait for the announcement of a model's load: the larger of ``PLAN_WAIT`` and
 this fraction of the request's goal, as other models may be loaded first."""
-LOAD_SLACK = timedelta(seconds=1)
+LOAD_DELAY_TOLERANCE = timedelta(seconds=1)
 """Tolerated delay of a load beyond its announced end."""
-MOST_HELD = 48
+MAX_HELD_REQUESTS = 48
 """Maximum number of held requests on a node; each blocks a thread."""
 
 
 @dataclass(frozen=True, slots=True)
-class Wait:
+class HoldDecision:
     """Decision to hold a request until a target can take it, or until ``until``."""
 
     until: timedelta
     reason: Reason
     target: str = ""
-    look_after: timedelta | None = None
+    recheck_interval: timedelta | None = None
     """Interval of checks without a notification; ``None`` if only one can help."""
 
 
 @dataclass(frozen=True, slots=True)
-class ComesTooLate:
+class LoadTooLate:
     """Decision to refuse a request, as the load in progress ends too late for it.
 
     A retry after ``retry_after`` can find the model loaded.
@@ -62,7 +62,7 @@
 
     def __init__(
         self,
-        directory: Directory,
+        directory: TargetDirectory,
         clock: Clock,
         book: LoadBook,
         lock: threading.Lock,
@@ -75,65 +75,71 @@
         """Number of requests that currently wait."""
 
     @property
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         """Whether no further request may be held."""
-        return self.count >= MOST_HELD
+        return self.count >= MAX_HELD_REQUESTS
 
-    def judge(
-        self, request: GatewayRequest, place: HeldPlace | None
-    ) -> Wait | ComesTooLate:
+    def decide(
+        self, request: GatewayRequest, held_place: HeldRequest | None
+    ) -> HoldDecision | LoadTooLate:
         """Decide whether to hold a request whose model or adapter no target holds."""
         now = self._clock.elapsed()
         model_holders = self._directory.holders(request.service, request.model, "")
         if model_holders and request.adapter:
-            until = request.received + min(ADAPTER_WAIT, request.route.goal / 2)
-            return Wait(until, Reason.NO_REPLICA)
-        expected_load = self._directory.expected(request.service, request.model)
+            until = request.received_at + min(ADAPTER_WAIT, request.route.goal / 2)
+            return HoldDecision(until, Reason.NO_REPLICA)
+        expected_load = self._directory.earliest_load(request.service, request.model)
         if expected_load is None:
             plan_wait = max(PLAN_WAIT, request.route.goal * PLAN_WAIT_SHARE)
-            return Wait(request.received + plan_wait, Reason.NO_REPLICA)
+            return HoldDecision(request.received_at + plan_wait, Reason.NO_REPLICA)
         ready_at = max(expected_load.ready_at, now)
         with self._lock:
             load = self._book.load(expected_load.target)
-            since = now if place is None else place.since
-            ahead_ms = load.held_ahead_ms(since, now) + self._book.full_work_ms(request)
+            since = now if held_place is None else held_place.held_since
+            ahead_ms = load.held_ahead_ms(since, now) + self._book.full_prompt_ms(
+                request
+            )
         starts_at = ready_at + timedelta(milliseconds=ahead_ms)
-        if starts_at + BEGIN_SLACK >= request.begin_by:
-            return ComesTooLate(starts_at - now)
-        until = min(ready_at + LOAD_SLACK, request.begin_by - BEGIN_SLACK)
-        return Wait(until, Reason.NO_REPLICA, expected_load.target)
-
-    def count_at(self, request: GatewayRequest, target: str, place: HeldPlace) -> None:
+        if starts_at + MIN_START_SLACK >= request.start_deadline:
+            return LoadTooLate(starts_at - now)
+        until = min(
+            ready_at + LOAD_DELAY_TOLERANCE, request.start_deadline - MIN_START_SLACK
+        )
+        return HoldDecision(until, Reason.NO_REPLICA, expected_load.target)
+
+    def count_at(
+        self, request: GatewayRequest, target: str, place: HeldRequest
+    ) -> None:
         """Count ``request`` as load of ``target``, which is loading its model."""
         if place.target == target:
             return
-        self.leave(place)
+        self.uncount(place)
         if not target:
             return
         place.target = target
         with self._lock:
-            held = Outstanding(
-                self._book.full_work_ms(request),
+            held = OutstandingRequest(
+                self._book.full_prompt_ms(request),
                 0,
-                place.since,
+                place.held_since,
                 0.0,
                 LATE_TIER,
                 held=True,
             )
-            self._book.load(target).own[place.number] = held
+            self._book.load(target).own_requests[place.number] = held
 
-    def leave(self, place: HeldPlace) -> None:
+    def uncount(self, place: HeldRequest) -> None:
         """Stop counting a request as load of the target it waits for."""
         if place.target:
             with self._lock:
-                self._book.load(place.target).own.pop(place.number, None)
+                self._book.load(place.target).own_requests.pop(place.number, None)
             place.target = ""
 
-    def pause(self, longest: timedelta) -> None:
-        """Wait at most ``longest`` for an update of the targets."""
+    def wait_for_update(self, timeout: timedelta) -> None:
+        """Wait at most ``timeout`` for an update of the targets."""
         self.count += 1
         try:
-            with self._directory.news:
-                self._directory.news.wait(longest.total_seconds())
+            with self._directory.update_condition:
+                self._directory.update_condition.wait(timeout.total_seconds())
         finally:
             self.count -= 1
--- a/packages/runhatch-server/src/runhatch_server/gateway/_known_orderer.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_known_orderer.py
@@ -6,11 +6,11 @@
 from runhatch_server.observability import Metrics, log_change
 from runhatch_server.peers import OrdererNotice
 
-ORDERER_SILENT = timedelta(seconds=1.5)
+ORDERER_TIMEOUT = timedelta(seconds=1.5)
 """Time without a renewal after which the lease is checked in the store: two renewal
 intervals, as each renewal is published at once."""
 NEVER = timedelta(days=-1)
-NO_RENEWAL = -1
+UNKNOWN_RENEWAL = -1
 """Renewal number of a holder of which only the epoch is known."""
 
 
@@ -23,20 +23,20 @@
     def __init__(self, clock: Clock, metrics: Metrics) -> None:
         self._clock = clock
         self._metrics = metrics
-        self._latest_renewal = (0, NO_RENEWAL)
+        self._latest_renewal = (0, UNKNOWN_RENEWAL)
         self._renewed_at = NEVER
         self._logged_behind: dict[str, int] = {}
         self.address = ""
         self.epoch = 0
-        self.newest_notice = OrdererNotice(0, NO_RENEWAL)
+        self.newest_notice = OrdererNotice(0, UNKNOWN_RENEWAL)
         """The latest renewal published by the holder."""
 
     @property
-    def is_heard(self) -> bool:
-        """Whether a renewal arrived within ``ORDERER_SILENT``."""
-        return self._clock.elapsed() - self._renewed_at < ORDERER_SILENT
+    def renewed_recently(self) -> bool:
+        """Whether a renewal arrived within ``ORDERER_TIMEOUT``."""
+        return self._clock.elapsed() - self._renewed_at < ORDERER_TIMEOUT
 
-    def is_behind(self, epoch: int, address: str) -> bool:
+    def is_outdated(self, epoch: int, address: str) -> bool:
         """Return whether a higher epoch than that of the node at ``address`` is known.
 
         Logged once for each epoch of a node: while such a node still orders, targets
@@ -56,7 +56,7 @@
             )
         return True
 
-    def learn(self, address: str, epoch: int) -> bool:
+    def record_holder(self, address: str, epoch: int) -> bool:
         """Record the holder of the lease; return whether its epoch is higher."""
         is_newer = epoch > self.epoch
         if is_newer:
@@ -65,7 +65,7 @@
         self.epoch = epoch
         return is_newer
 
-    def renewed(self, epoch: int, renewal: int) -> bool:
+    def record_renewal(self, epoch: int, renewal: int) -> bool:
         """Record a renewal; return whether it is new.
 
         Messages of a holder that cannot renew may still arrive.
@@ -76,7 +76,7 @@
         self._renewed_at = self._clock.elapsed()
         return True
 
-    def resigned(self, epoch: int) -> None:
+    def record_release(self, epoch: int) -> None:
         """Record that the holder of ``epoch`` has released the lease."""
         if epoch >= self.epoch:
             self._renewed_at = NEVER
--- a/packages/runhatch-server/src/runhatch_server/gateway/_listeners.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_listeners.py
@@ -16,26 +16,26 @@
 """Maximum open connections of callers; a node may use about 3,900 descriptors."""
 SIDE_THREADS = 2
 SIDE_LIMITS = ServerLimits(body=1_024, header=16_384)
-IDLE_SLACK = timedelta(seconds=10)
+IDLE_TIMEOUT_MARGIN = timedelta(seconds=10)
 """Time that idle connections stay open beyond the timeout announced to callers: the
 HTTP server measures idle time by the wall clock, which may jump by seconds."""
-HEARTBEAT = timedelta(seconds=1)
-MOST_MESSAGE = 1_048_576
+HEARTBEAT_INTERVAL = timedelta(seconds=1)
+MAX_MESSAGE_BYTES = 1_048_576
 """Maximum size of a message between nodes in bytes."""
 
 Application = Callable[..., Iterable[bytes]]
-OnBroken = Callable[[InvariantError], None]
+OnInvariantError = Callable[[InvariantError], None]
 
 
 def build_servers(
     settings: GatewaySettings,
-    callers: Application,
+    caller_app: Application,
     readiness: Application,
     metrics: Application,
 ) -> list[HttpServer]:
     """Return the HTTP servers of a node, the one for callers first."""
     main = HttpServer(
-        callers,
+        caller_app,
         settings.callers.host,
         settings.callers.port,
         CALLER_THREADS,
@@ -51,7 +51,9 @@
 def server_limits(limits: RequestLimits) -> ServerLimits:
     """Return the limits of the server for callers."""
     return ServerLimits(
-        limits.body_bytes, limits.header_bytes, limits.idle_timeout + IDLE_SLACK
+        limits.body_bytes,
+        limits.header_bytes,
+        limits.idle_timeout + IDLE_TIMEOUT_MARGIN,
     )
 
 
@@ -59,7 +61,7 @@
     settings: GatewaySettings,
     peers: MemberExchange,
     metrics: Metrics,
-    on_broken: OnBroken,
+    on_broken: OnInvariantError,
 ) -> PeerLinks:
     """Open the links to other nodes; they receive messages at once."""
     return PeerLinks(
@@ -67,8 +69,8 @@
         peers.own,
         peers.receive,
         metrics,
-        HEARTBEAT,
-        MOST_MESSAGE,
+        HEARTBEAT_INTERVAL,
+        MAX_MESSAGE_BYTES,
         None,
         on_broken,
     )
@@ -78,14 +80,14 @@
     settings: GatewaySettings,
     peers: MemberExchange,
     metrics: Metrics,
-    on_broken: OnBroken,
+    on_broken: OnInvariantError,
 ) -> tuple[Broadcaster | None, Listener]:
     """Return the broadcaster to a failure domain, if configured, and the listener."""
     broadcaster = None
     if settings.broadcast_port:
         url = f"tcp://{settings.peers.host}:{settings.broadcast_port}"
         broadcaster = Broadcaster(url, peers.own, metrics)
-    return broadcaster, Listener(peers.receive, metrics, MOST_MESSAGE, on_broken)
+    return broadcaster, Listener(peers.receive, metrics, MAX_MESSAGE_BYTES, on_broken)
 
 
 def _build_side_server(app: Application, endpoint: Endpoint) -> HttpServer:
--- a/packages/runhatch-server/src/runhatch_server/gateway/_load_exchange.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_load_exchange.py
@@ -12,23 +12,23 @@
 
 from runhatch_coordination import FULL_MESH, Clock, Membership, Vm, choose_readers
 from runhatch_server.decisions import LoadShare
-from runhatch_server.gateway._peer_facts import load_of_share, share_of_load
+from runhatch_server.gateway._peer_facts import load_of_message, message_of_load
 from runhatch_server.gateway._shared_loads import SharedLoads, Shares
 from runhatch_server.gateway._tables import GatewayTables
 from runhatch_server.peers import ALL_DOMAINS, Fact, Member, TargetLoads
 
-TELL_WHOLE_EVERY = timedelta(seconds=1)
+FULL_UPDATE_INTERVAL = timedelta(seconds=1)
 """Interval between full updates, for nodes that missed a partial one."""
-SUM_EVERY = timedelta(milliseconds=100)
+SUM_INTERVAL = timedelta(milliseconds=100)
 """Interval between sums sent by a reader.  The sums of 45 targets take up to 1.8 KB,
 which is 2.9 Mbit/s to 20 nodes, and a VM has 5 Mbit/s.  Reading a prompt takes 20 to
 100 ms."""
-SUMS_SILENT = timedelta(milliseconds=500)
+FIRST_READER_TIMEOUT = timedelta(milliseconds=500)
 """How long the first reader of a domain may be silent before the second sends sums:
 four intervals, plus the delay of a busy node."""
-READING_GRAIN_MS, RUNNING_GRAIN = 20.0, 2
+WAITING_STEP_MS, RUNNING_STEP = 20.0, 2
 """Rounding steps for comparing sums: smaller changes of a busy target aren't sent."""
-IDLE_PAUSE = timedelta(seconds=1)
+IDLE_INTERVAL = timedelta(seconds=1)
 """Interval at which a node that sends no sums checks whether it should."""
 
 
@@ -38,33 +38,37 @@
 
 def _rounded(share: LoadShare) -> object:
     """Return ``share`` rounded; sums are sent again when this value changes."""
-    reading = tuple(round(ms / READING_GRAIN_MS) for ms in share.waiting_ms)
-    return reading, share.waiting, share.running // RUNNING_GRAIN
+    reading = tuple(round(ms / WAITING_STEP_MS) for ms in share.waiting_ms)
+    return reading, share.waiting, share.running // RUNNING_STEP
 
 
-class LoadNews:
+class LoadChanges:
     """Selects changed shares to send, and all of them once per interval.
 
-    Two shares count as equal if ``looks`` returns equal values for them.
+    Two shares count as equal if ``comparison_key`` returns equal values for them.
     """
 
-    def __init__(self, looks: Callable[[LoadShare], object] = _identity) -> None:
-        self._comparison_key = looks
+    def __init__(
+        self, comparison_key: Callable[[LoadShare], object] = _identity
+    ) -> None:
+        self._comparison_key = comparison_key
         self._sent: Shares = {}
         self._all_sent_at = timedelta(days=-1)
 
     @property
-    def told(self) -> Shares:
+    def last_sent(self) -> Shares:
         """The last share sent of each target."""
         return self._sent
 
-    def take(self, shares: Shares, now: timedelta) -> tuple[Shares, bool] | None:
+    def take_changes(
+        self, shares: Shares, now: timedelta
+    ) -> tuple[Shares, bool] | None:
         """Return the shares to send, and whether they are all of ``shares``.
 
         Returns ``None`` if there is nothing to send.
         """
         previous = self._sent
-        if now - self._all_sent_at >= TELL_WHOLE_EVERY:
+        if now - self._all_sent_at >= FULL_UPDATE_INTERVAL:
             self._all_sent_at = now
             self._sent = shares
             return (shares, True) if shares or previous else None
@@ -88,19 +92,19 @@
         clock: Clock,
         loads: SharedLoads,
         tables: GatewayTables,
-        tell: Callable[[str, Fact], None],
-        tell_all: Callable[[Fact], None],
+        send: Callable[[str, Fact], None],
+        publish: Callable[[Fact], None],
     ) -> None:
         self._membership = membership
         self._clock = clock
         self._loads = loads
         self._tables = tables
-        self._send = tell
-        self._publish = tell_all
-        self._own_changes = LoadNews()
+        self._send = send
+        self._publish = publish
+        self._own_changes = LoadChanges()
         self._domain_changes, self._total_changes = (
-            LoadNews(_rounded),
-            LoadNews(_rounded),
+            LoadChanges(_rounded),
+            LoadChanges(_rounded),
         )
         self._domain_readers: list[Vm] = []
         """Readers that get this node's loads; empty if all nodes send to each other."""
@@ -109,15 +113,15 @@
         self._sums_received_at = timedelta(days=-1)
 
     @property
-    def pause(self) -> timedelta:
-        """How long to pause between two calls of :meth:`tell_sums`."""
-        return SUM_EVERY if self._sends_sums else IDLE_PAUSE
+    def sums_interval(self) -> timedelta:
+        """How long to pause between two calls of :meth:`send_sums`."""
+        return SUM_INTERVAL if self._sends_sums else IDLE_INTERVAL
 
     def choose_links(self, alive: Iterable[Vm]) -> list[Vm]:
         """Choose the readers among ``alive``; return the nodes to link to for loads."""
         own = self._membership.own
         vms = list(alive)
-        uses_readers = len(vms) > FULL_MESH and self._tables.broadcasts
+        uses_readers = len(vms) > FULL_MESH and self._tables.can_broadcast
         domains = {vm.failure_domain for vm in vms} if uses_readers else set()
         readers = [
             vm
@@ -128,15 +132,17 @@
         self._domain_readers = [
             vm for vm in readers if vm.failure_domain == own.failure_domain
         ]
-        self._sends_sums = uses_readers and self._tables.reads
+        self._sends_sums = uses_readers and self._tables.is_reader
         self._other_domain_readers = [
             vm for vm in readers if self._sends_sums and vm not in self._domain_readers
         ]
         return self._domain_readers + self._other_domain_readers
 
-    def tell_own(self) -> None:
+    def send_own(self) -> None:
         """Send the changes of this node's outstanding load."""
-        update = self._own_changes.take(self._loads.own(), self._clock.elapsed())
+        update = self._own_changes.take_changes(
+            self._loads.own(), self._clock.elapsed()
+        )
         if update is None:
             return
         fact = _loads_message(*update)
@@ -145,41 +151,41 @@
         for vm in self._domain_readers:
             self._send(vm.address, fact)
 
-    def tell_sums(self) -> None:
+    def send_sums(self) -> None:
         """Send the sums of the domain and of all nodes, if this node is a reader.
 
         The second reader of a domain sends them only while the first is silent.
         """
         now = self._clock.elapsed()
-        is_first_heard = now - self._sums_received_at < SUMS_SILENT
-        if not self._sends_sums or (self._tables.is_second and is_first_heard):
+        is_first_heard = now - self._sums_received_at < FIRST_READER_TIMEOUT
+        if not self._sends_sums or (self._tables.is_second_reader and is_first_heard):
             return
-        of_domain = self._domain_changes.take(self._loads.gathered(), now)
+        of_domain = self._domain_changes.take_changes(self._loads.own_and_peers(), now)
         if of_domain is not None:
             fact = _loads_message(*of_domain, self._membership.own.failure_domain)
             for vm in self._other_domain_readers:
                 self._send(vm.address, fact)
-        of_all = self._total_changes.take(self._loads.totals(), now)
+        of_all = self._total_changes.take_changes(self._loads.totals(), now)
         if of_all is not None:
             self._tables.broadcast([_loads_message(*of_all, ALL_DOMAINS)])
 
-    def take_in(self, fact: TargetLoads, sender: Member) -> None:
+    def handle_message(self, fact: TargetLoads, sender: Member) -> None:
         """Apply the outstanding load of one node, a domain, or all nodes."""
-        shares = {load.target: share_of_load(load) for load in fact.loads}
+        shares = {load.target: load_of_message(load) for load in fact.loads}
         if not fact.domain:
-            self._loads.of_peer(sender.name, shares, fact.whole)
+            self._loads.apply_peer(sender.name, shares, fact.whole)
         elif fact.domain != ALL_DOMAINS:
-            self._loads.of_domain(fact.domain, shares, fact.whole)
+            self._loads.apply_domain(fact.domain, shares, fact.whole)
         else:
             self._sums_received_at = self._clock.elapsed()
             if not self._sends_sums:
                 # A reader receives the loads of nodes and other domains directly.
                 others = self._subtract_own(shares)
-                self._loads.of_all(others, fact.whole)
+                self._loads.apply_total(others, fact.whole)
 
     def _subtract_own(self, shares: Shares) -> Shares:
         """Return the sums of all nodes without the last load this node sent."""
-        sent = self._own_changes.told
+        sent = self._own_changes.last_sent
         return {
             target: share.minus(sent[target]) if target in sent else share
             for target, share in shares.items()
@@ -187,5 +193,5 @@
 
 
 def _loads_message(shares: Shares, whole: bool, domain: str = "") -> TargetLoads:
-    loads = [load_of_share(target, share) for target, share in shares.items()]
+    loads = [message_of_load(target, share) for target, share in shares.items()]
     return TargetLoads(loads, whole, domain)
--- a/packages/runhatch-server/src/runhatch_server/gateway/_messages.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_messages.py
@@ -12,17 +12,17 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerHeaders:
-    """Decoded headers of a caller; ``passed`` are forwarded to the target."""
+    """Decoded headers of a caller; ``forwarded`` go to the target."""
 
     attempt_id: str
     time_left: timedelta | None
     work: ModelWork | None
     last_event: str
-    passed: Headers
+    forwarded: Headers
 
 
 @dataclass(frozen=True, slots=True)
-class HeaderFault:
+class InvalidHeader:
     """An invalid header; ``detail`` names it and the allowed values."""
 
     detail: str
@@ -33,35 +33,37 @@
     """The decoded head of a target's answer.
 
     ``attempt_id`` identifies the answered request, empty if the answer names none.
-    ``sealed`` is whether the target confirms that the answer is its own, ``not_run``
-    whether it did not run the request.  ``idle`` is how long the connection may stay
-    open without a request, ``None`` if it must not be reused.  ``leaving`` is whether
-    the target drains and takes no new work; ``rest`` is the backoff that it requests
-    of this node, ``rate_limit`` the requests per second that it accepts from all
-    nodes together.
+    ``is_authentic`` is whether the target confirms that the answer is its own,
+    ``not_run`` whether it did not run the request.  ``idle_timeout`` is how long the
+    connection may stay open without a request, ``None`` if it must not be reused.
+    ``draining`` is whether the target drains and takes no new work; ``backoff`` is the
+    backoff that it requests of this node, ``rate_limit`` the requests per second that
+    it accepts from all nodes together.
     """
 
     status: int
     reason: str
     attempt_id: str
-    sealed: bool
+    is_authentic: bool
     not_run: bool
     encoded: bool
     load: ReportedLoad | None
-    idle: timedelta | None
-    passed: Headers
-    leaving: bool = False
-    rest: timedelta | None = None
+    idle_timeout: timedelta | None
+    forwarded: Headers
+    draining: bool = False
+    backoff: timedelta | None = None
     rate_limit: float | UnreadableLimit | None = None
 
 
 class HeaderCodec(Protocol):
     """Encodes and decodes headers; only implementations know their names."""
 
-    def read_caller(self, headers: Mapping[str, str]) -> CallerHeaders | HeaderFault:
+    def decode_caller(
+        self, headers: Mapping[str, str]
+    ) -> CallerHeaders | InvalidHeader:
         """Decode a caller's ``headers``, keyed by lower-case name."""
 
-    def for_target(
+    def encode_request(
         self,
         request: GatewayRequest,
         target: Target,
@@ -74,13 +76,17 @@
         ``tier``, and must run it only if it is the incarnation addressed.
         """
 
-    def resumed_after(self, headers: Headers, event: str) -> Headers:
+    def add_resume_after(self, headers: Headers, event: str) -> Headers:
         """Return ``headers`` plus the one that resumes a stream after ``event``."""
 
-    def read_answer(
-        self, status: int, reason: str, headers: Mapping[str, str], closes: bool
+    def decode_answer(
+        self,
+        status: int,
+        reason: str,
+        headers: Mapping[str, str],
+        closes_connection: bool,
     ) -> AnswerHead:
-        """Decode the head of an answer; ``closes`` if the connection ends after it."""
+        """Decode the head of an answer; ``closes_connection`` if it ends with it."""
 
-    def for_refusal(self, attempt_id: str) -> Headers:
+    def encode_refusal(self, attempt_id: str) -> Headers:
         """Return the headers that let a caller match a refusal to its attempt."""
--- a/packages/runhatch-server/src/runhatch_server/gateway/_missed.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_missed.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Iterable
 from datetime import timedelta
 
-from runhatch_server.residency import MISSES_REMEMBERED, DemandShare, Wanted
+from runhatch_server.residency import MISS_RETENTION, DemandKey, DemandShare
 
 
 class MissedModels:
@@ -14,23 +14,23 @@
     """
 
     def __init__(self) -> None:
-        self._miss_times: dict[Wanted, tuple[timedelta, timedelta]] = {}
+        self._miss_times: dict[DemandKey, tuple[timedelta, timedelta]] = {}
 
-    def note(
+    def update(
         self,
         shares: Iterable[DemandShare],
-        is_held: Callable[[Wanted], bool],
+        is_held: Callable[[DemandKey], bool],
         now: timedelta,
     ) -> None:
         """Record models missed up to ``now``; drop held and expired ones."""
         for share in shares:
             if share.missed:
-                since, _ = self._miss_times.get(share.wanted, (now, now))
-                self._miss_times[share.wanted] = since, now
+                since, _ = self._miss_times.get(share.key, (now, now))
+                self._miss_times[share.key] = since, now
         expired = [
             wanted
             for wanted, (_, last_missed) in self._miss_times.items()
-            if now - last_missed > MISSES_REMEMBERED or is_held(wanted)
+            if now - last_missed > MISS_RETENTION or is_held(wanted)
         ]
         for wanted in expired:
             del self._miss_times[wanted]
--- a/packages/runhatch-server/src/runhatch_server/gateway/_node.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_node.py
@@ -15,24 +15,24 @@
 )
 from runhatch_server._progress import Progress
 from runhatch_server._tasks import Tasks
-from runhatch_server.crashes import ASK_EVERY, LOOK_EVERY, CrashWatch
+from runhatch_server.crashes import CHECK_INTERVAL, DIGEST_INTERVAL, CrashDetector
 from runhatch_server.decisions import GatewayRequest
-from runhatch_server.fleet import Directory
+from runhatch_server.fleet import TargetDirectory
 from runhatch_server.gateway._app import GatewayApp, MetricsApp, ReadinessApp
 from runhatch_server.gateway._balancer import Balancer
-from runhatch_server.gateway._configuration import ConfigurationKeeper
+from runhatch_server.gateway._configuration import ActiveConfiguration
 from runhatch_server.gateway._connections import ConnectionPool
 from runhatch_server.gateway._demand import DemandCounter
 from runhatch_server.gateway._forward import Forwarder
 from runhatch_server.gateway._known_targets import KnownTargets
 from runhatch_server.gateway._listeners import (
-    HEARTBEAT,
+    HEARTBEAT_INTERVAL,
     build_servers,
     open_broadcast,
     open_links,
     server_limits,
 )
-from runhatch_server.gateway._outside import GatewayOutside
+from runhatch_server.gateway._outside import GatewayPlatform
 from runhatch_server.gateway._peers import GatewayPeers
 from runhatch_server.gateway._rate_limits import RateLimits
 from runhatch_server.gateway._records import RequestRecorder
@@ -40,65 +40,65 @@
 from runhatch_server.gateway._service import GatewayService
 from runhatch_server.gateway._settings import GatewaySettings
 from runhatch_server.gateway._tables import (
-    CHANGES_TOGETHER,
+    COALESCING_WINDOW,
     GatewayTables,
-    coalescing_of_targets,
+    target_coalescing_window,
 )
 from runhatch_server.observability import Metrics, log_change
 from runhatch_server.peers import PeerLinks
 from runhatch_server.residency import DemandShare, Orderer
 from runhatch_server.routing import RouteTable
 
-SUSPECT_AFTER = timedelta(seconds=3.5)
+SUSPICION_TIMEOUT = timedelta(seconds=3.5)
 """Three lost heartbeats."""
-ORDERS_LEASE = "orders"
+ORDERS_LEASE_NAME = "orders"
 LEASE_TTL = timedelta(seconds=2)
 """Allows two renewals to fail, and lets models be loaded again within a few seconds
 after the holder crashes."""
-LEASE_EVERY = timedelta(milliseconds=300)
+LEASE_INTERVAL = timedelta(milliseconds=300)
 LEASE_CANDIDATES = 3
 """Number of nodes that try to acquire the lease; if all did, reads of the store would
 grow with the number of nodes."""
-SHARE_EVERY = timedelta(milliseconds=250)
+SHARE_INTERVAL = timedelta(milliseconds=250)
 """Longest interval between messages with loads and demand.  A request that is sent
 causes one at once, as reading its prompt takes some 100 ms and other nodes choose
 targets by it."""
-SHARE_TOGETHER = timedelta(milliseconds=25)
+SHARE_BATCH_WINDOW = timedelta(milliseconds=25)
 """Requests sent within this time are reported in one message."""
-ORDER_EVERY = timedelta(milliseconds=60)
+ORDER_INTERVAL = timedelta(milliseconds=60)
 """Interval between rounds of the orderer; an adapter loads in some 10 ms."""
-ORDER_IDLE = timedelta(seconds=1)
+IDLE_ORDER_INTERVAL = timedelta(seconds=1)
 """Interval on a node without work for the orderer, to save processor time; taking the
 lease starts a round at once."""
-SETTLE_EVERY = timedelta(milliseconds=500)
+CLEANUP_INTERVAL = timedelta(milliseconds=500)
 """Interval between removals of expired state; missing targets are kept for 1.8 s."""
-LEAST_STOP = timedelta(seconds=4.2)
+MIN_DRAIN_DURATION = timedelta(seconds=4.2)
 """Shortest time for which a stopping node keeps serving.  The load balancer checks
 readiness once a second and needs two failures, and callers have open connections."""
-QUIET = timedelta(milliseconds=300)
+IDLE_BEFORE_STOP = timedelta(milliseconds=300)
 """Time without a request after which a stopping node stops serving."""
-RESIGNED_AHEAD = timedelta(milliseconds=30)
+RESIGNATION_LEAD = timedelta(milliseconds=30)
 """Time between the notice to peers and the release of the orders' lease.  A message
 takes a few milliseconds, and a successor that has received the notice can order most
 targets at once."""
-KILL_SLACK = timedelta(milliseconds=500)
+KILL_MARGIN = timedelta(milliseconds=500)
 """Time before the kill at which a stopping node ends at the latest."""
 
 
 class GatewayNode:
     """A gateway; ``start`` returns once it runs, ``drain`` shuts it down."""
 
-    def __init__(self, settings: GatewaySettings, outside: GatewayOutside) -> None:
+    def __init__(self, settings: GatewaySettings, platform: GatewayPlatform) -> None:
         self._settings = settings
-        self._platform = outside
-        self._clock = outside.clock
+        self._platform = platform
+        self._clock = platform.clock
         self._stopping = threading.Event()
         self._metrics = Metrics()
         self._tasks = Tasks(self._clock, self._stopping)
         self._progress = Progress()
         self._demand = DemandCounter()
-        self._directory = Directory(self._clock)
-        self._configuration = ConfigurationKeeper(self._on_routes, self._metrics)
+        self._directory = TargetDirectory(self._clock)
+        self._configuration = ActiveConfiguration(self._on_routes, self._metrics)
         self._pool = ConnectionPool(self._clock)
         self._limits = RateLimits(self._clock, self._metrics)
         self._balancer = Balancer(
@@ -106,16 +106,16 @@
             self._clock,
             settings.failure_domain,
             self._limits,
-            self._demand.miss,
+            self._demand.count_miss,
             self._pool.has_idle,
-            self._demand.wake.set,
-            lambda target: self._peers.tell_leaving(target),
+            self._demand.missed_event.set,
+            lambda target: self._peers.publish_draining(target),
         )
-        self._crashes = CrashWatch(
+        self._crashes = CrashDetector(
             self._clock,
             KnownTargets(self._directory, self._pool),
             self._metrics,
-            lambda: self._peers.suspects.tell_news(),
+            lambda: self._peers.suspects.send_updates(),
         )
         self._membership = self._build_membership()
         self._tables = self._build_tables()
@@ -129,7 +129,7 @@
             self._directory,
             self._on_demand,
             self._lease.observe,
-            self._orderer.take_in_resignation,
+            self._orderer.record_resignation,
             self._tables,
             self._crashes,
         )
@@ -142,27 +142,37 @@
 
     def is_ready(self) -> bool:
         """Return whether the load balancer should send requests to this node."""
-        is_configured = self._configuration.routes is not None and self._directory.known
+        is_configured = (
+            self._configuration.routes is not None and self._directory.is_listed
+        )
         return is_configured and not self._stopping.is_set()
 
     def start(self) -> None:
         """Open the listeners and start all tasks."""
         self._open_links()
         self._tables.start()
-        self._tasks.every("settle", SETTLE_EVERY, self._remove_expired)
+        self._tasks.every("settle", CLEANUP_INTERVAL, self._remove_expired)
+        self._tasks.every(
+            "members", HEARTBEAT_INTERVAL, self._update_members, self._peers.met_member
+        )
         self._tasks.every(
-            "members", HEARTBEAT, self._update_members, self._peers.met_member
+            "readers", self._tables.heartbeat_interval, self._update_tables
         )
-        self._tasks.every("readers", self._tables.told_every, self._update_tables)
-        self._tasks.every("lease", LEASE_EVERY, self._update_lease)
+        self._tasks.every("lease", LEASE_INTERVAL, self._update_lease)
         self._tasks.every(
-            "share", SHARE_EVERY, self._send_loads_and_demand, self._demand.wake
+            "share",
+            SHARE_INTERVAL,
+            self._send_loads_and_demand,
+            self._demand.missed_event,
         )
         self._tasks.every(
-            "crashes", LOOK_EVERY, self._crashes.look_again, self._crashes.doubts
+            "crashes",
+            CHECK_INTERVAL,
+            self._crashes.recheck_targets,
+            self._crashes.recheck_requested,
         )
-        self._tasks.every("suspects", ASK_EVERY, self._peers.suspects.ask)
-        self._tasks.every("sums", self._sums_interval, self._peers.loads.tell_sums)
+        self._tasks.every("suspects", DIGEST_INTERVAL, self._peers.suspects.send_digest)
+        self._tasks.every("sums", self._sums_interval, self._peers.loads.send_sums)
         self._tasks.every(
             "orders", self._order_interval, self._run_orderer, self._order_wanted
         )
@@ -186,18 +196,18 @@
         self._peers.look_round()
         resignation = self._orderer.stop()
         if resignation is not None:
-            self._peers.tell_resigned(resignation)
-            self._clock.sleep(RESIGNED_AHEAD)
+            self._peers.publish_resignation(resignation)
+            self._clock.sleep(RESIGNATION_LEAD)
         self._orderer.release()
-        ends_at = started_at + self._settings.shutdown_grace - KILL_SLACK
-        self._sleep_until(min(started_at + LEAST_STOP, ends_at))
+        ends_at = started_at + self._settings.shutdown_grace - KILL_MARGIN
+        self._sleep_until(min(started_at + MIN_DRAIN_DURATION, ends_at))
         caller_server = self._servers[0]
         caller_server.stop_listening()
         caller_server.close_idle()
         while self._clock.elapsed() < ends_at:
             begun_count = self._progress.begun
-            if self._progress.wait_idle(QUIET):
-                self._clock.sleep(QUIET)
+            if self._progress.wait_idle(IDLE_BEFORE_STOP):
+                self._clock.sleep(IDLE_BEFORE_STOP)
                 if self._progress.begun == begun_count:
                     break
         if self._links is not None:
@@ -205,7 +215,9 @@
         self._tables.close()
         log_change("stopped", in_progress=self._progress.count)
 
-    def on_broken_invariant(self, stop: Callable[[InvariantError], None]) -> None:
+    def set_invariant_error_handler(
+        self, stop: Callable[[InvariantError], None]
+    ) -> None:
         """Set ``stop`` to be called if a task finds a broken invariant."""
         self._tasks.on_broken = stop
 
@@ -235,7 +247,7 @@
             incarnation,
             settings.broadcast_port,
         )
-        return Membership(own, self._clock, SUSPECT_AFTER)
+        return Membership(own, self._clock, SUSPICION_TIMEOUT)
 
     def _build_tables(self) -> GatewayTables:
         drain = self._settings.drain
@@ -250,8 +262,8 @@
             lambda: map(str, self._settings.seeds),
         )
         outside = self._platform
-        tables.add(outside.configurations, self._configuration, CHANGES_TOGETHER)
-        tables.add(outside.targets, self._directory, coalescing_of_targets(drain))
+        tables.add(outside.configurations, self._configuration, COALESCING_WINDOW)
+        tables.add(outside.targets, self._directory, target_coalescing_window(drain))
         return tables
 
     def _build_orderer(self) -> Orderer:
@@ -259,7 +271,7 @@
         self._lease = Lease(
             self._platform.table,
             self._clock,
-            ORDERS_LEASE,
+            ORDERS_LEASE_NAME,
             self._settings.name,
             LEASE_TTL,
             str(self._settings.peers),
@@ -271,7 +283,7 @@
             self._platform.orders,
             self._clock,
             self._metrics,
-            lambda epoch, holdings: self._peers.tell_holdings(epoch, holdings),
+            lambda epoch, holdings: self._peers.publish_holdings(epoch, holdings),
             lambda: self._order_wanted.set(),
             self._balancer.is_down,
             self._limits.rates,
@@ -300,10 +312,10 @@
         self._app.routes = routes
 
     def _record_demand(self, request: GatewayRequest) -> None:
-        self._demand.note(request, self._balancer.work_ms(request))
+        self._demand.count_request(request, self._balancer.prompt_work_ms(request))
 
     def _on_demand(self, node: str, shares: list[DemandShare], age: timedelta) -> None:
-        self._orderer.asked(node, shares, age)
+        self._orderer.add_demand(node, shares, age)
         if any(share.missed for share in shares):
             self._order_wanted.set()
 
@@ -311,11 +323,11 @@
         self._peers.look_for_members(map(str, self._settings.seeds))
         self._peers.keep_links()
         self._peers.look_round()
-        self._balancer.nodes = len(self._membership.alive())
+        self._balancer.node_count = len(self._membership.alive())
 
     def _update_tables(self) -> None:
-        self._peers.tell_state()
-        self._tables.check()
+        self._peers.broadcast_state()
+        self._tables.read_overdue()
 
     def _update_lease(self) -> None:
         """Renew the lease and publish the renewal, or try to acquire an expired one.
@@ -324,7 +336,7 @@
         with the heartbeat, it would be up to a second old, and delay a takeover as
         much.
         """
-        if self._orderer.holds_lease() is None and self._peers.orderer_is_heard():
+        if self._orderer.holds_lease() is None and self._peers.has_active_orderer():
             return
         ranked = self._lease_candidates()
         own = self._settings.name
@@ -333,14 +345,14 @@
         change = self._orderer.keep_lease(eager=ranked[0] == own)
         if change is LeaseChange.ACQUIRED:
             self._order_wanted.set()
-        resignation = self._orderer.resign_if_cut_off()
+        resignation = self._orderer.resign_if_lapsing()
         if resignation is not None:
-            self._peers.tell_resigned(resignation)
-        self._peers.learn_orderer(self._orderer.record)
+            self._peers.publish_resignation(resignation)
+        self._peers.record_lease(self._orderer.record)
         epoch = self._orderer.holds_lease()
         record = self._orderer.record
         if epoch is not None and record is not None:
-            self._peers.tell_renewal(epoch.number, record.renewal)
+            self._peers.publish_renewal(epoch.number, record.renewal)
 
     def _lease_candidates(self) -> list[str]:
         """Return the nodes that may acquire the lease: latest started, then by rank.
@@ -348,41 +360,41 @@
         During a rolling restart, these have already been restarted.
         """
         alive = {vm.name: vm for vm in self._membership.alive()}
-        ranked = rank(ORDERS_LEASE, alive)
+        ranked = rank(ORDERS_LEASE_NAME, alive)
         ranked.sort(key=lambda name: alive[name].incarnation, reverse=True)
         return ranked[:LEASE_CANDIDATES]
 
     def _send_loads_and_demand(self) -> None:
         """Send loads and demand, after a short pause that batches requests."""
-        self._clock.sleep(SHARE_TOGETHER)
-        self._peers.loads.tell_own()
-        self._peers.tell_demand(self._demand)
+        self._clock.sleep(SHARE_BATCH_WINDOW)
+        self._peers.loads.send_own()
+        self._peers.send_demand(self._demand)
 
     def _sums_interval(self) -> timedelta:
-        return self._peers.loads.pause
+        return self._peers.loads.sums_interval
 
     def _order_interval(self) -> timedelta:
-        return ORDER_EVERY if self._orderer.has_work else ORDER_IDLE
+        return ORDER_INTERVAL if self._orderer.has_work else IDLE_ORDER_INTERVAL
 
     def _run_orderer(self) -> None:
         """Run a round of the orderer, then pause even if another was requested."""
         self._orderer.step()
         if self._orderer.has_work:
-            self._clock.sleep(self._orderer.rest)
+            self._clock.sleep(self._orderer.round_pause)
 
     def _remove_expired(self) -> None:
-        self._directory.settle()
+        self._directory.remove_expired()
         known = frozenset(target.incarnation for target in self._directory.all())
         self._pool.close_expired(known)
-        self._balancer.forget_unknown()
-        self._limits.forget(known.__contains__)
+        self._balancer.delete_unknown_targets()
+        self._limits.remove_expired(known.__contains__)
         ready = [target for target in self._directory.all() if target.is_ready]
         self._metrics.targets.set(len(ready))
         replicas = sum(len(target.held.adapters_by_model) for target in ready)
         self._metrics.replicas.set(replicas)
         self._metrics.holds_orders.set(self._orderer.holds_lease() is not None)
-        self._metrics.held.set(self._balancer.held)
-        self._tables.measure()
+        self._metrics.held.set(self._balancer.held_count)
+        self._tables.update_metrics()
         self._metrics.in_progress.set(self._progress.count)
 
     def _sleep_until(self, moment: timedelta) -> None:
--- a/packages/runhatch-server/src/runhatch_server/gateway/_outside.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_outside.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class GatewayOutside:
+class GatewayPlatform:
     """Platform services of one gateway; tests pass their own."""
 
     clock: Clock
--- a/packages/runhatch-server/src/runhatch_server/gateway/_pace.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_pace.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-LEAST_EVENTS = 4
+MIN_EVENTS = 4
 """Fewest events whose mean gap is a useful measure of the target's speed."""
 
 
@@ -16,7 +16,7 @@
     last_at: timedelta = timedelta()
     longest_pause: timedelta = timedelta()
 
-    def piece(self, now: timedelta) -> None:
+    def record_piece(self, now: timedelta) -> None:
         """Record a piece sent to the caller at ``now``."""
         self.pieces += 1
         if self.first_at is None:
@@ -28,6 +28,6 @@
     @property
     def mean_gap(self) -> timedelta | None:
         """The mean time between events, ``None`` if there were too few."""
-        if self.first_at is None or self.pieces < LEAST_EVENTS:
+        if self.first_at is None or self.pieces < MIN_EVENTS:
             return None
         return (self.last_at - self.first_at) / (self.pieces - 1)
--- a/packages/runhatch-server/src/runhatch_server/gateway/_peer_facts.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_peer_facts.py
@@ -7,19 +7,19 @@
 from runhatch_server.decisions import LoadShare
 from runhatch_server.fleet import ExpectedLoad, HeldModels
 from runhatch_server.peers import DemandOfModel, HoldingOfTarget, LoadOfTarget
-from runhatch_server.residency import DemandShare, Holding, Wanted
+from runhatch_server.residency import DemandKey, DemandShare, Holding
 
 
-def summed_demand(
+def sum_demand(
     recent: Iterable[tuple[timedelta, list[DemandShare]]],
 ) -> list[DemandShare]:
     """Return the total demand of ``recent``, without its misses."""
-    requests: Counter[Wanted] = Counter()
-    work_ms: defaultdict[Wanted, float] = defaultdict(float)
+    requests: Counter[DemandKey] = Counter()
+    work_ms: defaultdict[DemandKey, float] = defaultdict(float)
     for _, shares in recent:
         for share in shares:
-            requests[share.wanted] += share.requests
-            work_ms[share.wanted] += share.work_ms
+            requests[share.key] += share.requests
+            work_ms[share.key] += share.work_ms
     return [
         DemandShare(wanted, count, 0, work_ms[wanted])
         for wanted, count in requests.items()
@@ -27,7 +27,7 @@
     ]
 
 
-def told_of_holding(holding: Holding, now: timedelta) -> HoldingOfTarget:
+def message_of_holding(holding: Holding, now: timedelta) -> HoldingOfTarget:
     """Return the message for the models that a target holds and loads."""
     return HoldingOfTarget(
         holding.target,
@@ -39,28 +39,28 @@
     )
 
 
-def holding_of_told(
-    told: HoldingOfTarget, now: timedelta
+def holding_of_message(
+    message: HoldingOfTarget, now: timedelta
 ) -> tuple[str, HeldModels, list[ExpectedLoad]]:
-    """Return the target of ``told``, the models it holds, and its running loads."""
+    """Return the target of ``message``, the models it holds, and its running loads."""
     held = HeldModels(
-        {model: frozenset(adapters) for model, adapters in told.models.items()}
+        {model: frozenset(adapters) for model, adapters in message.models.items()}
     )
     loads = [
-        ExpectedLoad(told.target, model, now + timedelta(seconds=left))
-        for model, left in told.loading
+        ExpectedLoad(message.target, model, now + timedelta(seconds=left))
+        for model, left in message.loading
     ]
-    return told.target, held, loads
+    return message.target, held, loads
 
 
-def demand_of_share(share: DemandShare) -> DemandOfModel:
+def message_of_demand(share: DemandShare) -> DemandOfModel:
     """Return the message for ``share``."""
     return DemandOfModel(
-        share.wanted.service,
-        share.wanted.model,
-        share.wanted.adapter,
-        share.wanted.priority,
-        round(share.wanted.goal / timedelta(milliseconds=1)),
+        share.key.service,
+        share.key.model,
+        share.key.adapter,
+        share.key.priority,
+        round(share.key.goal / timedelta(milliseconds=1)),
         share.requests,
         share.missed,
         round(share.work_ms),
@@ -68,24 +68,24 @@
     )
 
 
-def share_of_demand(demand: DemandOfModel) -> DemandShare:
+def demand_of_message(message: DemandOfModel) -> DemandShare:
     """Return the demand in a message."""
     return DemandShare(
-        Wanted(
-            demand.service,
-            demand.model,
-            demand.adapter,
-            demand.priority,
-            timedelta(milliseconds=demand.goal_ms),
+        DemandKey(
+            message.service,
+            message.model,
+            message.adapter,
+            message.priority,
+            timedelta(milliseconds=message.goal_ms),
         ),
-        demand.requests,
-        demand.missed,
-        float(demand.work_ms),
-        timedelta(milliseconds=demand.missed_for_ms),
+        message.requests,
+        message.missed,
+        float(message.work_ms),
+        timedelta(milliseconds=message.missed_for_ms),
     )
 
 
-def load_of_share(target: str, share: LoadShare) -> LoadOfTarget:
+def message_of_load(target: str, share: LoadShare) -> LoadOfTarget:
     """Return the message for the outstanding load at ``target``."""
     return LoadOfTarget(
         target,
@@ -98,13 +98,13 @@
     )
 
 
-def share_of_load(load: LoadOfTarget) -> LoadShare:
+def load_of_message(message: LoadOfTarget) -> LoadShare:
     """Return the outstanding load at a target in a message."""
     return LoadShare(
-        tuple(float(waiting) for waiting in load.waiting_ms),
-        load.waiting,
-        load.running,
-        load.tokens,
-        float(load.held_ms),
-        load.busy,
+        tuple(float(waiting) for waiting in message.waiting_ms),
+        message.waiting,
+        message.running,
+        message.tokens,
+        float(message.held_ms),
+        message.busy,
     )
