--- a/packages/runhatch-server/src/runhatch_server/gateway/_peers.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_peers.py
@@ -13,18 +13,18 @@
     Vm,
     choose_readers,
 )
-from runhatch_server.crashes import CrashWatch, SuspectExchange, SuspectFact
-from runhatch_server.fleet import Directory
+from runhatch_server.crashes import CrashDetector, SuspectExchange, SuspectMessage
+from runhatch_server.fleet import TargetDirectory
 from runhatch_server.gateway._demand import DemandCounter
-from runhatch_server.gateway._known_orderer import NO_RENEWAL, KnownOrderer
+from runhatch_server.gateway._known_orderer import UNKNOWN_RENEWAL, KnownOrderer
 from runhatch_server.gateway._load_exchange import LoadExchange
 from runhatch_server.gateway._missed import MissedModels
 from runhatch_server.gateway._peer_facts import (
-    demand_of_share,
-    holding_of_told,
-    share_of_demand,
-    summed_demand,
-    told_of_holding,
+    demand_of_message,
+    holding_of_message,
+    message_of_demand,
+    message_of_holding,
+    sum_demand,
 )
 from runhatch_server.gateway._permits import PermitExchange, PermitFact
 from runhatch_server.gateway._rate_limits import RateLimits
@@ -47,20 +47,20 @@
     TargetLoads,
     member_of_fact,
 )
-from runhatch_server.residency import DemandShare, Holding, Resignation, Wanted
+from runhatch_server.residency import DemandKey, DemandShare, Holding, Resignation
 
-DEMAND_KEPT = timedelta(seconds=2)
+DEMAND_RETENTION = timedelta(seconds=2)
 """How long demand is kept while no orderer is known: twice the time within which a
 new orderer is normally known.  Sent later, it would look like a sudden rise."""
-MISSERS_TOLD = timedelta(seconds=2)
+UNLINKED_HOLDINGS_WINDOW = timedelta(seconds=2)
 """How long an unlinked node that missed a model or adapter is sent the holdings of
 targets.  Adapters load in some 10 ms, and the targets' entries in the store don't list
 them, so requests would be refused for a loaded adapter."""
-DEMAND_AGAIN = timedelta(seconds=3)
+RECENT_DEMAND_WINDOW = timedelta(seconds=3)
 """Period of past demand that is sent to a new orderer.  It knows no demand yet, and
 would evict models that are requested all the time."""
 
-OnDemand = Callable[[str, list[DemandShare], timedelta], None]
+DemandCallback = Callable[[str, list[DemandShare], timedelta], None]
 
 
 class GatewayPeers(MemberExchange):
@@ -73,12 +73,12 @@
         metrics: Metrics,
         loads: SharedLoads,
         limits: RateLimits,
-        directory: Directory,
-        on_demand: OnDemand,
+        directory: TargetDirectory,
+        on_demand: DemandCallback,
         on_orderer: Callable[[int, int], None],
         on_resigned: Callable[[Resignation], None],
         tables: GatewayTables,
-        crashes: CrashWatch,
+        crashes: CrashDetector,
     ) -> None:
         super().__init__(membership, metrics)
         self._clock = clock
@@ -100,7 +100,12 @@
         )
         """Exchange of the requests during which targets have ended."""
         self.permits = PermitExchange(
-            limits, membership, clock, self.tell, self.tell_all, directory.wake
+            limits,
+            membership,
+            clock,
+            self.tell,
+            self.tell_all,
+            directory.notify_waiters,
         )
         """Exchange of the rate limits of targets and of permits for them."""
         self._demand_sent_at = clock.elapsed()
@@ -114,11 +119,11 @@
         """The newest known epoch of the orders' lease."""
         return self._orderer.epoch
 
-    def orderer_is_heard(self) -> bool:
+    def has_active_orderer(self) -> bool:
         """Return whether a recent renewal of the orderer's lease is known."""
-        return self._orderer.is_heard
+        return self._orderer.renewed_recently
 
-    def learn_orderer(self, record: LeaseRecord | None) -> None:
+    def record_lease(self, record: LeaseRecord | None) -> None:
         """Record the holder of the orders' lease from its record in the store.
 
         A node that has just started has received no message of a peer yet.
@@ -126,28 +131,31 @@
         if record is not None and record.holder and record.epoch > self._orderer.epoch:
             self._record_orderer(record.address, record.epoch)
 
-    def tell_demand(self, counter: DemandCounter) -> None:
+    def send_demand(self, counter: DemandCounter) -> None:
         """Send the counted demand to the orderer.
 
         While no orderer is known the demand stays counted for a while.  If it were
         dropped, a missed model would be loaded only after another miss.
         """
         now = self._clock.elapsed()
-        if not self._orderer.address and now - self._demand_sent_at < DEMAND_KEPT:
+        if not self._orderer.address and now - self._demand_sent_at < DEMAND_RETENTION:
             return
         self._demand_sent_at = now
-        while self._recent_demand and now - self._recent_demand[0][0] > DEMAND_AGAIN:
+        while (
+            self._recent_demand
+            and now - self._recent_demand[0][0] > RECENT_DEMAND_WINDOW
+        ):
             self._recent_demand.popleft()
         if self._owes_recent_demand and self._orderer.address:
             self._owes_recent_demand = False
-            recent = summed_demand(self._recent_demand) + self._missed.shares(now)
-            self._send_shares(recent, DEMAND_AGAIN)
-        shares = counter.take()
+            recent = sum_demand(self._recent_demand) + self._missed.shares(now)
+            self._send_shares(recent, RECENT_DEMAND_WINDOW)
+        shares = counter.pop_shares()
         self._recent_demand.append((now, shares))
-        self._missed.note(shares, self._is_held, now)
+        self._missed.update(shares, self._is_held, now)
         self._send_shares(shares, timedelta())
 
-    def _is_held(self, wanted: Wanted) -> bool:
+    def _is_held(self, wanted: DemandKey) -> bool:
         return bool(
             self._directory.holders(wanted.service, wanted.model, wanted.adapter)
         )
@@ -161,14 +169,14 @@
         elif self._orderer.address == own.address:
             self._on_demand(own.name, shares, age)
         else:
-            demand = [demand_of_share(share) for share in shares]
+            demand = [message_of_demand(share) for share in shares]
             age_ms = round(age / timedelta(milliseconds=1))
             self.tell(self._orderer.address, ModelDemand(demand, age_ms))
 
-    def tell_holdings(self, epoch: int, holdings: list[Holding]) -> None:
+    def publish_holdings(self, epoch: int, holdings: list[Holding]) -> None:
         """Publish the models that targets hold to peers, and apply them here."""
         now = self._clock.elapsed()
-        messages = [told_of_holding(holding, now) for holding in holdings]
+        messages = [message_of_holding(holding, now) for holding in holdings]
         own = self._membership.own.address
         fact = TargetHoldings(epoch, messages, next(self._holdings_numbers), own)
         self.tell_all(fact)
@@ -176,32 +184,32 @@
         for address, until in list(self._holdings_wanted_until.items()):
             if now >= until:
                 del self._holdings_wanted_until[address]
-            elif not self._tables.broadcasts:
+            elif not self._tables.can_broadcast:
                 self.tell(address, fact)
-        self._directory.told_all(
+        self._directory.record_reports(
             (holding.target, holding.held, holding.loads) for holding in holdings
         )
 
-    def tell_renewal(self, epoch: int, renewal: int) -> None:
+    def publish_renewal(self, epoch: int, renewal: int) -> None:
         """Publish that this node is the orderer, once per renewal of its lease."""
         self._record_orderer(self._membership.own.address, epoch)
-        if self._orderer.renewed(epoch, renewal):
+        if self._orderer.record_renewal(epoch, renewal):
             notice = OrdererNotice(epoch, renewal, self._membership.own.address)
             self._orderer.newest_notice = notice
             self.tell_all(notice)
 
-    def tell_resigned(self, resignation: Resignation) -> None:
+    def publish_resignation(self, resignation: Resignation) -> None:
         """Publish that this node is no longer the orderer."""
-        self._orderer.resigned(resignation.epoch)
+        self._orderer.record_release(resignation.epoch)
         waits = {
             target: wait.total_seconds() for target, wait in resignation.waits.items()
         }
-        others_wait = resignation.others_wait.total_seconds()
+        others_wait = resignation.default_wait.total_seconds()
         fact = OrdererResigned(resignation.epoch, waits, others_wait)
         self.tell_all(fact)
         self._tables.broadcast([fact])
 
-    def tell_leaving(self, target: str) -> None:
+    def publish_draining(self, target: str) -> None:
         """Publish that ``target`` drains, as it reported in an answer."""
         self.tell_all(DrainingTargets((target,)))
 
@@ -216,7 +224,7 @@
             own = self._membership.own.address
             orderer = self._orderer.address
             self._links.hold("" if orderer == own else orderer)
-        self._tables.keep_readers()
+        self._tables.update_readers()
 
     def look_for_members(self, seeds: Iterable[str]) -> None:
         """Announce this node to ``seeds`` and request the members from one of them.
@@ -245,11 +253,11 @@
         readers = [vm for domain in domains for vm in choose_readers(domain, alive)]
         return others + [vm for vm in readers if vm.name != own.name]
 
-    def tell_state(self) -> None:
+    def broadcast_state(self) -> None:
         """Broadcast the state of the tables and the orderer, if a reader."""
         notice = self._orderer.newest_notice
-        known = notice.epoch > 0 and self.orderer_is_heard()
-        self._tables.tell_state([notice] if known else [])
+        known = notice.epoch > 0 and self.has_active_orderer()
+        self._tables.broadcast_state([notice] if known else [])
 
     @singledispatchmethod
     def take_in(self, fact: Fact, sender: Member) -> None:
@@ -258,21 +266,21 @@
     @take_in.register
     def _apply_version(self, fact: TableVersion, sender: Member) -> None:
         # Forwarded only if new to this node, so that forwarding ends.
-        if self._tables.take_in_version(fact):
+        if self._tables.record_version(fact):
             self.tell_all(fact)
 
     @take_in.register
     def _apply_table_changes(self, fact: TableNews, sender: Member) -> None:
-        self._tables.take_in_news(fact, sender)
+        self._tables.apply_changes(fact, sender)
 
     @take_in.register
     def _answer_state_request(self, fact: StateAsked, sender: Member) -> None:
-        answer = self._tables.state_since(fact.versions)
+        answer = self._tables.changes_since(fact.versions)
         if fact.members:
             answer += map(member_of_fact, self._membership.facts())
             if self._orderer.newest_notice.epoch:
                 answer.append(self._orderer.newest_notice)
-            answer += self.permits.state()
+            answer += self.permits.limit_facts()
         if answer and self._links is not None:
             self._links.tell(sender.address, answer)
 
@@ -280,25 +288,25 @@
     def _apply_draining(self, fact: DrainingTargets, sender: Member) -> None:
         # Forwarded only if new to this node, so that forwarding ends.
         for target in fact.targets:
-            if self._directory.leaves(target, source="peer"):
-                self.tell_leaving(target)
+            if self._directory.record_draining(target, source="peer"):
+                self.publish_draining(target)
 
     @take_in.register
-    def _apply_suspects(self, fact: SuspectFact, sender: Member) -> None:
-        self.suspects.take_in(fact, sender)
+    def _apply_suspects(self, fact: SuspectMessage, sender: Member) -> None:
+        self.suspects.handle_message(fact, sender)
 
     @take_in.register
     def _apply_permits(self, fact: PermitFact, sender: Member) -> None:
-        self.permits.take_in(fact, sender)
+        self.permits.handle_message(fact, sender)
 
     @take_in.register
     def _apply_loads(self, fact: TargetLoads, sender: Member) -> None:
-        self.loads.take_in(fact, sender)
+        self.loads.handle_message(fact, sender)
 
     @take_in.register
     def _apply_demand(self, fact: ModelDemand, sender: Member) -> None:
-        shares = [share_of_demand(each) for each in fact.demand]
-        missed = [share.wanted for share in shares if share.missed]
+        shares = [demand_of_message(each) for each in fact.demand]
+        missed = [share.key for share in shares if share.missed]
         is_orderer = self._orderer.address == self._membership.own.address
         if missed and is_orderer and sender.address not in self._linked:
             self._send_holders(sender.address, missed)
@@ -307,23 +315,23 @@
     @take_in.register
     def _apply_holdings(self, fact: TargetHoldings, sender: Member) -> None:
         orderer = fact.orderer or sender.address
-        if self._orderer.is_behind(fact.epoch, orderer):
+        if self._orderer.is_outdated(fact.epoch, orderer):
             return
         self._record_orderer(orderer, fact.epoch)
-        if sender.address == orderer and self._tables.reads:
+        if sender.address == orderer and self._tables.is_reader:
             self._tables.broadcast([fact])
         now = self._clock.elapsed()
-        self._directory.told_all(
-            holding_of_told(holding, now) for holding in self._select_newer(fact)
+        self._directory.record_reports(
+            holding_of_message(holding, now) for holding in self._select_newer(fact)
         )
 
     @take_in.register
     def _apply_orderer_notice(self, fact: OrdererNotice, sender: Member) -> None:
         orderer = fact.orderer or sender.address
-        if self._orderer.is_behind(fact.epoch, orderer):
+        if self._orderer.is_outdated(fact.epoch, orderer):
             return
         self._record_orderer(orderer, fact.epoch)
-        if not self._orderer.renewed(fact.epoch, fact.renewal):
+        if not self._orderer.record_renewal(fact.epoch, fact.renewal):
             return
         notice = OrdererNotice(fact.epoch, fact.renewal, orderer)
         self._orderer.newest_notice = notice
@@ -333,11 +341,11 @@
     def _apply_resignation(self, fact: OrdererResigned, sender: Member) -> None:
         if fact.epoch < self._orderer.epoch:
             return
-        self._orderer.resigned(fact.epoch)
+        self._orderer.record_release(fact.epoch)
         waits = {target: timedelta(seconds=wait) for target, wait in fact.waits.items()}
         others_wait = timedelta(seconds=fact.others_wait)
         self._on_resigned(Resignation(fact.epoch, waits, others_wait))
-        if sender.address == self._orderer.address and self._tables.reads:
+        if sender.address == self._orderer.address and self._tables.is_reader:
             self._tables.broadcast([fact])
 
     def _select_newer(self, fact: TargetHoldings) -> list[HoldingOfTarget]:
@@ -353,10 +361,10 @@
         self._newest_holdings.update((holding.target, order) for holding in newer)
         return newer
 
-    def _send_holders(self, address: str, missed: list[Wanted]) -> None:
+    def _send_holders(self, address: str, missed: list[DemandKey]) -> None:
         """Send an unlinked node the holders of the models that it missed."""
         now = self._clock.elapsed()
-        self._holdings_wanted_until[address] = now + MISSERS_TOLD
+        self._holdings_wanted_until[address] = now + UNLINKED_HOLDINGS_WINDOW
         holders = {
             target.incarnation: target.held
             for wanted in missed
@@ -370,11 +378,11 @@
             Holding(target, held, self._directory.loads_at(target))
             for target, held in holders.items()
         ]
-        messages = [told_of_holding(holding, now) for holding in holdings]
+        messages = [message_of_holding(holding, now) for holding in holdings]
         self.tell(address, TargetHoldings(self._orderer.epoch, messages))
 
     def _record_orderer(self, address: str, epoch: int) -> None:
-        if self._orderer.learn(address, epoch):
-            self._on_orderer(epoch, NO_RENEWAL)
+        if self._orderer.record_holder(address, epoch):
+            self._on_orderer(epoch, UNKNOWN_RENEWAL)
             self._owes_recent_demand = True
             self._newest_holdings.clear()
--- a/packages/runhatch-server/src/runhatch_server/gateway/_permits.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_permits.py
@@ -13,7 +13,7 @@
 from functools import singledispatchmethod
 
 from runhatch_coordination import Clock, Membership, Vm, weight
-from runhatch_server.decisions import LimitSeen, PermitBucket, share_of_rate
+from runhatch_server.decisions import ObservedLimit, PermitBucket, issued_rate_share
 from runhatch_server.gateway._rate_limits import RateLimits
 from runhatch_server.peers import (
     Fact,
@@ -24,11 +24,11 @@
     RateLimitsTold,
 )
 
-LOST_COUNTED = timedelta(seconds=60)
+LOST_NODE_WINDOW = timedelta(seconds=60)
 """How long a silent node counts as one that may still be granting permits."""
-LINK_KEPT = timedelta(seconds=5)
+LINK_RETENTION = timedelta(seconds=5)
 """How long a link to a node is kept after a permit request to or from it."""
-ELSEWHERE_PAUSE = timedelta(milliseconds=200)
+OTHER_ALLOCATOR_RETRY_DELAY = timedelta(milliseconds=200)
 """Wait before requesting again from a node that considers another the allocator."""
 MILLISECOND = timedelta(milliseconds=1)
 PermitFact = RateLimitsTold | PermitAsked | PermitAnswer
@@ -43,26 +43,26 @@
         limits: RateLimits,
         membership: Membership,
         clock: Clock,
-        tell: Callable[[str, Fact], None],
-        tell_all: Callable[[Fact], None],
+        send: Callable[[str, Fact], None],
+        publish: Callable[[Fact], None],
         on_answer: Callable[[], None],
     ) -> None:
         self._limits = limits
         self._membership = membership
         self._clock = clock
-        self._send = tell
-        self._publish = tell_all
+        self._send = send
+        self._publish = publish
         self._on_answer = on_answer
         self._lock = threading.Lock()
         self._buckets: dict[str, PermitBucket] = {}
         self._used_at: dict[str, timedelta] = {}
         """When a permit request was last sent to or received from each address."""
-        limits.on_limit = self.tell_limit
-        limits.on_ask = self.ask
+        limits.on_limit = self.publish_limit
+        limits.on_permit_request = self.request_permit
 
-    def ask(self, target: str, tier: int) -> None:
+    def request_permit(self, target: str, tier: int) -> None:
         """Request a permit to send a request of ``tier`` to ``target``."""
-        seen = self._limits.known(target)
+        seen = self._limits.latest_limit(target)
         if seen is None or seen.rate is None:
             return
         alive = self._membership.alive()
@@ -75,11 +75,11 @@
         limit = self._limit_message(target, seen)
         self._send(allocator.address, PermitAsked(tier, limit))
 
-    def tell_limit(self, target: str, seen: LimitSeen) -> None:
+    def publish_limit(self, target: str, seen: ObservedLimit) -> None:
         """Publish a changed limit of ``target`` to peers, which forward it."""
         self._publish(RateLimitsTold([self._limit_message(target, seen)]))
 
-    def state(self) -> list[Fact]:
+    def limit_facts(self) -> list[Fact]:
         """Return the limits in force as messages for a node that has just started."""
         limits = self._limits.all_limits()
         if not limits:
@@ -101,28 +101,28 @@
             self._used_at = {
                 address: at
                 for address, at in self._used_at.items()
-                if now - at < LINK_KEPT
+                if now - at < LINK_RETENTION
             }
             return [vm for vm in alive if vm.address in self._used_at]
 
     @singledispatchmethod
-    def take_in(self, fact: PermitFact, sender: Member) -> None:
+    def handle_message(self, fact: PermitFact, sender: Member) -> None:
         """Apply a message of a peer about rate limits or permits."""
         raise NotImplementedError(type(fact))
 
-    @take_in.register
+    @handle_message.register
     def _apply_limits(self, fact: RateLimitsTold, sender: Member) -> None:
         for limit in fact.limits:
             self._apply_limit(limit)
 
-    @take_in.register
+    @handle_message.register
     def _apply_request(self, fact: PermitAsked, sender: Member) -> None:
         target = fact.limit.target
         self._apply_limit(fact.limit)
         self._record_use(sender.address)
-        wait: timedelta | None = ELSEWHERE_PAUSE
+        wait: timedelta | None = OTHER_ALLOCATOR_RETRY_DELAY
         alive = self._membership.alive()
-        known = self._limits.known(target)
+        known = self._limits.latest_limit(target)
         rate = None if known is None else known.rate
         if rate is None and known is not None:
             self._send(
@@ -137,7 +137,7 @@
         wait_ms = None if wait is None else math.ceil(wait / MILLISECOND)
         self._send(sender.address, PermitAnswer(target, fact.tier, wait_ms))
 
-    @take_in.register
+    @handle_message.register
     def _apply_answer(self, fact: PermitAnswer, sender: Member) -> None:
         wait = None if fact.wait_ms is None else fact.wait_ms * MILLISECOND
         self._record_answer(fact.target, fact.tier, wait)
@@ -145,9 +145,9 @@
 
     def _record_answer(self, target: str, tier: int, wait: timedelta | None) -> None:
         if wait is None:
-            self._limits.granted(target)
+            self._limits.record_granted(target)
         else:
-            self._limits.denied(target, tier, wait)
+            self._limits.record_denied(target, tier, wait)
 
     def _take_permit(
         self, target: str, tier: int, rate: float, alive_count: int
@@ -157,10 +157,12 @@
         Return ``None`` if one is granted, else the time until the next may be.
         """
         now = self._clock.elapsed()
-        rate *= share_of_rate(alive_count, self._membership.lost_within(LOST_COUNTED))
+        rate *= issued_rate_share(
+            alive_count, self._membership.lost_within(LOST_NODE_WINDOW)
+        )
         with self._lock:
             bucket = self._buckets.setdefault(target, PermitBucket(rate, now))
-            return bucket.ask(tier, rate, now)
+            return bucket.request_permit(tier, rate, now)
 
     def _allocator(self, target: str, alive: list[Vm]) -> Vm:
         """Return the node that allocates the permits of ``target``."""
@@ -170,9 +172,9 @@
 
     def _apply_limit(self, limit: LimitOfTarget) -> None:
         at = self._clock.elapsed() - limit.age_ms * MILLISECOND
-        self._limits.told(limit.target, LimitSeen(limit.rate, at))
+        self._limits.apply_report(limit.target, ObservedLimit(limit.rate, at))
 
-    def _limit_message(self, target: str, seen: LimitSeen) -> LimitOfTarget:
+    def _limit_message(self, target: str, seen: ObservedLimit) -> LimitOfTarget:
         age = self._clock.elapsed() - seen.at
         return LimitOfTarget(target, seen.rate, round(age / MILLISECOND))
 
--- a/packages/runhatch-server/src/runhatch_server/gateway/_records.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_records.py
@@ -30,9 +30,9 @@
         self.refused_by = ""
         """The target whose answer led to the refusal."""
         self.pace = StreamPace()
-        self.first_byte: timedelta | None = None
+        self.first_byte_latency: timedelta | None = None
 
-    def attempt(self, grant: Grant, outcome: str) -> None:
+    def record_attempt(self, grant: Grant, outcome: str) -> None:
         """Record the outcome of one attempt, or the status of the answer it began."""
         if self.predicted_ms is None:
             self.predicted_ms = grant.predicted_ms
@@ -41,20 +41,20 @@
             self.tier = grant.tier
         self.attempts.append(f"{grant.target.incarnation}:{outcome}")
 
-    def first_byte_after(self, took: timedelta) -> None:
+    def record_first_byte(self, took: timedelta) -> None:
         """Record the time that the target took to begin its answer."""
-        self.first_byte = took
+        self.first_byte_latency = took
 
-    def retry(self, reason: AttemptReason, paid: bool) -> None:
+    def record_retry(self, reason: AttemptReason, paid: bool) -> None:
         """Record a wanted retry, and whether the retry budget paid for it."""
         self.retries.append((reason, paid))
 
-    def answered(self, status: int) -> None:
+    def record_answer(self, status: int) -> None:
         """Record the status of a whole answer."""
         self.outcome = "answered"
         self.status = status
 
-    def streamed(self, outcome: str, pace: StreamPace) -> None:
+    def record_stream(self, outcome: str, pace: StreamPace) -> None:
         """Record the outcome of a stream and the times of its events."""
         self.outcome = outcome
         self.status = 200
@@ -70,7 +70,7 @@
         exceeds_gap = max_gap is not None and self.pace.longest_pause > max_gap
         return began_at <= request.goal_at and not exceeds_gap
 
-    def refused(self, refusal: Refusal) -> None:
+    def record_refusal(self, refusal: Refusal) -> None:
         """Record a refusal."""
         self.outcome = refusal.reason.code
         self.status = refusal.reason.status
@@ -90,7 +90,7 @@
         self._metrics = metrics
         self._clock = clock
 
-    def ended(self, record: RequestRecord) -> None:
+    def record(self, record: RequestRecord) -> None:
         """Count and log one request that has ended."""
         request = record.request
         in_time = record.is_in_time(self._clock.elapsed())
@@ -109,11 +109,11 @@
         if record.pace.pieces > 1:
             pause = record.pace.longest_pause.total_seconds()
             self._metrics.longest_pause.labels(kind).observe(pause)
-        if record.first_byte is not None:
-            seconds = record.first_byte.total_seconds()
+        if record.first_byte_latency is not None:
+            seconds = record.first_byte_latency.total_seconds()
             self._metrics.first_token.labels(kind).observe(seconds)
         self._metrics.wait_seconds.labels(kind).observe(record.waited.total_seconds())
-        took = self._clock.elapsed() - request.received
+        took = self._clock.elapsed() - request.received_at
         self._metrics.first_byte.labels(kind).observe(took.total_seconds())
         log_change(
             "request",
@@ -133,7 +133,7 @@
             predicted_ms=_rounded(record.predicted_ms),
             busy=None if record.busy is None else round(record.busy, 2),
             waited_ms=_milliseconds(record.waited),
-            first_byte_ms=_milliseconds(record.first_byte),
+            first_byte_ms=_milliseconds(record.first_byte_latency),
             took_ms=round(took / timedelta(milliseconds=1)),
             pieces=record.pace.pieces,
             began_ms=_began_ms(record),
@@ -144,14 +144,16 @@
             in_time=in_time,
             retry_after=_seconds(record.retry_after),
             refused_by=record.refused_by,
-            configuration=request.configuration,
+            configuration=request.configuration_version,
         )
 
 
 def _began_ms(record: RequestRecord) -> int | None:
     first_at = record.pace.first_at
     return (
-        None if first_at is None else _milliseconds(first_at - record.request.received)
+        None
+        if first_at is None
+        else _milliseconds(first_at - record.request.received_at)
     )
 
 
--- a/packages/runhatch-server/src/runhatch_server/gateway/_refusing.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_refusing.py
@@ -3,24 +3,24 @@
 import random
 from datetime import timedelta
 
-from runhatch_server.decisions import GatewayRequest, NoneWilling, Scored
+from runhatch_server.decisions import GatewayRequest, NoCandidates, ScoredTarget
 from runhatch_server.refusals import Executed, Prediction, Reason, Refusal
 from runhatch_server.residency import HURRIED_GOAL
 
-MISSING_RETRY = timedelta(seconds=1.5)
-PATIENT_MISSING_RETRY = timedelta(seconds=3)
+MISSING_MODEL_RETRY_DELAY = timedelta(seconds=1.5)
+LONG_GOAL_MISSING_MODEL_RETRY_DELAY = timedelta(seconds=3)
 """Retry delay for a model that no target holds; the longer one applies if the route's
 goal leaves time for a load.  A load from a target's disk takes two seconds, and
 callers wait at most a third of their time."""
-SHORTEST_RETRY = timedelta(milliseconds=250)
-LONGEST_RETRY = timedelta(seconds=4)
+MIN_RETRY_DELAY = timedelta(milliseconds=250)
+MAX_RETRY_DELAY = timedelta(seconds=4)
 """Bounds of the retry delay: earlier, little has changed at a target, and callers that
 wait longer rarely retry in time."""
-RETRY_JITTER = 0.25
+MAX_RETRY_JITTER = 0.25
 """Largest relative increase of a retry delay, to spread the retries of callers."""
 
 
-class Refuser:
+class RefusalBuilder:
     """Builds refusals of requests that have not run."""
 
     def __init__(self, seed: int | None) -> None:
@@ -29,14 +29,14 @@
     def refuse(
         self,
         reason: Reason,
-        helps_after: timedelta = timedelta(),
-        best: Scored | None = None,
+        retry_delay: timedelta = timedelta(),
+        best: ScoredTarget | None = None,
     ) -> Refusal:
-        """Return a refusal with a retry delay of ``helps_after``, within bounds.
+        """Return a refusal with a retry delay of ``retry_delay``, within bounds.
 
         ``best`` is the target with the best prediction, if there was one.
         """
-        wait = min(max(helps_after, SHORTEST_RETRY), LONGEST_RETRY)
+        wait = min(max(retry_delay, MIN_RETRY_DELAY), MAX_RETRY_DELAY)
         wait *= self._jitter_factor()
         judged_by = None
         if best is not None:
@@ -48,17 +48,17 @@
             )
         return Refusal(reason, Executed.NO, retry_after=wait, judged_by=judged_by)
 
-    def refuse_unwilling(self, found: NoneWilling) -> Refusal:
+    def refuse_unwilling(self, found: NoCandidates) -> Refusal:
         """Return a refusal until a target accepts work again, with no upper bound."""
-        wait = max(found.after, SHORTEST_RETRY) * self._jitter_factor()
+        wait = max(found.retry_after, MIN_RETRY_DELAY) * self._jitter_factor()
         return Refusal(found.reason, Executed.NO, retry_after=wait, target=found.target)
 
     def _jitter_factor(self) -> float:
-        return self._random.uniform(1.0, 1.0 + RETRY_JITTER)
+        return self._random.uniform(1.0, 1.0 + MAX_RETRY_JITTER)
 
 
-def missing_retry(request: GatewayRequest) -> timedelta:
+def missing_model_retry_delay(request: GatewayRequest) -> timedelta:
     """Return the retry delay for a request whose model no target holds."""
     if request.route.goal < HURRIED_GOAL:
-        return MISSING_RETRY
-    return PATIENT_MISSING_RETRY
+        return MISSING_MODEL_RETRY_DELAY
+    return LONG_GOAL_MISSING_MODEL_RETRY_DELAY
--- a/packages/runhatch-server/src/runhatch_server/gateway/_relay.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_relay.py
@@ -8,8 +8,8 @@
 from runhatch_server.decisions import GatewayRequest
 from runhatch_server.gateway._balancer import Balancer
 from runhatch_server.gateway._forward import (
+    CALLER_CHECK_INTERVAL,
     READ_TIMEOUT,
-    WATCH_SLICE,
     Forwarder,
     OpenedAnswer,
 )
@@ -25,7 +25,7 @@
     def resume(self, after: str) -> tuple[Grant, OpenedAnswer] | None:
         """Return an answer that continues after event ``after``, or ``None``."""
 
-    def no_answer(self, grant: Grant, reason: AttemptReason) -> None:
+    def record_no_answer(self, grant: Grant, reason: AttemptReason) -> None:
         """Record that the attempt of ``grant`` got no whole answer, and why."""
 
 
@@ -46,7 +46,7 @@
         balancer: Balancer,
         resumer: Resumer,
         clock: Clock,
-        caller_gone: Callable[[], bool],
+        is_caller_gone: Callable[[], bool],
         on_end: Callable[["StreamRelay"], None],
     ) -> None:
         self._on_end = on_end
@@ -59,9 +59,9 @@
         self._balancer = balancer
         self._resumer = resumer
         self._clock = clock
-        self._caller_gone = caller_gone
+        self._caller_gone = is_caller_gone
         self._splitter = EventSplitter() if request.route.resumable else None
-        self._last_event_id = request.last_event
+        self._last_event_id = request.last_event_id
         self._holds_target = True
         self.pace = StreamPace()
         self.outcome = "cut"
@@ -98,7 +98,7 @@
                 break
             sendable = self._take_sendable(chunk)
             if sendable:
-                self.pace.piece(self._clock.elapsed())
+                self.pace.record_piece(self._clock.elapsed())
                 yield sendable
         if self._splitter is not None and self._splitter.rest:
             yield self._splitter.rest
@@ -108,7 +108,7 @@
         """Return the next bytes, empty at the end, ``None`` if the connection broke."""
         connection = self._opened.connection
         try:
-            while not connection.wait(WATCH_SLICE):
+            while not connection.wait_readable(CALLER_CHECK_INTERVAL):
                 if self._caller_gone():
                     self.outcome = "caller_gone"
                     raise AbortedStreamError(self._request.attempt_id)
@@ -116,7 +116,7 @@
                     self.outcome = "deadline_passed"
                     raise AbortedStreamError(self._request.attempt_id)
             connection.set_timeout(READ_TIMEOUT)
-            return connection.read_some()
+            return connection.read_chunk()
         except (OSError, ValueError, http.client.HTTPException):
             return None
 
@@ -137,7 +137,7 @@
 
     def _resume(self) -> bool:
         self._release_target(faulty=True)
-        self._resumer.no_answer(self._grant, AttemptReason.BROKEN)
+        self._resumer.record_no_answer(self._grant, AttemptReason.BROKEN)
         if self._splitter is None:
             self.outcome = "target_broke_off"
             return False
@@ -153,20 +153,20 @@
     def _finish(self) -> None:
         self.outcome = "answered"
         self._holds_target = False
-        self._forwarder.finished(self._opened)
+        self._forwarder.recycle_connection(self._opened)
         mean_gap = self.pace.mean_gap
         if mean_gap is not None:
-            self._balancer.streamed(self._grant, mean_gap)
-        self._balancer.released(self._grant, faulty=False)
+            self._balancer.record_stream_pace(self._grant, mean_gap)
+        self._balancer.release(self._grant, target_failed=False)
 
     def _abandon(self) -> None:
         if self._holds_target:
             if self.outcome == "cut":
                 self.outcome = "caller_gone"
             self._release_target(faulty=False)
-            self._resumer.no_answer(self._grant, AttemptReason.CALLER_GONE)
+            self._resumer.record_no_answer(self._grant, AttemptReason.CALLER_GONE)
 
     def _release_target(self, faulty: bool) -> None:
         self._holds_target = False
-        self._forwarder.abandon(self._opened)
-        self._balancer.released(self._grant, faulty)
+        self._forwarder.discard_answer(self._opened)
+        self._balancer.release(self._grant, faulty)
--- a/packages/runhatch-server/src/runhatch_server/gateway/_run.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_run.py
@@ -6,11 +6,11 @@
 from datetime import timedelta
 
 from runhatch_coordination import Clock
-from runhatch_server.crashes import CrashWatch
-from runhatch_server.decisions import GatewayRequest, Tried
-from runhatch_server.gateway._answers import GatewayAnswer, StreamAnswer, WholeAnswer
+from runhatch_server.crashes import CrashDetector
+from runhatch_server.decisions import GatewayRequest, TriedTargets
+from runhatch_server.gateway._answers import CompleteAnswer, GatewayAnswer, StreamAnswer
 from runhatch_server.gateway._balancer import Balancer
-from runhatch_server.gateway._budget import WindowBudget
+from runhatch_server.gateway._budget import WindowedRetryBudget
 from runhatch_server.gateway._forward import (
     AttemptResult,
     Forwarder,
@@ -25,24 +25,24 @@
 from runhatch_server.targets import (
     AttemptReason,
     NotSent,
-    RefusedUnrun,
+    RefusedNotRun,
     UnknownResult,
 )
 
-MOST_UNRUN = 2
+MAX_UNRUN_RETRIES = 2
 """Attempts at other targets after one that did not run the request; each is paid for
 by the retry budget."""
-MOST_UNSENT = 4
+MAX_UNSENT_RETRIES = 4
 """Attempts at other targets after one that could not be reached."""
-HUNG_SHARE = 0.4
+HEAD_TIMEOUT_SHARE = 0.4
 """Share of the remaining time to wait for the answer to a repeatable request, if the
 request may still be sent to another target."""
-HUNG_FACTOR = 8.0
+HEAD_TIMEOUT_FACTOR = 8.0
 """Shortest wait for such an answer, as a multiple of the predicted time."""
-RETRY_AFTER_UNKNOWN = timedelta(milliseconds=250)
+UNRUN_RETRY_DELAY = timedelta(milliseconds=250)
 """Retry delay for a caller whose request no target could run."""
-SUCCESS = range(200, 300)
-SERVER_FAULT = 500
+SUCCESS_STATUSES = range(200, 300)
+MIN_SERVER_ERROR_STATUS = 500
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,7 +52,7 @@
     balancer: Balancer
     forwarder: Forwarder
     recorder: RequestRecorder
-    crashes: CrashWatch
+    crashes: CrashDetector
     clock: Clock
 
 
@@ -63,14 +63,14 @@
         self,
         parts: RunParts,
         request: GatewayRequest,
-        budget: WindowBudget,
-        caller_gone: Callable[[], bool],
+        budget: WindowedRetryBudget,
+        is_caller_gone: Callable[[], bool],
     ) -> None:
         self._parts = parts
         self._request = request
         self._budget = budget
-        self._caller_gone = caller_gone
-        self._tried_targets = Tried()
+        self._caller_gone = is_caller_gone
+        self._tried_targets = TriedTargets()
         self._attempt_count = 0
         self._unrun_count = 0
         self._unsent_count = 0
@@ -90,8 +90,8 @@
             if isinstance(answer, Refusal):
                 return self._record_refusal(answer)
             if answer is not None:
-                self.record.answered(answer.status)
-                self._parts.recorder.ended(self.record)
+                self.record.record_answer(answer.status)
+                self._parts.recorder.record(self.record)
                 return answer
 
     def resume(self, after: str) -> tuple[Grant, OpenedAnswer] | None:
@@ -105,23 +105,23 @@
         if isinstance(sent, Refusal):
             return None
         grant, opened = sent
-        if opened.head.status not in SUCCESS:
-            self._parts.forwarder.abandon(opened)
-            self._parts.balancer.released(grant, faulty=True)
+        if opened.head.status not in SUCCESS_STATUSES:
+            self._parts.forwarder.discard_answer(opened)
+            self._parts.balancer.release(grant, target_failed=True)
             return None
         return sent
 
-    def no_answer(self, grant: Grant, reason: AttemptReason) -> None:
+    def record_no_answer(self, grant: Grant, reason: AttemptReason) -> None:
         """Record that the attempt of ``grant`` got no whole answer, and why."""
         crashes, fingerprint = self._parts.crashes, self._request.fingerprint
         if reason is AttemptReason.BROKEN:
-            crashes.cut_off(fingerprint, grant.target.incarnation)
+            crashes.record_abort(fingerprint, grant.target.incarnation)
         else:
-            crashes.unfinished(fingerprint, grant.target.incarnation)
+            crashes.record_abandoned(fingerprint, grant.target.incarnation)
 
     def _record_answer(self, grant: Grant, is_success: bool = True) -> None:
         """Record a whole answer for ``grant``, a failed one unless ``is_success``."""
-        self._parts.crashes.answered(
+        self._parts.crashes.record_answer(
             self._request.fingerprint,
             grant.target.incarnation,
             grant.granted_at,
@@ -132,7 +132,9 @@
         """Send the request until a target begins to answer, or return a refusal."""
         while True:
             # Checked before retries too: the last attempt may have crashed a target.
-            suspect_refusal = self._parts.crashes.judge(self._request.fingerprint)
+            suspect_refusal = self._parts.crashes.check_request(
+                self._request.fingerprint
+            )
             if suspect_refusal is not None:
                 return (
                     suspect_refusal.as_unknown()
@@ -155,11 +157,11 @@
             )
             if isinstance(result, OpenedAnswer):
                 self._attempt_count += 1
-                self._parts.balancer.started(grant)
+                self._parts.balancer.record_first_byte(grant)
                 self._apply_target_state(grant, result.head)
                 took = self._parts.clock.elapsed() - grant.granted_at
-                self.record.first_byte_after(took)
-                self.record.attempt(grant, f"status_{result.head.status}")
+                self.record.record_first_byte(took)
+                self.record.record_attempt(grant, f"status_{result.head.status}")
                 return grant, result
             refusal = self._handle_failed_attempt(grant, result)
             if refusal is not None:
@@ -168,11 +170,11 @@
     def _head_deadline(self, grant: Grant) -> timedelta:
         """Return the time at which to stop waiting for the head of the answer."""
         request = self._request
-        if not request.route.may_repeat or not self._has_attempts_left(after=1):
+        if not request.route.may_retry or not self._has_attempts_left(after=1):
             return request.deadline
         now = self._parts.clock.elapsed()
-        predicted = timedelta(milliseconds=grant.predicted_ms) * HUNG_FACTOR
-        longest_wait = max(predicted, (request.deadline - now) * HUNG_SHARE)
+        predicted = timedelta(milliseconds=grant.predicted_ms) * HEAD_TIMEOUT_FACTOR
+        longest_wait = max(predicted, (request.deadline - now) * HEAD_TIMEOUT_SHARE)
         return min(request.deadline, now + longest_wait)
 
     def _has_attempts_left(self, after: int = 0) -> bool:
@@ -184,51 +186,51 @@
         """Release the grant; return a refusal unless another attempt is due."""
         balancer = self._parts.balancer
         target = grant.target.incarnation
-        self._tried_targets = self._tried_targets.failed_at(target)
+        self._tried_targets = self._tried_targets.with_failure(target)
         match result:
             case NotSent(reason):
-                self.record.attempt(grant, f"not_sent_{reason.value}")
-                balancer.limits.give_back(target)
+                self.record.record_attempt(grant, f"not_sent_{reason.value}")
+                balancer.limits.return_permit(target)
                 self._unsent_count += 1
                 if reason is AttemptReason.TIMED_OUT:
-                    balancer.released(grant, faulty=False)
+                    balancer.release(grant, target_failed=False)
                     return self._make_refusal(Reason.DEADLINE_PASSED)
-                balancer.unreachable(grant)
-                if self._unsent_count <= MOST_UNSENT:
+                balancer.release_unreachable(grant)
+                if self._unsent_count <= MAX_UNSENT_RETRIES:
                     return None
                 return self._make_refusal(Reason.TARGETS_BUSY)
-            case RefusedUnrun(reason):
-                self.record.attempt(grant, f"not_run_{reason.value}")
+            case RefusedNotRun(reason):
+                self.record.record_attempt(grant, f"not_run_{reason.value}")
                 self._apply_target_state(grant, result)
                 if reason is AttemptReason.MODEL_NOT_THERE:
-                    balancer.misdirected(grant)
+                    balancer.release_misdirected(grant)
                 else:
-                    self._tried_targets = self._tried_targets.turned_away_at(target)
-                    balancer.refused(grant)
+                    self._tried_targets = self._tried_targets.with_refusal(target)
+                    balancer.release_refused(grant)
                 return self._decide_after_unrun(reason)
             case UnknownResult(reason):
-                self.record.attempt(grant, f"unknown_{reason.value}")
+                self.record.record_attempt(grant, f"unknown_{reason.value}")
                 self._attempt_count += 1
                 self._may_have_run = True
-                balancer.released(grant, reason is not AttemptReason.CALLER_GONE)
-                self.no_answer(grant, reason)
+                balancer.release(grant, reason is not AttemptReason.CALLER_GONE)
+                self.record_no_answer(grant, reason)
                 return self._decide_after_unknown(reason)
             case _:
                 raise AssertionError(result)
 
     def _apply_target_state(
-        self, grant: Grant, answer: AnswerHead | RefusedUnrun
+        self, grant: Grant, answer: AnswerHead | RefusedNotRun
     ) -> None:
         """Apply drain, backoff and rate limit in an answer; they override the entry."""
         balancer = self._parts.balancer
         backoff = (
-            answer.retry_after if isinstance(answer, RefusedUnrun) else answer.rest
+            answer.retry_after if isinstance(answer, RefusedNotRun) else answer.backoff
         )
-        if answer.leaving:
-            balancer.leaves(grant)
+        if answer.draining:
+            balancer.record_draining(grant)
         if backoff is not None:
-            balancer.rests(grant, backoff)
-        balancer.limits.heard(
+            balancer.back_off_target(grant, backoff)
+        balancer.limits.apply_answer(
             grant.target.incarnation, answer.rate_limit, grant.granted_at
         )
 
@@ -236,10 +238,12 @@
         self._unrun_count += 1
         missing = reason is AttemptReason.MODEL_NOT_THERE
         refusal_reason = Reason.NO_REPLICA if missing else Reason.TARGETS_BUSY
-        unwilling = self._parts.balancer.unwilling(self._request, self._tried_targets)
+        unwilling = self._parts.balancer.refusal_for_retry(
+            self._request, self._tried_targets
+        )
         if unwilling is not None:
             return unwilling.as_unknown() if self._may_have_run else unwilling
-        if self._unrun_count > MOST_UNRUN or not self._withdraw_retry(reason):
+        if self._unrun_count > MAX_UNRUN_RETRIES or not self._withdraw_retry(reason):
             return self._make_refusal(refusal_reason)
         return None
 
@@ -254,15 +258,15 @@
 
     def _may_retry(self, reason: AttemptReason) -> bool:
         """Return whether a request that may have run is retried; pays for the retry."""
-        if not self._request.route.may_repeat or not self._has_attempts_left():
+        if not self._request.route.may_retry or not self._has_attempts_left():
             return False
         if self._parts.clock.elapsed() >= self._request.deadline:
             return False
         return self._withdraw_retry(reason)
 
     def _withdraw_retry(self, reason: AttemptReason) -> bool:
-        is_paid = self._budget.withdraw(self._parts.balancer.nodes)
-        self.record.retry(reason, is_paid)
+        is_paid = self._budget.try_spend(self._parts.balancer.node_count)
+        self.record.record_retry(reason, is_paid)
         return is_paid
 
     def _make_refusal(self, reason: Reason) -> Refusal:
@@ -271,19 +275,19 @@
         if reason.status != http.client.SERVICE_UNAVAILABLE:
             # Nothing ran, so the caller may retry.
             reason = Reason.TARGETS_BUSY
-        return Refusal(reason, Executed.NO, retry_after=RETRY_AFTER_UNKNOWN)
+        return Refusal(reason, Executed.NO, retry_after=UNRUN_RETRY_DELAY)
 
     def _record_refusal(self, refusal: Refusal) -> Refusal:
         if refusal.executed is Executed.UNKNOWN and refusal.reason.status == 503:
             # Status 503 promises that nothing ran.
             refusal = Refusal(Reason.TARGETS_FAILED, Executed.UNKNOWN)
-        self.record.refused(refusal)
-        self._parts.recorder.ended(self.record)
+        self.record.record_refusal(refusal)
+        self._parts.recorder.record(self.record)
         return refusal
 
     def _is_stream(self, opened: OpenedAnswer) -> bool:
         is_stream_route = self._request.route.kind is RequestKind.STREAM
-        return is_stream_route and opened.head.status in SUCCESS
+        return is_stream_route and opened.head.status in SUCCESS_STATUSES
 
     def _stream_answer(self, grant: Grant, opened: OpenedAnswer) -> StreamAnswer:
         parts = self._parts
@@ -299,45 +303,45 @@
             self._record_stream,
         )
         head = opened.head
-        return StreamAnswer(head.status, head.reason, head.passed, relay)
+        return StreamAnswer(head.status, head.reason, head.forwarded, relay)
 
     def _record_stream(self, relay: StreamRelay) -> None:
         if relay.outcome == "answered":
             self._record_answer(relay.grant)
-        self.record.streamed(relay.outcome, relay.pace)
-        self._parts.recorder.ended(self.record)
+        self.record.record_stream(relay.outcome, relay.pace)
+        self._parts.recorder.record(self.record)
 
     def _read_whole(
         self, grant: Grant, opened: OpenedAnswer
-    ) -> WholeAnswer | Refusal | None:
+    ) -> CompleteAnswer | Refusal | None:
         """Return the whole answer, a refusal, or ``None`` to try again."""
         head = opened.head
         left = self._request.deadline - self._parts.clock.elapsed()
         try:
             opened.connection.set_timeout(left)
-            body = opened.connection.read_whole()
+            body = opened.connection.read_body()
         except TimeoutError:
             return self._handle_broken_answer(grant, opened, AttemptReason.TIMED_OUT)
         except (OSError, ValueError, http.client.HTTPException):
             return self._handle_broken_answer(grant, opened, AttemptReason.BROKEN)
-        self._parts.forwarder.finished(opened)
-        failed = head.status >= SERVER_FAULT
-        self._parts.balancer.released(grant, faulty=failed)
+        self._parts.forwarder.recycle_connection(opened)
+        failed = head.status >= MIN_SERVER_ERROR_STATUS
+        self._parts.balancer.release(grant, target_failed=failed)
         self._record_answer(grant, is_success=not failed)
-        self._tried_targets = self._tried_targets.failed_at(grant.target.incarnation)
+        self._tried_targets = self._tried_targets.with_failure(grant.target.incarnation)
         if failed:
             self._may_have_run = True
             if self._may_retry(AttemptReason.SERVER_ERROR):
                 return None
-        return WholeAnswer(head.status, head.reason, head.passed, body)
+        return CompleteAnswer(head.status, head.reason, head.forwarded, body)
 
     def _handle_broken_answer(
         self, grant: Grant, opened: OpenedAnswer, reason: AttemptReason
     ) -> Refusal | None:
-        self._parts.forwarder.abandon(opened)
-        self._parts.balancer.released(grant, faulty=True)
-        self._tried_targets = self._tried_targets.failed_at(grant.target.incarnation)
+        self._parts.forwarder.discard_answer(opened)
+        self._parts.balancer.release(grant, target_failed=True)
+        self._tried_targets = self._tried_targets.with_failure(grant.target.incarnation)
         self._may_have_run = True
-        self.record.attempt(grant, f"unknown_{reason.value}")
-        self.no_answer(grant, reason)
+        self.record.record_attempt(grant, f"unknown_{reason.value}")
+        self.record_no_answer(grant, reason)
         return self._decide_after_unknown(reason)
--- a/packages/runhatch-server/src/runhatch_server/gateway/_service.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_service.py
@@ -4,7 +4,7 @@
 
 from runhatch_server.decisions import GatewayRequest
 from runhatch_server.gateway._answers import GatewayAnswer
-from runhatch_server.gateway._budget import WindowBudget
+from runhatch_server.gateway._budget import WindowedRetryBudget
 from runhatch_server.gateway._run import RequestRun, RunParts
 from runhatch_server.gateway._settings import RetryBounds
 from runhatch_server.refusals import Refusal
@@ -16,15 +16,15 @@
     def __init__(self, parts: RunParts, bounds: RetryBounds) -> None:
         self._parts = parts
         self._bounds = bounds
-        self._budgets: dict[str, WindowBudget] = {}
+        self._budgets: dict[str, WindowedRetryBudget] = {}
 
     def serve(
-        self, request: GatewayRequest, caller_gone: Callable[[], bool]
+        self, request: GatewayRequest, is_caller_gone: Callable[[], bool]
     ) -> GatewayAnswer | Refusal:
         """Return the answer to ``request``, whose body may still be arriving."""
         budget = self._budgets.get(request.service)
         if budget is None:
-            new_budget = WindowBudget(self._bounds, self._parts.clock)
+            new_budget = WindowedRetryBudget(self._bounds, self._parts.clock)
             budget = self._budgets.setdefault(request.service, new_budget)
-        budget.request()
-        return RequestRun(self._parts, request, budget, caller_gone).answer()
+        budget.record_request()
+        return RequestRun(self._parts, request, budget, is_caller_gone).answer()
--- a/packages/runhatch-server/src/runhatch_server/gateway/_shared_loads.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_shared_loads.py
@@ -24,34 +24,34 @@
         """Return the outstanding load of this node by target."""
         now = self._clock.elapsed()
         with self._lock:
-            return self._book.shares(now)
+            return self._book.own_shares(now)
 
-    def of_peer(self, node: str, shares: Shares, whole: bool) -> None:
+    def apply_peer(self, node: str, shares: Shares, whole: bool) -> None:
         """Apply the outstanding load of ``node`` at some targets.
 
         If ``whole``, it has none at any other target.
         """
         now = self._clock.elapsed()
         with self._lock:
-            self._book.peer_shares(node, shares, whole, now)
+            self._book.record_peer_shares(node, shares, whole, now)
 
-    def of_domain(self, domain: str, shares: Shares, whole: bool) -> None:
+    def apply_domain(self, domain: str, shares: Shares, whole: bool) -> None:
         """Apply the total outstanding load of the nodes of a failure domain."""
         now = self._clock.elapsed()
         with self._lock:
-            self._book.domain_shares(domain, shares, whole, now)
+            self._book.record_domain_shares(domain, shares, whole, now)
 
-    def of_all(self, shares: Shares, whole: bool) -> None:
+    def apply_total(self, shares: Shares, whole: bool) -> None:
         """Apply the total outstanding load of all other nodes."""
         now = self._clock.elapsed()
         with self._lock:
-            self._book.all_shares(shares, whole, now)
+            self._book.record_total_shares(shares, whole, now)
 
-    def gathered(self) -> dict[str, LoadShare]:
+    def own_and_peers(self) -> dict[str, LoadShare]:
         """Return the load of this node plus that of nodes that sent theirs directly."""
         now = self._clock.elapsed()
         with self._lock:
-            return self._book.gathered(now)
+            return self._book.direct_totals(now)
 
     def totals(self) -> dict[str, LoadShare]:
         """Return the known outstanding load of all nodes."""
--- a/packages/runhatch-server/src/runhatch_server/gateway/_tables.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_tables.py
@@ -46,21 +46,21 @@
 
 ValueT = TypeVar("ValueT")
 
-CHANGES_TOGETHER = timedelta(milliseconds=150)
-DRAIN_SLACK = timedelta(milliseconds=1_300)
-LEAST_TARGET_CHANGES_TOGETHER = timedelta(milliseconds=300)
-MOST_TARGET_CHANGES_TOGETHER = timedelta(milliseconds=1_500)
+COALESCING_WINDOW = timedelta(milliseconds=150)
+DRAIN_MARGIN = timedelta(milliseconds=1_300)
+MIN_TARGET_COALESCING_WINDOW = timedelta(milliseconds=300)
+MAX_TARGET_COALESCING_WINDOW = timedelta(milliseconds=1_500)
 """Changes within these times are read in one call, as each call is billed.  Of the
-changes of targets only draining is urgent.  Nodes must know of it ``DRAIN_SLACK``
+changes of targets only draining is urgent.  Nodes must know of it ``DRAIN_MARGIN``
 before requests to the target must end: enough for the call, for messages in flight, and
 for a node whose readers are cut off to be notified by another failure domain."""
-SILENT_SHARE = 0.4
+SILENCE_TIMEOUT_SHARE = 0.4
 """Share of the drain time after which a reader that sends nothing is not relied on, so
 that changes it missed are still read in time."""
-TOLD_PER_SILENCE = 2
+HEARTBEATS_PER_SILENCE_TIMEOUT = 2
 """Heartbeats of a reader within that time.  After a late one the nodes of its domain
 read the store themselves once, and each heartbeat wakes idle nodes."""
-RENEW_EVERY = timedelta(seconds=2)
+RECONNECT_INTERVAL = timedelta(seconds=2)
 """Interval between reconnections to a silent reader."""
 
 
@@ -74,17 +74,17 @@
         metrics: Metrics,
         stopping: threading.Event,
         drain: timedelta,
-        tell: Callable[[str, Fact], None],
-        tell_all: Callable[[Fact], None],
+        send: Callable[[str, Fact], None],
+        publish: Callable[[Fact], None],
         seeds: Callable[[], Iterable[str]],
     ) -> None:
         self._membership = membership
         self._clock = clock
         self._metrics = metrics
         self._stopping = stopping
-        self._silence_timeout = drain * SILENT_SHARE
-        self._send = tell
-        self._publish = tell_all
+        self._silence_timeout = drain * SILENCE_TIMEOUT_SHARE
+        self._send = send
+        self._publish = publish
         self._seeds = seeds
         self._tables: dict[str, SharedTable] = {}
         self._broadcaster: Broadcaster | None = None
@@ -98,17 +98,17 @@
         self._renewed_at: dict[str, timedelta] = {}
 
     @property
-    def told_every(self) -> timedelta:
+    def heartbeat_interval(self) -> timedelta:
         """The interval between heartbeats of a reader."""
-        return self._silence_timeout / TOLD_PER_SILENCE
+        return self._silence_timeout / HEARTBEATS_PER_SILENCE_TIMEOUT
 
     @property
-    def broadcasts(self) -> bool:
+    def can_broadcast(self) -> bool:
         """Whether this node can broadcast to other nodes."""
         return self._broadcaster is not None
 
     @property
-    def reads(self) -> bool:
+    def is_reader(self) -> bool:
         """Whether this node reads the store for its failure domain."""
         return self._role is Role.READER
 
@@ -118,7 +118,7 @@
         return [vm.address for vm in self._readers.values()]
 
     @property
-    def is_second(self) -> bool:
+    def is_second_reader(self) -> bool:
         """Whether another node of this failure domain is its first reader."""
         return self._is_second
 
@@ -159,7 +159,7 @@
         if self._listener is not None:
             self._listener.close()
 
-    def keep_readers(self) -> None:
+    def update_readers(self) -> None:
         """Listen to the readers of the current membership, and update the own role."""
         own = self._membership.own
         alive = self._membership.alive()
@@ -179,9 +179,9 @@
             for table in self._tables.values():
                 table.wake()
 
-    def tell_state(self, more: list[Fact]) -> None:
-        """Broadcast the tables' current versions and ``more``, if a reader."""
-        if not self.reads:
+    def broadcast_state(self, extra_facts: list[Fact]) -> None:
+        """Broadcast the tables' current versions and ``extra_facts``, if a reader."""
+        if not self.is_reader:
             return
         facts: list[Fact] = []
         for name, table in self._tables.items():
@@ -190,19 +190,19 @@
                 if table.reachable:
                     self._updated_at[name] = self._clock.elapsed()
                 facts.append(_news_message(name, unchanged, table.reachable))
-        self.broadcast(facts + more)
+        self.broadcast(facts + extra_facts)
 
     def broadcast(self, facts: list[Fact]) -> None:
         """Broadcast ``facts`` to all listeners."""
         if self._broadcaster is not None and facts:
             self._broadcaster.tell(facts)
 
-    def check(self) -> None:
+    def read_overdue(self) -> None:
         """Read changes that other nodes reported and that are overdue here."""
         for table in self._tables.values():
             table.check()
 
-    def take_in_news(self, news: TableNews, sender: Member) -> None:
+    def apply_changes(self, news: TableNews, sender: Member) -> None:
         """Apply the changes of a table that a reader sent."""
         table = self._tables.get(news.table)
         if table is None:
@@ -217,12 +217,12 @@
             return
         table.told(sender.name, changes, news.reachable)
 
-    def take_in_version(self, fact: TableVersion) -> bool:
+    def record_version(self, fact: TableVersion) -> bool:
         """Record a version of a table; return whether it is new to this node."""
         table = self._tables.get(fact.table)
         return table is not None and table.noticed(fact.version)
 
-    def state_since(self, versions: dict[str, StoreVersion]) -> list[Fact]:
+    def changes_since(self, versions: dict[str, StoreVersion]) -> list[Fact]:
         """Return the changes of tables since ``versions``."""
         facts: list[Fact] = []
         for name, version in versions.items():
@@ -240,7 +240,7 @@
         """Return the role of this node for watched tables."""
         return self._role
 
-    def ask(self, table: str, version: StoreVersion | None) -> bool:
+    def request_changes(self, table: str, version: StoreVersion | None) -> bool:
         """Request the changes of a table from a reader, or else from a seed.
 
         A node that is a seed itself requests none, as the others request them of it.
@@ -258,17 +258,17 @@
         self._updated_at[table] = self._clock.elapsed()
         self.broadcast([_news_message(table, changes, reachable)])
 
-    def notice(self, table: str, version: StoreVersion) -> None:
+    def publish_version(self, table: str, version: StoreVersion) -> None:
         """Publish ``version`` of the table to the nodes of all failure domains."""
         self._publish(TableVersion(table, version))
 
-    def note_source(self, table: str, source: Source) -> None:
+    def record_source(self, table: str, source: Source) -> None:
         """Log and count a change of the source of a table."""
         age = self._age(table)
         log_change("table_source", table=table, source=source.value, age_s=age)
         self._metrics.table_sources.labels(table, source.value).inc()
 
-    def measure(self) -> None:
+    def update_metrics(self) -> None:
         """Update the metric of the age of each table."""
         for name in self._tables:
             self._metrics.table_age.labels(name).set(self._age(name))
@@ -295,19 +295,19 @@
                 name, self._renewed_at.setdefault(name, now)
             )
             last_try = max(received_at, self._renewed_at[name])
-            if now - last_try >= RENEW_EVERY:
+            if now - last_try >= RECONNECT_INTERVAL:
                 self._renewed_at[name] = now
                 listener.renew(_url(vm))
 
 
-def coalescing_of_targets(drain: timedelta) -> timedelta:
+def target_coalescing_window(drain: timedelta) -> timedelta:
     """Return the time within which changes of targets are read in one call.
 
     >>> coalescing_of_targets(timedelta(seconds=2)).total_seconds()
     0.7
     """
-    available = min(drain - DRAIN_SLACK, MOST_TARGET_CHANGES_TOGETHER)
-    return max(LEAST_TARGET_CHANGES_TOGETHER, available)
+    available = min(drain - DRAIN_MARGIN, MAX_TARGET_COALESCING_WINDOW)
+    return max(MIN_TARGET_COALESCING_WINDOW, available)
 
 
 def _url(vm: Vm) -> str:
--- a/packages/runhatch-server/src/runhatch_server/gateway/_watched.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_watched.py
@@ -14,12 +14,12 @@
     table: str,
     rows: Iterable[Entry[bytes]],
     decode: Callable[[str, bytes], ValueT],
-    unreadable_is_gone: bool,
+    removes_unreadable: bool,
 ) -> tuple[Entry[ValueT], ...]:
     """Return the decoded ``rows`` of ``table``.
 
     A row for which ``decode`` raises ``ValueError`` is logged and skipped, so that
-    its previous value stays, or is returned as removed if ``unreadable_is_gone``.
+    its previous value stays, or is returned as removed if ``removes_unreadable``.
     """
     decoded: list[Entry[ValueT]] = []
     for row in rows:
@@ -30,7 +30,7 @@
             decoded.append(Entry(row.key, decode(row.key, row.value)))
         except ValueError as error:
             log_change("row_unreadable", table=table, key=row.key, why=str(error))
-            if unreadable_is_gone:
+            if removes_unreadable:
                 decoded.append(Entry(row.key, None))
     return tuple(decoded)
 
@@ -42,11 +42,11 @@
     name: str
     feed: Feed[bytes]
     decode: Callable[[str, bytes], ValueT]
-    unreadable_is_gone: bool = False
+    removes_unreadable: bool = False
 
-    def decoded(self, rows: Iterable[Entry[bytes]]) -> tuple[Entry[ValueT], ...]:
+    def decode_entries(self, rows: Iterable[Entry[bytes]]) -> tuple[Entry[ValueT], ...]:
         """Return the decoded ``rows``."""
-        return decode_rows(self.name, rows, self.decode, self.unreadable_is_gone)
+        return decode_rows(self.name, rows, self.decode, self.removes_unreadable)
 
 
 class DecodingListener(Generic[ValueT]):
@@ -60,11 +60,11 @@
 
     def listed(self, entries: tuple[Entry[bytes], ...]) -> None:
         """Replace all entries."""
-        self._listener.listed(self._table.decoded(entries))
+        self._listener.listed(self._table.decode_entries(entries))
 
     def changed(self, entries: tuple[Entry[bytes], ...]) -> None:
         """Apply changed entries."""
-        self._listener.changed(self._table.decoded(entries))
+        self._listener.changed(self._table.decode_entries(entries))
 
     def restored(self) -> None:
         """Record that the table was restored from a backup; a listing follows."""
--- a/packages/runhatch-server/src/runhatch_server/gateway_daemon.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway_daemon.py
@@ -13,13 +13,13 @@
     Signals,
     stop_broken,
 )
-from runhatch_server.gateway import GatewayNode, GatewayOutside, GatewaySettings
+from runhatch_server.gateway import GatewayNode, GatewayPlatform, GatewaySettings
 from runhatch_server.observability import LogLevel, configure_logs
 
 
 def run_gateway(
     settings: GatewaySettings,
-    outside: GatewayOutside,
+    outside: GatewayPlatform,
     reread: Callable[[], GatewaySettings | None],
 ) -> int:
     """Run a gateway until a stop signal; return the exit status.
@@ -31,7 +31,7 @@
     configure_logs(LogLevel.CHANGE, "stdout")
     try:
         node = GatewayNode(settings, outside)
-        node.on_broken_invariant(stop_broken)
+        node.set_invariant_error_handler(stop_broken)
         node.start()
     except OSError as error:
         print(f"runhatchd: cannot start: {error}", file=sys.stderr)
--- a/packages/runhatch-server/src/runhatch_server/placement/__init__.py
+++ b/packages/runhatch-server/src/runhatch_server/placement/__init__.py
@@ -1,6 +1,6 @@
 """Placement of models on targets: the memory ledger and the planner."""
 
-from runhatch_server.decisions import Spread, spread
+from runhatch_server.decisions import WorkDistribution, distribute_work
 from runhatch_server.placement._actions import (
     Action,
     LoadUnit,
@@ -37,7 +37,7 @@
     "Reconciled",
     "RetireUnit",
     "ShardPlanner",
-    "Spread",
+    "WorkDistribution",
     "TargetView",
     "UnitTimes",
     "Urgency",
@@ -46,5 +46,5 @@
     "hosting_of",
     "plan",
     "reconcile",
-    "spread",
+    "distribute_work",
 ]
--- a/packages/runhatch-server/src/runhatch_server/placement/_balance.py
+++ b/packages/runhatch-server/src/runhatch_server/placement/_balance.py
@@ -1,11 +1,11 @@
 """Expected distribution of a pool's work over its replicas."""
 
-from runhatch_server.decisions import Spread, spread
+from runhatch_server.decisions import WorkDistribution, distribute_work
 from runhatch_server.placement._ledger import ChargeState
 from runhatch_server.placement._state import PoolState
 
 
-def balance(state: PoolState) -> Spread:
+def balance(state: PoolState) -> WorkDistribution:
     """Distribute the work of a pool over its replicas as the routers would.
 
     Loading replicas count as hosts; otherwise later plans would add further
@@ -22,4 +22,4 @@
         ]
         for model in state.models
     }
-    return spread(state.work, hosts, capacities)
+    return distribute_work(state.work, hosts, capacities)
--- a/packages/runhatch-server/src/runhatch_server/placement/_planner.py
+++ b/packages/runhatch-server/src/runhatch_server/placement/_planner.py
@@ -7,7 +7,7 @@
 """
 
 from runhatch_server.configuration import ModelSpec
-from runhatch_server.decisions import Spread
+from runhatch_server.decisions import WorkDistribution
 from runhatch_server.placement._actions import Action, LoadUnit
 from runhatch_server.placement._balance import balance
 from runhatch_server.placement._draft import Draft
@@ -33,7 +33,7 @@
 
 def explain(state: PoolState, model: ModelSpec) -> list[str]:
     """Return lines on the replicas of ``model`` and the next actions with reasons."""
-    spread: Spread = balance(state)
+    spread: WorkDistribution = balance(state)
     work = state.work.get(model.name, 0.0)
     lines = [f"expected work: {work:.2f} concurrent requests"]
     for name, row in state.rows.items():
--- a/packages/runhatch-server/src/runhatch_server/residency/__init__.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/__init__.py
@@ -1,21 +1,21 @@
 """Decide which models targets load when they cannot hold all declared models."""
 
 from runhatch_server.residency._adapter_policy import (
-    AdapterLeft,
+    AdapterDeferralReason,
+    AdapterLoad,
     AdapterPlan,
-    LeftAdapter,
-    LoadAdapter,
+    DeferredAdapter,
     plan_adapters,
 )
-from runhatch_server.residency._control import Intent, Step, TargetControl
+from runhatch_server.residency._control import ControlState, Intent, TargetControl
 from runhatch_server.residency._demand import (
     HURRIED_GOAL,
-    MISSES_REMEMBERED,
+    MISS_RETENTION,
     Demand,
     DemandBook,
+    DemandKey,
     DemandShare,
-    Wanted,
-    rank_weight,
+    priority_weight,
 )
 from runhatch_server.residency._handover import OrderTimes, Resignation
 from runhatch_server.residency._needs import OVERDUE
@@ -27,9 +27,9 @@
 )
 from runhatch_server.residency._permits import LoadPermits
 from runhatch_server.residency._policy import (
-    LeftBecause,
-    LeftModel,
-    LoadModel,
+    DeferralReason,
+    DeferredModel,
+    ModelLoad,
     ModelPlan,
     plan_models,
 )
@@ -37,7 +37,7 @@
 from runhatch_server.residency._view import FleetView
 
 __all__ = [
-    "AdapterLeft",
+    "AdapterDeferralReason",
     "AdapterPlan",
     "Demand",
     "DemandBook",
@@ -46,25 +46,25 @@
     "FleetView",
     "Holding",
     "Intent",
-    "LeftAdapter",
-    "LeftBecause",
-    "LeftModel",
-    "LoadAdapter",
-    "LoadModel",
+    "DeferredAdapter",
+    "DeferralReason",
+    "DeferredModel",
+    "AdapterLoad",
+    "ModelLoad",
     "LoadPermits",
-    "MISSES_REMEMBERED",
+    "MISS_RETENTION",
     "ModelPlan",
     "OVERDUE",
     "OrderClient",
     "OrderTimes",
     "Orderer",
     "Resignation",
-    "Step",
+    "ControlState",
     "TargetControl",
     "TargetOrder",
     "TargetReport",
-    "Wanted",
+    "DemandKey",
     "plan_adapters",
     "plan_models",
-    "rank_weight",
+    "priority_weight",
 ]
--- a/packages/runhatch-server/src/runhatch_server/residency/_adapter_policy.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_adapter_policy.py
@@ -6,8 +6,8 @@
 
 from runhatch_server.residency._control import TargetControl
 from runhatch_server.residency._view import (
+    MIN_DEMAND_RATE,
     UNMET_WEIGHT,
-    WORTH_KEEPING_RATE,
     FleetView,
 )
 
@@ -16,16 +16,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LoadAdapter:
-    """Load an adapter on ``target``, after unloading ``evict`` if no slot is free."""
+class AdapterLoad:
+    """Load an adapter on ``target`` after unloading ``eviction`` if no slot is free."""
 
     target: str
     model: str
     adapter: str
-    evict: tuple[str, str] | None
+    eviction: tuple[str, str] | None
 
 
-class AdapterLeft(Enum):
+class AdapterDeferralReason(Enum):
     """Why an adapter that no target holds is not loaded now."""
 
     NO_HOLDER_FREE = "no holder free"
@@ -35,26 +35,26 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LeftAdapter:
+class DeferredAdapter:
     """An adapter that requests wait for and that is not loaded now.
 
-    ``waiting`` and ``lost``, the demand for the adapter that would be evicted, are in
+    ``waiting`` and ``loss``, the demand for the adapter that would be evicted, are in
     weighted requests.
     """
 
     model: str
     adapter: str
-    because: AdapterLeft
+    reason: AdapterDeferralReason
     waiting: float
-    lost: float = 0.0
+    loss: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class AdapterPlan:
     """The adapters to load now, at most one per target, and the adapters deferred."""
 
-    loads: list[LoadAdapter]
-    left: list[LeftAdapter]
+    loads: list[AdapterLoad]
+    deferred: list[DeferredAdapter]
 
 
 def plan_adapters(view: FleetView) -> AdapterPlan:
@@ -67,13 +67,13 @@
             used_targets.add(best.target)
             plan.loads.append(best)
         elif not any(holder.holds(model, adapter) for holder in view.holders(model)):
-            plan.left.append(_deferred_adapter(view, model, adapter, used_targets))
+            plan.deferred.append(_deferred_adapter(view, model, adapter, used_targets))
     return plan
 
 
 def _deferred_adapter(
     view: FleetView, model: str, adapter: str, used_targets: set[str]
-) -> LeftAdapter:
+) -> DeferredAdapter:
     waiting = _adapter_gain(view, model, adapter)
     free = [
         control
@@ -82,45 +82,53 @@
         and control.target.incarnation not in used_targets
     ]
     if not free:
-        return LeftAdapter(model, adapter, AdapterLeft.NO_HOLDER_FREE, waiting)
+        return DeferredAdapter(
+            model, adapter, AdapterDeferralReason.NO_HOLDER_FREE, waiting
+        )
     victims = [_adapter_victim(view, control) for control in free]
     lost = min((victim[0] for victim in victims if victim is not None), default=0.0)
-    return LeftAdapter(model, adapter, AdapterLeft.NOT_WORTH_IT, waiting, lost)
+    return DeferredAdapter(
+        model, adapter, AdapterDeferralReason.NOT_WORTH_IT, waiting, lost
+    )
 
 
 def _adapter_gain(view: FleetView, model: str, adapter: str) -> float:
     """Return the gain of loading an adapter, in weighted requests."""
     demand = view.adapter_demand(model, adapter)
-    return demand.weighted + demand.waiting(view.now) + demand.unmet * UNMET_WEIGHT
+    return (
+        demand.weighted_rate
+        + demand.waiting_requests(view.now)
+        + demand.unmet * UNMET_WEIGHT
+    )
 
 
 def _adapters_to_load(view: FleetView) -> Iterable[tuple[str, str]]:
     """Return the adapters to load, those with most demand first."""
     ranked: list[tuple[float, str, str]] = []
-    for model, adapter in view.demand.adapters(view.service):
+    for model, adapter in view.demand.requested_adapters(view.service):
         holders = view.holders(model)
         demand = view.adapter_demand(model, adapter)
         holding = sum(control.holds(model, adapter) for control in holders)
         if not holders or holding == len(holders):
             continue
-        waiting = demand.waiting(view.now) + demand.unmet * UNMET_WEIGHT
+        waiting = demand.waiting_requests(view.now) + demand.unmet * UNMET_WEIGHT
         replicas = max(1, round(demand.rate / ADAPTER_RATE_PER_REPLICA))
-        if (not holding and (waiting > 0 or demand.rate > WORTH_KEEPING_RATE)) or (
+        if (not holding and (waiting > 0 or demand.rate > MIN_DEMAND_RATE)) or (
             holding and holding < replicas
         ):
-            ranked.append((waiting + demand.weighted, model, adapter))
+            ranked.append((waiting + demand.weighted_rate, model, adapter))
     ranked.sort(reverse=True)
     return [(model, adapter) for _, model, adapter in ranked]
 
 
 def _best_adapter_load(
     view: FleetView, model: str, adapter: str, used_targets: set[str]
-) -> LoadAdapter | None:
+) -> AdapterLoad | None:
     """Return the best load of ``adapter`` on a holder of ``model``.
 
     Holders with a free adapter slot are preferred.
     """
-    candidates: list[tuple[float, LoadAdapter]] = []
+    candidates: list[tuple[float, AdapterLoad]] = []
     gain = _adapter_gain(view, model, adapter)
     for control in view.holders(model):
         name = control.target.incarnation
@@ -128,17 +136,17 @@
             continue
         if control.holds(model, adapter):
             continue
-        if control.intent is not None and model in control.intent.evict:
+        if control.intent is not None and model in control.intent.evictions:
             continue
         crowding = control.adapter_count() / max(1, view.engine.adapter_slots)
         if control.adapter_count() < view.engine.adapter_slots:
             cost = view.load_of(control) + crowding
-            candidates.append((cost, LoadAdapter(name, model, adapter, None)))
+            candidates.append((cost, AdapterLoad(name, model, adapter, None)))
             continue
         victim = _adapter_victim(view, control)
         if victim is not None and victim[0] < gain:
             cost = 2.0 + view.load_of(control) + victim[0]
-            candidates.append((cost, LoadAdapter(name, model, adapter, victim[1])))
+            candidates.append((cost, AdapterLoad(name, model, adapter, victim[1])))
     return (
         min(candidates, key=lambda candidate: candidate[0])[1] if candidates else None
     )
@@ -150,11 +158,11 @@
     """Return the adapter with the least demand on a target, and that demand."""
     candidates = [
         (
-            view.adapter_demand(model, adapter).weighted,
+            view.adapter_demand(model, adapter).weighted_rate,
             (model, adapter),
         )
         for model, adapters in control.held.items()
         for adapter in adapters
-        if not control.protected(model, adapter, view.now)
+        if not control.is_protected(model, adapter, view.now)
     ]
     return min(candidates, default=None)
--- a/packages/runhatch-server/src/runhatch_server/residency/_calls.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_calls.py
@@ -9,7 +9,7 @@
 """Maximum concurrent calls to targets; one that does not answer holds a worker until
 its timeout."""
 
-Take = Callable[[object], None]
+ApplyAnswer = Callable[[object], None]
 
 
 class TargetCalls:
@@ -22,27 +22,30 @@
     def __init__(self, on_answer: Callable[[], None]) -> None:
         self._on_answer = on_answer
         self._executor = ThreadPoolExecutor(CALL_WORKERS, thread_name_prefix="orders")
-        self._pending: list[tuple[str, Future[object], Take]] = []
+        self._pending: list[tuple[str, Future[object], ApplyAnswer]] = []
 
     def start(
-        self, control: TargetControl, work: Callable[[], object], take: Take
+        self,
+        control: TargetControl,
+        call: Callable[[], object],
+        apply_answer: ApplyAnswer,
     ) -> None:
-        """Call the target in a worker; ``take`` receives the result of ``work``."""
-        control.calling = True
-        future = self._executor.submit(work)
-        self._pending.append((control.target.incarnation, future, take))
+        """Call the target in a worker; ``apply_answer`` receives its result."""
+        control.is_calling = True
+        future = self._executor.submit(call)
+        self._pending.append((control.target.incarnation, future, apply_answer))
         future.add_done_callback(lambda done: self._on_answer())
 
-    def take_answers(self, known: Container[str]) -> None:
-        """Apply the answers received, except for targets no longer in ``known``."""
+    def apply_answers(self, known_targets: Container[str]) -> None:
+        """Apply the answers received, except of targets not in ``known_targets``."""
         ended = [call for call in self._pending if call[1].done()]
         for call in ended:
             self._pending.remove(call)
         for target, future, take in ended:
-            if target in known:
+            if target in known_targets:
                 take(future.result())
 
-    def forget(self) -> None:
+    def ignore_pending(self) -> None:
         """Ignore the answers to all calls in progress."""
         self._pending.clear()
 
--- a/packages/runhatch-server/src/runhatch_server/residency/_control.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_control.py
@@ -27,16 +27,16 @@
 """Interval of report requests for a load that takes longer than expected."""
 UNLOAD_POLL = timedelta(milliseconds=400)
 """Interval of report requests while requests of an unloaded model still run."""
-DOUBT_POLL = timedelta(milliseconds=600)
+UNCERTAIN_POLL = timedelta(milliseconds=600)
 """Interval of report requests while it is unknown whether an order was accepted."""
-ADAPTER_PROTECTED = timedelta(seconds=1)
+ADAPTER_MIN_RESIDENCE = timedelta(seconds=1)
 """Minimum time for which an adapter stays loaded: requests that waited for it are still
 being sent."""
-MODEL_PROTECTED = timedelta(seconds=2.5)
+MODEL_MIN_RESIDENCE = timedelta(seconds=2.5)
 """Minimum time for which a model stays loaded."""
 
 
-class Step(Enum):
+class ControlState(Enum):
     """State that determines what the control of a target waits for."""
 
     UNKNOWN = "unknown"
@@ -45,16 +45,16 @@
     """Waits for nothing; an order may be sent."""
     LOADING = "loading"
     UNLOADING = "unloading"
-    DOUBT = "doubt"
+    UNCERTAIN = "doubt"
     """Waits for a report that shows whether the last order was accepted."""
 
 
 @dataclass(frozen=True, slots=True)
 class Intent:
-    """A model to load after the models in ``evict`` have been unloaded."""
+    """A model to load after the models in ``evictions`` have been unloaded."""
 
     model: str
-    evict: tuple[str, ...]
+    evictions: tuple[str, ...]
     reason: str
 
 
@@ -63,24 +63,24 @@
     """State of one incarnation of one target; used only by the orderer's loop."""
 
     target: Target
-    step: Step = Step.UNKNOWN
-    orders: int = 0
+    state: ControlState = ControlState.UNKNOWN
+    accepted_orders: int = 0
     held: dict[str, set[str]] = field(default_factory=dict)
-    coming: dict[tuple[str, str], timedelta] = field(default_factory=dict)
+    adapters_ready_at: dict[tuple[str, str], timedelta] = field(default_factory=dict)
     """When each adapter that was ordered is expected to be loaded."""
-    removing: set[str] = field(default_factory=set)
-    loading: str = ""
+    unloading: set[str] = field(default_factory=set)
+    loading_model: str = ""
     loading_reason: str = ""
-    ready_at: timedelta = timedelta()
-    ask_at: timedelta = timedelta()
-    calling: bool = False
+    load_ready_at: timedelta = timedelta()
+    report_due_at: timedelta = timedelta()
+    is_calling: bool = False
     intent: Intent | None = None
-    since: dict[tuple[str, str], timedelta] = field(default_factory=dict)
+    loaded_at: dict[tuple[str, str], timedelta] = field(default_factory=dict)
     copies_in_memory: frozenset[str] = frozenset()
     copies_on_disk: frozenset[str] = frozenset()
-    order_from: timedelta = timedelta()
+    orderable_from: timedelta = timedelta()
     """From when on orders may be sent after those of the previous orderer."""
-    changed: bool = True
+    needs_publishing: bool = True
     """Whether the peers must be notified of what the target holds."""
 
     @property
@@ -89,32 +89,34 @@
 
         A target refuses adapter orders too while it loads or unloads a model.
         """
-        return self.step is Step.IDLE and not self.calling
+        return self.state is ControlState.IDLE and not self.is_calling
 
     def is_free_at(self, now: timedelta) -> bool:
         """Return whether an order may be sent at ``now``."""
-        return self.is_free and now >= self.order_from
+        return self.is_free and now >= self.orderable_from
 
     def holds(self, model: str, adapter: str = "") -> bool:
         """Return whether ``model`` with ``adapter`` is held and not being removed."""
         adapters = self.held.get(model)
-        if adapters is None or model in self.removing:
+        if adapters is None or model in self.unloading:
             return False
         return not adapter or adapter in adapters
 
-    def view(self) -> HeldModels:
+    def held_models(self) -> HeldModels:
         """Return the models and adapters that requests may use."""
         return HeldModels(
             {
-                model: frozenset(a for a in adapters if (model, a) not in self.coming)
+                model: frozenset(
+                    a for a in adapters if (model, a) not in self.adapters_ready_at
+                )
                 for model, adapters in self.held.items()
-                if model not in self.removing
+                if model not in self.unloading
             }
         )
 
     def used_mb(self, engine: EngineSpec) -> float:
         """Return the memory of the models held or being loaded, in MB."""
-        names = {*self.held, self.loading} - {""}
+        names = {*self.held, self.loading_model} - {""}
         known = engine.by_name
         return sum(known[name].memory_mb for name in names if name in known)
 
@@ -124,15 +126,15 @@
 
     def free_at(self, engine: EngineSpec, now: timedelta) -> timedelta:
         """Return when the next model order is expected to be possible."""
-        if self.step is Step.LOADING:
-            return max(now, self.ready_at) + REPORT_LAG
+        if self.state is ControlState.LOADING:
+            return max(now, self.load_ready_at) + REPORT_LAG
         if self.intent is not None:
             model = engine.by_name.get(self.intent.model)
             took = timedelta() if model is None else self.load_time(model)
             return now + UNLOAD_TIME + took + REPORT_LAG
         if self.is_free:
-            return max(now, self.order_from)
-        return max(now, self.ask_at, self.order_from) + REPORT_LAG
+            return max(now, self.orderable_from)
+        return max(now, self.report_due_at, self.orderable_from) + REPORT_LAG
 
     def load_time(self, model: EngineModel) -> timedelta:
         """Return how long the target takes to load ``model``."""
@@ -147,37 +149,37 @@
         return model not in self.copies_in_memory and model not in self.copies_on_disk
 
     @property
-    def loading_because(self) -> str:
+    def pending_load_reason(self) -> str:
         """Reason of the load in progress or about to start; empty if there is none."""
         return self.loading_reason if self.intent is None else self.intent.reason
 
     @property
     def is_loading_from_store(self) -> bool:
         """Whether a load from the weight store is in progress or about to start."""
-        model = self.loading if self.intent is None else self.intent.model
+        model = self.loading_model if self.intent is None else self.intent.model
         return bool(model) and self.loads_from_store(model)
 
-    def protected(self, model: str, adapter: str, now: timedelta) -> bool:
+    def is_protected(self, model: str, adapter: str, now: timedelta) -> bool:
         """Return whether the model or adapter was loaded too recently to be evicted."""
-        loaded_at = self.since.get((model, adapter))
-        protected_for = ADAPTER_PROTECTED if adapter else MODEL_PROTECTED
+        loaded_at = self.loaded_at.get((model, adapter))
+        protected_for = ADAPTER_MIN_RESIDENCE if adapter else MODEL_MIN_RESIDENCE
         return loaded_at is not None and now - loaded_at < protected_for
 
-    def arrive(self, now: timedelta) -> None:
+    def mark_adapters_loaded(self, now: timedelta) -> None:
         """Mark adapters as loaded whose expected time has passed."""
-        for name in [name for name, at in self.coming.items() if now >= at]:
-            del self.coming[name]
-            self.changed = True
+        for name in [name for name, at in self.adapters_ready_at.items() if now >= at]:
+            del self.adapters_ready_at[name]
+            self.needs_publishing = True
 
-    def met(self, target: Target) -> None:
+    def update_target(self, target: Target) -> None:
         """Record the newest directory entry of the target."""
         self.target = target
         # Entries list the same copies as reports, but later.
-        if self.step is Step.UNKNOWN:
+        if self.state is ControlState.UNKNOWN:
             self.copies_in_memory = target.copies.in_memory
             self.copies_on_disk = target.copies.on_disk
 
-    def ordered(
+    def record_outcome(
         self,
         order: TargetOrder,
         outcome: OrderOutcome,
@@ -185,10 +187,10 @@
         now: timedelta,
     ) -> None:
         """Record the outcome of ``order``."""
-        self.calling = False
+        self.is_calling = False
         match outcome:
             case OrderOutcome.ACCEPTED | OrderOutcome.ALREADY:
-                self.orders += 1
+                self.accepted_orders += 1
                 if outcome is OrderOutcome.ALREADY and not order.adapter:
                     # The target may or may not have counted the order; a report shows
                     # which.
@@ -198,25 +200,28 @@
             case OrderOutcome.NOT_SENT:
                 self._await_report(now)
             case OrderOutcome.GONE:
-                self._await_report(now + DOUBT_POLL)
+                self._await_report(now + UNCERTAIN_POLL)
             case _:
                 self._await_report(now)
 
-    def reported(self, report: TargetReport, now: timedelta) -> None:
+    def apply_report(self, report: TargetReport, now: timedelta) -> None:
         """Apply ``report``, unless it is older than the recorded state."""
-        self.calling = False
+        self.is_calling = False
         if self._is_of_other_incarnation(report):
             self._record_restart(now)
             return
-        if report.orders < self.orders and self.step is not Step.DOUBT:
-            self.ask_at = now + REPORT_LAG
+        if (
+            report.accepted_orders < self.accepted_orders
+            and self.state is not ControlState.UNCERTAIN
+        ):
+            self.report_due_at = now + REPORT_LAG
             return
         self.copies_in_memory = report.copies.in_memory
         self.copies_on_disk = report.copies.on_disk
-        if report.busy:
+        if report.is_busy:
             self._schedule_busy_poll(now)
             return
-        self.orders = report.orders
+        self.accepted_orders = report.accepted_orders
         self._apply_settled_report(report, now)
 
     def _is_of_other_incarnation(self, report: TargetReport) -> bool:
@@ -232,80 +237,82 @@
         Its new incarnation receives orders once the directory lists it.
         """
         self.held = {}
-        self.coming.clear()
-        self.removing.clear()
-        self.loading = ""
+        self.adapters_ready_at.clear()
+        self.unloading.clear()
+        self.loading_model = ""
         self.loading_reason = ""
         self.intent = None
-        self.changed = True
-        self.step = Step.DOUBT
-        self.ask_at = now + DOUBT_POLL
+        self.needs_publishing = True
+        self.state = ControlState.UNCERTAIN
+        self.report_due_at = now + UNCERTAIN_POLL
 
-    def unanswered(self, now: timedelta) -> None:
+    def record_no_report(self, now: timedelta) -> None:
         """Record that a request for a report failed."""
-        self.calling = False
-        self.ask_at = now + DOUBT_POLL
+        self.is_calling = False
+        self.report_due_at = now + UNCERTAIN_POLL
 
     def _apply_accepted(
         self, order: TargetOrder, load_time: timedelta, now: timedelta
     ) -> None:
-        self.changed = True
+        self.needs_publishing = True
         if order.adapter:
             self._apply_accepted_adapter(order, now)
             return
         if order.kind is OrderKind.LOAD:
-            self.step = Step.LOADING
-            self.loading = order.model
-            self.ready_at = now + load_time
-            self.ask_at = self.ready_at + REPORT_LAG
-            self.loading_reason = self.loading_because
+            self.state = ControlState.LOADING
+            self.loading_model = order.model
+            self.load_ready_at = now + load_time
+            self.report_due_at = self.load_ready_at + REPORT_LAG
+            self.loading_reason = self.pending_load_reason
             self.intent = None
             return
-        self.step = Step.UNLOADING
-        self.removing.add(order.model)
-        self.ask_at = now + REPORT_LAG
+        self.state = ControlState.UNLOADING
+        self.unloading.add(order.model)
+        self.report_due_at = now + REPORT_LAG
 
     def _apply_accepted_adapter(self, order: TargetOrder, now: timedelta) -> None:
         adapters = self.held.setdefault(order.model, set())
         if order.kind is OrderKind.LOAD:
             adapters.add(order.adapter)
-            self.coming[order.model, order.adapter] = now + ADAPTER_TIME
-            self.since[order.model, order.adapter] = now
+            self.adapters_ready_at[order.model, order.adapter] = now + ADAPTER_TIME
+            self.loaded_at[order.model, order.adapter] = now
         else:
             adapters.discard(order.adapter)
-            self.coming.pop((order.model, order.adapter), None)
+            self.adapters_ready_at.pop((order.model, order.adapter), None)
 
     def _await_report(self, now: timedelta) -> None:
-        self.step = Step.DOUBT
-        self.ask_at = now + REPORT_LAG
+        self.state = ControlState.UNCERTAIN
+        self.report_due_at = now + REPORT_LAG
 
     def _schedule_busy_poll(self, now: timedelta) -> None:
-        match self.step:
-            case Step.LOADING:
-                self.ask_at = now + LOAD_POLL
-            case Step.UNLOADING:
-                self.ask_at = now + UNLOAD_POLL
+        match self.state:
+            case ControlState.LOADING:
+                self.report_due_at = now + LOAD_POLL
+            case ControlState.UNLOADING:
+                self.report_due_at = now + UNLOAD_POLL
             case _:
-                self.ask_at = now + DOUBT_POLL
+                self.report_due_at = now + UNCERTAIN_POLL
 
     def _apply_settled_report(self, report: TargetReport, now: timedelta) -> None:
         """Replace the state by ``report``, which shows no order in progress."""
-        previous = self.view()
+        previous = self.held_models()
         held = {
             model: set(adapters)
             for model, adapters in report.held.adapters_by_model.items()
         }
-        for model, adapter in report.coming:
+        for model, adapter in report.loading_adapters:
             held.setdefault(model, set()).add(adapter)
         for model in held.keys() - self.held.keys():
-            self.since[model, ""] = now
+            self.loaded_at[model, ""] = now
         self.held = held
-        self.coming = {
-            name: at for name, at in self.coming.items() if name[0] in self.held
+        self.adapters_ready_at = {
+            name: at
+            for name, at in self.adapters_ready_at.items()
+            if name[0] in self.held
         }
-        self.removing.clear()
-        self.loading = ""
+        self.unloading.clear()
+        self.loading_model = ""
         self.loading_reason = ""
-        self.step = Step.IDLE
-        if self.view() != previous:
-            self.changed = True
+        self.state = ControlState.IDLE
+        if self.held_models() != previous:
+            self.needs_publishing = True
--- a/packages/runhatch-server/src/runhatch_server/residency/_controls.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_controls.py
@@ -4,15 +4,15 @@
 from datetime import timedelta
 
 from runhatch_coordination import Clock, Unavailable
-from runhatch_server.fleet import Directory, Target
+from runhatch_server.fleet import Target, TargetDirectory
 from runhatch_server.observability import log_change
 from runhatch_server.residency._calls import TargetCalls
-from runhatch_server.residency._control import Step, TargetControl
-from runhatch_server.residency._handover import ORDER_ARRIVES, OrderTimes
+from runhatch_server.residency._control import ControlState, TargetControl
+from runhatch_server.residency._handover import MAX_ORDER_DELAY, OrderTimes
 from runhatch_server.residency._load_runner import DeclaredModels
 from runhatch_server.residency._orders import OrderClient, TargetReport
 
-RECHECK_AFTER = timedelta(seconds=4)
+RECHECK_DELAY = timedelta(seconds=4)
 """How long a target's directory entry may differ from the orderer's state before a
 report is requested."""
 
@@ -25,7 +25,7 @@
 
     def __init__(
         self,
-        directory: Directory,
+        directory: TargetDirectory,
         client: OrderClient,
         calls: TargetCalls,
         times: OrderTimes,
@@ -56,7 +56,7 @@
         """Remove all targets, because another node has ordered them since."""
         self._controls.clear()
 
-    def meet(self, epoch: int) -> bool:
+    def update_targets(self, epoch: int) -> bool:
         """Add and remove controls as targets are listed; return whether one was added.
 
         ``epoch`` is that of the lease under which orders are sent.
@@ -69,7 +69,7 @@
         self._remove_unlisted(listed)
         now = self._clock.elapsed()
         previous_count = len(self._controls)
-        ordered_before = self._times.ordered_before(epoch)
+        ordered_before = self._times.targets_in_flight_before(epoch)
         for incarnation, target in listed.items():
             control = self._controls.get(incarnation)
             if control is None:
@@ -77,21 +77,23 @@
                 self._controls[incarnation] = control
             # A resignation of the previous holder may arrive after the target was
             # added.
-            control.order_from = self._times.may_order_from(target.name)
+            control.orderable_from = self._times.orderable_from(target.name)
             if target.name in ordered_before:
-                control.order_from = max(control.order_from, now + ORDER_ARRIVES)
-            control.met(target)
-            control.arrive(now)
+                control.orderable_from = max(
+                    control.orderable_from, now + MAX_ORDER_DELAY
+                )
+            control.update_target(target)
+            control.mark_adapters_loaded(now)
         return len(self._controls) > previous_count
 
-    def ask_reports(self, now: timedelta) -> None:
+    def request_reports(self, now: timedelta) -> None:
         """Request the reports that are due."""
         for control in self:
-            if control.calling:
+            if control.is_calling:
                 continue
-            if control.step is Step.IDLE:
+            if control.state is ControlState.IDLE:
                 self._request_report_if_different(control, now)
-            elif now >= control.ask_at:
+            elif now >= control.report_due_at:
                 self._request_report(control)
 
     def _remove_unlisted(self, listed: dict[str, Target]) -> None:
@@ -99,7 +101,7 @@
         for incarnation in set(self._controls) - set(listed):
             name = self._controls.pop(incarnation).target.name
             if name not in listed_names:
-                self._times.forget(name, self._clock.elapsed())
+                self._times.remove_target(name, self._clock.elapsed())
 
     def _request_report_if_different(
         self, control: TargetControl, now: timedelta
@@ -107,16 +109,16 @@
         """Request a report if the target's entry has differed for too long."""
         listed = frozenset(control.target.held.adapters_by_model)
         if listed == frozenset(control.held):
-            control.ask_at = now + RECHECK_AFTER
-        elif now >= control.ask_at:
-            control.ask_at = now + RECHECK_AFTER
+            control.report_due_at = now + RECHECK_DELAY
+        elif now >= control.report_due_at:
+            control.report_due_at = now + RECHECK_DELAY
             self._request_report(control)
 
     def _request_report(self, control: TargetControl) -> None:
         target = control.target
         self._calls.start(
             control,
-            lambda: self._client.report(target),
+            lambda: self._client.fetch_report(target),
             lambda report: self._record_report(control, report),
         )
 
@@ -124,11 +126,11 @@
         now = self._clock.elapsed()
         if not isinstance(report, TargetReport):
             assert isinstance(report, Unavailable)
-            control.unanswered(now)
+            control.record_no_report(now)
             return
-        previous_step = control.step
-        control.reported(report, now)
-        if previous_step is not control.step:
+        previous_step = control.state
+        control.apply_report(report, now)
+        if previous_step is not control.state:
             log_change(
                 "target_settled",
                 target=control.target.incarnation,
@@ -136,12 +138,12 @@
                 models=sorted(control.held),
                 in_memory=sorted(control.copies_in_memory),
                 on_disk=sorted(control.copies_on_disk),
-                orders=control.orders,
+                orders=control.accepted_orders,
             )
 
 
 def _new_control(target: Target, now: timedelta) -> TargetControl:
-    control = TargetControl(target, ask_at=now)
+    control = TargetControl(target, report_due_at=now)
     held = target.held.adapters_by_model
     control.held = {model: set(names) for model, names in held.items()}
     return control
--- a/packages/runhatch-server/src/runhatch_server/residency/_copies.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_copies.py
@@ -8,30 +8,30 @@
 from collections import Counter
 from datetime import timedelta
 
-from runhatch_server.residency._control import Step, TargetControl
-from runhatch_server.residency._policy import LoadModel
+from runhatch_server.residency._control import ControlState, TargetControl
+from runhatch_server.residency._policy import ModelLoad
 from runhatch_server.residency._view import FleetView
 from runhatch_server.routing import EngineModel
 
-QUIET = timedelta(seconds=2)
+MIN_IDLE_TIME = timedelta(seconds=2)
 """How long a service must have received no request; requests to a service in use are a
 fraction of a second apart."""
-SETTLED = timedelta(seconds=1)
+SETTLING_TIME = timedelta(seconds=1)
 """How long no target must have been added: targets are listed one after the other,
 about 0.7 s apart, and each may have copies."""
-TAKEN_OVER = timedelta(seconds=30)
+TAKEOVER_SETTLING_TIME = timedelta(seconds=30)
 """Settling time after a takeover from another node: an orderer that its peers cannot
 reach receives no demand, and must not mistake a busy system for an idle one."""
-MOST_TARGETS = 0.5
+MAX_TARGET_SHARE = 0.5
 """Maximum share of the targets that create copies at once: the others remain available
 for adapter orders."""
-PAUSE = timedelta(minutes=1)
+COPY_INTERVAL = timedelta(minutes=1)
 """Minimum time between batches of copies: requests that arrive meanwhile find targets
 busy for the rest of one load at most."""
-AGAIN_AFTER = timedelta(minutes=10)
+MIN_RECOPY_INTERVAL = timedelta(minutes=10)
 """Minimum time until a model is copied again. Where targets store fewer copies than
 there are models, each new copy replaces another, and copying would never end."""
-NO_COPY, PUT_BACK = "no copy", "put back"
+NO_COPY, RESTORING = "no copy", "put back"
 """Reasons for these loads, as they appear in logs."""
 
 
@@ -39,32 +39,32 @@
     """Plans copies; used only by the orderer's loop."""
 
     def __init__(self, now: timedelta) -> None:
-        self._settled_at = now + SETTLED
+        self._settled_at = now + SETTLING_TIME
         self._copied_at: dict[tuple[str, str], timedelta] = {}
         self._last_copied_at: dict[str, timedelta] = {}
         self._evicted_for: dict[str, tuple[str, str]] = {}
         """For each target, the model copied there and the model that was evicted for
         it."""
 
-    def met(self, now: timedelta) -> None:
+    def record_new_target(self, now: timedelta) -> None:
         """Record that a target was added."""
-        self._settled_at = max(self._settled_at, now + SETTLED)
+        self._settled_at = max(self._settled_at, now + SETTLING_TIME)
 
-    def taken_over(self, now: timedelta) -> None:
+    def record_takeover(self, now: timedelta) -> None:
         """Record that another node ordered the targets until ``now``."""
-        self._settled_at = now + TAKEN_OVER
+        self._settled_at = now + TAKEOVER_SETTLING_TIME
 
-    def made(self, service: str, load: LoadModel, now: timedelta) -> None:
+    def record_copy(self, service: str, load: ModelLoad, now: timedelta) -> None:
         """Record that ``load`` was started."""
-        if load.reason == PUT_BACK:
+        if load.reason == RESTORING:
             self._evicted_for.pop(load.target, None)
             return
         self._copied_at[service, load.model] = now
         self._last_copied_at[service] = now
-        if load.evict:
-            self._evicted_for[load.target] = (load.model, load.evict[0])
+        if load.evictions:
+            self._evicted_for[load.target] = (load.model, load.evictions[0])
 
-    def plan(self, view: FleetView) -> list[LoadModel]:
+    def plan_copies(self, view: FleetView) -> list[ModelLoad]:
         """Return the loads to start now of models without a copy on any target.
 
         Each evicts a model that its target can load again from its own copy. The
@@ -75,17 +75,17 @@
             return []
         restoring = self._restoring_loads(view)
         last_copied_at = self._last_copied_at.get(view.service)
-        if last_copied_at is not None and view.now - last_copied_at < PAUSE:
+        if last_copied_at is not None and view.now - last_copied_at < COPY_INTERVAL:
             return restoring
         copies = _count_copies(view)
         free = _free_targets(view, copies)
         busy = len(view.controls) - len(free)
-        max_loads = int(len(view.controls) * MOST_TARGETS) - busy
-        planned: list[LoadModel] = []
+        max_loads = int(len(view.controls) * MAX_TARGET_SHARE) - busy
+        planned: list[ModelLoad] = []
         for model in view.engine.models:
             if len(planned) >= max_loads:
                 break
-            has_copy = copies[model.name] or view.coming_at(model.name) is not None
+            has_copy = copies[model.name] or view.load_ready_at(model.name) is not None
             if has_copy or self._was_copied_recently(view, model.name):
                 continue
             load = _take_load(view, free, model)
@@ -94,13 +94,15 @@
         return restoring + planned
 
     def _is_idle(self, view: FleetView) -> bool:
-        last_request_at = view.demand.asked_at(view.service)
-        if last_request_at is not None and view.now - last_request_at < QUIET:
+        last_request_at = view.demand.last_request_at(view.service)
+        if last_request_at is not None and view.now - last_request_at < MIN_IDLE_TIME:
             return False
-        unknown = any(control.step is Step.UNKNOWN for control in view.controls)
+        unknown = any(
+            control.state is ControlState.UNKNOWN for control in view.controls
+        )
         return view.now >= self._settled_at and not unknown
 
-    def _restoring_loads(self, view: FleetView) -> list[LoadModel]:
+    def _restoring_loads(self, view: FleetView) -> list[ModelLoad]:
         """Return the loads of models that were evicted for a copy that now exists."""
         loads = []
         for control in view.controls:
@@ -109,12 +111,12 @@
                 continue
             if not view.holders(model) and not control.loads_from_store(model):
                 target = control.target.incarnation
-                loads.append(LoadModel(target, model, (copied,), PUT_BACK, 0.0))
+                loads.append(ModelLoad(target, model, (copied,), RESTORING, 0.0))
         return loads
 
     def _was_copied_recently(self, view: FleetView, model: str) -> bool:
         copied_at = self._copied_at.get((view.service, model))
-        return copied_at is not None and view.now - copied_at < AGAIN_AFTER
+        return copied_at is not None and view.now - copied_at < MIN_RECOPY_INTERVAL
 
 
 def _free_targets(view: FleetView, copies: Counter[str]) -> list[TargetControl]:
@@ -129,14 +131,14 @@
 
 def _take_load(
     view: FleetView, free: list[TargetControl], model: EngineModel
-) -> LoadModel | None:
+) -> ModelLoad | None:
     """Return the load of ``model`` on one of ``free``, and remove that target."""
     for control in free:
         evict = _models_to_evict(view, control, model.memory_mb)
         if evict is not None:
             free.remove(control)
             name = control.target.incarnation
-            return LoadModel(name, model.name, evict, NO_COPY, 0.0)
+            return ModelLoad(name, model.name, evict, NO_COPY, 0.0)
     return None
 
 
@@ -189,5 +191,5 @@
     return (
         is_only_replica
         and not model.adapters
-        and not view.is_last_asked(control, model.name)
+        and not view.is_only_holder_in_demand(control, model.name)
     )
--- a/packages/runhatch-server/src/runhatch_server/residency/_demand.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_demand.py
@@ -8,26 +8,26 @@
 TIME_CONSTANT = timedelta(seconds=5)
 """Time constant of the average rate. Demand moves to other models within about five
 seconds; a longer average would keep models that are no longer requested."""
-LEAST_MISS_VALID = timedelta(milliseconds=700)
-MISS_VALID_SHARE = 0.5
+MIN_MISS_VALIDITY = timedelta(milliseconds=700)
+MISS_VALIDITY_GOAL_SHARE = 0.5
 """A request that found no holder counts as waiting for the greater of
-``LEAST_MISS_VALID`` and this share of its goal, after which a load would hardly help
+``MIN_MISS_VALIDITY`` and this share of its goal, after which a load would hardly help
 it."""
 HURRIED_GOAL = timedelta(seconds=2)
 """Requests with a shorter goal are lost if their model must be loaded first: a load
 takes 1 to 2 s from a target's own disk, plus about 0.5 s to free the memory."""
 SILENT_RATE = 0.02
 """Requests per second below which demand counts as ended."""
-ENOUGH_REQUESTS = 4
-SHORTEST_AGE = timedelta(seconds=1)
+MIN_RATE_REQUESTS = 4
+MIN_RATE_AGE = timedelta(seconds=1)
 """Minimum number of requests, and minimum time since the first, for a rate estimate."""
-HURRIED_LASTS = timedelta(seconds=8)
+HURRIED_DURATION = timedelta(seconds=8)
 """How long a hurried request predicts more: such routes use few models at a time, and
 their demand stays with these for about ten seconds."""
 UNMET_TIME_CONSTANT = timedelta(seconds=20)
 """Time constant with which missed requests decay, long enough that a rarely requested
 model is loaded eventually."""
-MISSES_REMEMBERED = timedelta(seconds=30)
+MISS_RETENTION = timedelta(seconds=30)
 """Time without a miss after which the start of the misses is forgotten; rarely
 requested models are requested about once in ten seconds."""
 RANK_WEIGHTS = (2.0, 1.6, 1.0)
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class Wanted:
+class DemandKey:
     """A model, optionally with an adapter, that requests of one kind need.
 
     ``goal`` is the time within which an answer to them must begin.
@@ -64,14 +64,14 @@
     reported to a new orderer.
     """
 
-    wanted: Wanted
+    key: DemandKey
     requests: int
     missed: int
     work_ms: float
     missed_for: timedelta = timedelta()
 
 
-def rank_weight(priority: int) -> float:
+def priority_weight(priority: int) -> float:
     """Return the weight of one request of ``priority``."""
     return RANK_WEIGHTS[min(max(priority, 0), len(RANK_WEIGHTS) - 1)]
 
@@ -82,132 +82,137 @@
 
     rate: float = 0.0
     """Requests per second."""
-    weighted: float = 0.0
+    weighted_rate: float = 0.0
     """Requests per second, weighted by priority."""
-    patient: float = 0.0
-    """Part of ``weighted`` that can wait for a load."""
-    work: float = 0.0
+    patient_rate: float = 0.0
+    """Part of ``weighted_rate`` that can wait for a load."""
+    work_share: float = 0.0
     """Share of an engine's time needed to process their prompts."""
-    at: timedelta = timedelta()
-    first_at: timedelta | None = None
+    updated_at: timedelta = timedelta()
+    first_request_at: timedelta | None = None
     """Time of the first request after a silence."""
-    count: int = 0
-    """Requests since ``first_at``."""
+    request_count: int = 0
+    """Requests since ``first_request_at``."""
     unmet: float = 0.0
     """Weighted requests missed since a target last held it; decays slowly."""
-    hurried_at: timedelta | None = None
+    last_hurried_at: timedelta | None = None
     """Time of the last request that could not wait for a load."""
     missed_since: timedelta | None = None
     """Time of the first miss since a target last held it."""
-    missed_at: timedelta = timedelta()
+    last_missed_at: timedelta = timedelta()
     """Time of the last miss."""
-    misses: dict[tuple[str, Wanted], tuple[float, timedelta]] = field(
+    misses: dict[tuple[str, DemandKey], tuple[float, timedelta]] = field(
         default_factory=dict
     )
 
-    def fade(self, now: timedelta) -> None:
+    def decay(self, now: timedelta) -> None:
         """Decay the averages to ``now``."""
-        age = max(timedelta(), now - self.at)
+        age = max(timedelta(), now - self.updated_at)
         remaining = math.exp(-(age / TIME_CONSTANT))
         self.unmet *= math.exp(-(age / UNMET_TIME_CONSTANT))
         self.rate *= remaining
-        self.weighted *= remaining
-        self.patient *= remaining
-        self.work *= remaining
-        self.at = now
+        self.weighted_rate *= remaining
+        self.patient_rate *= remaining
+        self.work_share *= remaining
+        self.updated_at = now
 
-    def add(self, share: "DemandShare", now: timedelta) -> None:
+    def add_requests(self, share: "DemandShare", now: timedelta) -> None:
         """Add the requests of ``share`` to the averages."""
         requests = share.requests
-        weight = rank_weight(share.wanted.priority)
-        self.fade(now)
-        if self.first_at is None or self.rate < SILENT_RATE:
-            self.first_at = now
-            self.count = 0
-        self.count += requests
-        if requests and share.wanted.is_hurried:
-            self.hurried_at = now
+        weight = priority_weight(share.key.priority)
+        self.decay(now)
+        if self.first_request_at is None or self.rate < SILENT_RATE:
+            self.first_request_at = now
+            self.request_count = 0
+        self.request_count += requests
+        if requests and share.key.is_hurried:
+            self.last_hurried_at = now
         seconds = TIME_CONSTANT.total_seconds()
         self.rate += requests / seconds
-        self.weighted += requests * weight / seconds
-        if not share.wanted.is_hurried:
-            self.patient += requests * weight / seconds
-        self.work += share.work_ms / 1000 / seconds
-
-    def miss(self, node: str, wanted: Wanted, missed: int, now: timedelta) -> None:
+        self.weighted_rate += requests * weight / seconds
+        if not share.key.is_hurried:
+            self.patient_rate += requests * weight / seconds
+        self.work_share += share.work_ms / 1000 / seconds
+
+    def record_miss(
+        self, node: str, wanted: DemandKey, missed: int, now: timedelta
+    ) -> None:
         """Record that ``missed`` requests of ``node`` wait for a holder."""
-        weighted = missed * rank_weight(wanted.priority)
+        weighted = missed * priority_weight(wanted.priority)
         self.unmet += weighted
-        self.missed_before(now, now)
-        valid_for = max(LEAST_MISS_VALID, wanted.goal * MISS_VALID_SHARE)
+        self.record_missed_since(now, now)
+        valid_for = max(MIN_MISS_VALIDITY, wanted.goal * MISS_VALIDITY_GOAL_SHARE)
         self.misses[node, wanted] = (weighted, now + valid_for)
 
-    def missed_before(self, since: timedelta, now: timedelta) -> None:
+    def record_missed_since(self, since: timedelta, now: timedelta) -> None:
         """Record a miss at ``now`` in a series of misses since ``since``."""
         known = self.missed_since
-        if known is None or now - self.missed_at > MISSES_REMEMBERED:
+        if known is None or now - self.last_missed_at > MISS_RETENTION:
             known = since
         self.missed_since = min(known, since)
-        self.missed_at = max(self.missed_at, now)
+        self.last_missed_at = max(self.last_missed_at, now)
 
     def missed_for(self, now: timedelta) -> timedelta:
         """Return how long requests have found no holder, zero if they find one."""
-        if self.missed_since is None or now - self.missed_at > MISSES_REMEMBERED:
+        if self.missed_since is None or now - self.last_missed_at > MISS_RETENTION:
             return timedelta()
         return now - self.missed_since
 
     @property
-    def asked(self) -> bool:
+    def was_requested(self) -> bool:
         """Whether any request was recorded."""
-        return self.first_at is not None
+        return self.first_request_at is not None
 
     def is_hurried(self, now: timedelta) -> bool:
         """Return whether a recent request could not wait for a load."""
-        return self.hurried_at is not None and now - self.hurried_at < HURRIED_LASTS
+        return (
+            self.last_hurried_at is not None
+            and now - self.last_hurried_at < HURRIED_DURATION
+        )
 
     @property
     def is_steady(self) -> bool:
         """Whether enough requests were recorded for a rate estimate."""
-        return self.count >= ENOUGH_REQUESTS
+        return self.request_count >= MIN_RATE_REQUESTS
 
-    def rise(self, now: timedelta) -> float:
+    def correction_factor(self, now: timedelta) -> float:
         """Return the factor that corrects the averages of demand that has just begun.
 
         One request gives no estimate of a rate, several within a second do.
         """
-        if self.first_at is None or not self.is_steady:
+        if self.first_request_at is None or not self.is_steady:
             return 1.0
-        age = max(now - self.first_at, SHORTEST_AGE)
+        age = max(now - self.first_request_at, MIN_RATE_AGE)
         return 1.0 / (1.0 - math.exp(-(age / TIME_CONSTANT)))
 
-    def met(self) -> None:
+    def record_held(self) -> None:
         """Record that a target holds it, which ends the series of misses."""
         self.unmet = 0.0
         self.missed_since = None
 
-    def waiting(self, now: timedelta) -> float:
+    def waiting_requests(self, now: timedelta) -> float:
         """Return the weighted requests that wait for a holder at ``now``."""
         return sum(weighted for weighted, until in self.misses.values() if now < until)
 
 
 def _with_corrected_averages(demand: Demand, now: timedelta) -> Demand:
     """Return ``demand`` with averages corrected for the short time observed."""
-    factor = demand.rise(now)
+    factor = demand.correction_factor(now)
     if factor == 1.0:
         return demand
     return replace(
         demand,
         rate=demand.rate * factor,
-        weighted=demand.weighted * factor,
-        patient=demand.patient * factor,
-        work=demand.work * factor,
+        weighted_rate=demand.weighted_rate * factor,
+        patient_rate=demand.patient_rate * factor,
+        work_share=demand.work_share * factor,
     )
 
 
 def _add(demand: Demand, node: str, share: DemandShare, now: timedelta) -> None:
-    demand.add(share, now)
+    demand.add_requests(share, now)
     if share.missed:
-        demand.miss(node, share.wanted, share.missed, now)
+        demand.record_miss(node, share.key, share.missed, now)
 
 
 class DemandBook:
@@ -218,55 +223,62 @@
         self._adapters: dict[tuple[str, str, str], Demand] = {}
         self._last_request_at: dict[str, timedelta] = {}
 
-    def add(self, node: str, share: DemandShare, now: timedelta) -> None:
+    def add_requests(self, node: str, share: DemandShare, now: timedelta) -> None:
         """Record the requests that ``node`` received."""
-        wanted = share.wanted
+        wanted = share.key
         self._last_request_at[wanted.service] = now
         model = wanted.service, wanted.model
-        _add(self._models.setdefault(model, Demand(at=now)), node, share, now)
+        _add(self._models.setdefault(model, Demand(updated_at=now)), node, share, now)
         if wanted.adapter:
             adapter = *model, wanted.adapter
-            _add(self._adapters.setdefault(adapter, Demand(at=now)), node, share, now)
-
-    def missed_before(self, share: DemandShare, now: timedelta) -> None:
+            _add(
+                self._adapters.setdefault(adapter, Demand(updated_at=now)),
+                node,
+                share,
+                now,
+            )
+
+    def record_missed_for(self, share: DemandShare, now: timedelta) -> None:
         """Record how long a node has been missing a model."""
-        wanted = share.wanted
+        wanted = share.key
         if not share.missed_for or wanted.adapter:
             return
         model = wanted.service, wanted.model
-        demand = self._models.setdefault(model, Demand(at=now))
-        demand.missed_before(now - share.missed_for, now)
+        demand = self._models.setdefault(model, Demand(updated_at=now))
+        demand.record_missed_since(now - share.missed_for, now)
 
-    def model(self, service: str, model: str, now: timedelta) -> Demand:
+    def model_demand(self, service: str, model: str, now: timedelta) -> Demand:
         """Return the demand for a model."""
         demand = self._models.get((service, model))
         if demand is None:
-            return Demand(at=now)
-        demand.fade(now)
+            return Demand(updated_at=now)
+        demand.decay(now)
         return _with_corrected_averages(demand, now)
 
-    def adapter(self, service: str, model: str, adapter: str, now: timedelta) -> Demand:
+    def adapter_demand(
+        self, service: str, model: str, adapter: str, now: timedelta
+    ) -> Demand:
         """Return the demand for an adapter."""
         demand = self._adapters.get((service, model, adapter))
         if demand is None:
-            return Demand(at=now)
-        demand.fade(now)
+            return Demand(updated_at=now)
+        demand.decay(now)
         return demand
 
-    def asked_at(self, service: str) -> timedelta | None:
+    def last_request_at(self, service: str) -> timedelta | None:
         """Return the time of the last request, ``None`` if there was none."""
         return self._last_request_at.get(service)
 
-    def met(self, service: str, model: str, adapters: Iterable[str]) -> None:
+    def record_held(self, service: str, model: str, adapters: Iterable[str]) -> None:
         """Record that a target holds ``model`` with ``adapters``."""
         demand = self._models.get((service, model))
         if demand is not None:
-            demand.met()
+            demand.record_held()
         for adapter in adapters:
             adapter_demand = self._adapters.get((service, model, adapter))
             if adapter_demand is not None:
-                adapter_demand.met()
+                adapter_demand.record_held()
 
-    def adapters(self, service: str) -> list[tuple[str, str]]:
+    def requested_adapters(self, service: str) -> list[tuple[str, str]]:
         """Return the model and name of every adapter requested so far."""
         return [(m, a) for s, m, a in self._adapters if s == service]
--- a/packages/runhatch-server/src/runhatch_server/residency/_demand_inbox.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_demand_inbox.py
@@ -8,18 +8,18 @@
 from runhatch_server.observability import log_change
 from runhatch_server.residency._demand import DemandBook, DemandShare
 
-MOST_WAITING = 8_192
+MAX_QUEUED_MESSAGES = 8_192
 """Maximum number of queued messages. 90 nodes send about 500 per second and a round
 runs at least once a second, so that this many wait only if rounds have stopped."""
 
 
 @dataclass(frozen=True, slots=True)
-class DemandNews:
-    """Demand that ``node`` received within ``age`` of ``at``, the time of arrival."""
+class DemandMessage:
+    """Demand that ``node`` received within ``age`` before its arrival here."""
 
     node: str
     shares: tuple[DemandShare, ...]
-    at: timedelta
+    received_at: timedelta
     age: timedelta
 
 
@@ -31,29 +31,29 @@
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._queue: deque[DemandNews] = deque()
-        self.dropped = 0
+        self._queue: deque[DemandMessage] = deque()
+        self.dropped_messages = 0
         """Messages dropped since the last round because the queue was full."""
 
     def __len__(self) -> int:
         return len(self._queue)
 
-    def put(self, news: DemandNews) -> None:
+    def put(self, message: DemandMessage) -> None:
         """Queue ``news`` for the next round; a full queue drops its oldest message."""
         with self._lock:
-            if len(self._queue) >= MOST_WAITING:
+            if len(self._queue) >= MAX_QUEUED_MESSAGES:
                 self._queue.popleft()
-                self.dropped += 1
-            self._queue.append(news)
+                self.dropped_messages += 1
+            self._queue.append(message)
 
-    def empty_into(self, book: DemandBook) -> None:
+    def drain_into(self, book: DemandBook) -> None:
         """Add all queued demand to ``book``, in the order received."""
         with self._lock:
             waiting, self._queue = self._queue, deque()
-            dropped, self.dropped = self.dropped, 0
+            dropped, self.dropped_messages = self.dropped_messages, 0
         if dropped:
             log_change("demand_dropped", messages=dropped, reason="no round was made")
         for news in waiting:
             for share in news.shares:
-                book.add(news.node, share, news.at - news.age)
-                book.missed_before(share, news.at)
+                book.add_requests(news.node, share, news.received_at - news.age)
+                book.record_missed_for(share, news.received_at)
--- a/packages/runhatch-server/src/runhatch_server/residency/_handover.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_handover.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from datetime import timedelta
 
-ORDER_ARRIVES = timedelta(milliseconds=800)
+MAX_ORDER_DELAY = timedelta(milliseconds=800)
 """Maximum time that an order is in flight."""
 HANDOVER_SLACK = timedelta(milliseconds=200)
 """Added to the time between the orders of two nodes, because clocks and calls are not
@@ -24,25 +24,25 @@
     """Resignation of the holder of ``epoch``, which sends no further order.
 
     ``waits`` is how long a successor must wait before it orders a target,
-    ``others_wait`` the same for all targets that are not named.
+    ``default_wait`` the same for all targets that are not named.
     """
 
     epoch: int
     waits: Mapping[str, timedelta] = field(default_factory=dict)
-    others_wait: timedelta = timedelta()
+    default_wait: timedelta = timedelta()
 
 
 class OrderTimes:
     """Track when this node may order each target, and when it last did.
 
-    ``between`` is the minimum time between the orders of two nodes. Targets are
+    ``min_interval`` is the minimum time between the orders of two nodes. Targets are
     identified by name: a restarted target counts as the same. Thread-safe: used by
     rounds, by the task that renews the lease, and by calls to targets.
     """
 
-    def __init__(self, between: timedelta) -> None:
+    def __init__(self, min_interval: timedelta) -> None:
         self._lock = threading.Lock()
-        self._min_interval = between + HANDOVER_SLACK
+        self._min_interval = min_interval + HANDOVER_SLACK
         self._orderable_from: dict[str, timedelta] = {}
         self._others_orderable_from = timedelta()
         self._last_sent_at: dict[str, timedelta] = {}
@@ -51,13 +51,13 @@
         self._in_flight: Counter[tuple[str, int]] = Counter()
         """Number of orders in flight, by target and fence."""
 
-    def take_over(self, free_since: timedelta) -> None:
+    def start_after_lapse(self, free_since: timedelta) -> None:
         """Start after a holder that may have sent orders until ``free_since``."""
         with self._lock:
             self._orderable_from = {}
             self._others_orderable_from = free_since + self._min_interval
 
-    def go_on_after_restart(self, free_since: timedelta | None, now: timedelta) -> None:
+    def start_after_restart(self, free_since: timedelta | None, now: timedelta) -> None:
         """Start after a previous process of this node, which ended before ``now``.
 
         Its orders are unknown to this process, and no other node sends orders within
@@ -70,20 +70,22 @@
                 self._others_orderable_from = free_since + self._min_interval
             self._unknown_until = now
 
-    def take_over_from(self, resignation: Resignation, heard_at: timedelta) -> None:
-        """Start after a holder whose resignation was received at ``heard_at``."""
+    def start_after_resignation(
+        self, resignation: Resignation, received_at: timedelta
+    ) -> None:
+        """Start after a holder whose resignation was received at ``received_at``."""
         with self._lock:
             self._orderable_from = {
-                target: heard_at + wait for target, wait in resignation.waits.items()
+                target: received_at + wait for target, wait in resignation.waits.items()
             }
-            self._others_orderable_from = heard_at + resignation.others_wait
+            self._others_orderable_from = received_at + resignation.default_wait
 
-    def may_order_from(self, target: str) -> timedelta:
+    def orderable_from(self, target: str) -> timedelta:
         """Return from when on ``target`` may be ordered."""
         with self._lock:
             return self._orderable_from.get(target, self._others_orderable_from)
 
-    def ordered_before(self, fence: int) -> frozenset[str]:
+    def targets_in_flight_before(self, fence: int) -> frozenset[str]:
         """Return the targets to which an order with a lower fence is in flight.
 
         These are orders of previous terms of this node, which an order of ``fence``
@@ -94,18 +96,18 @@
                 target for target, order_fence in self._in_flight if order_fence < fence
             )
 
-    def begin(self, target: str, fence: int) -> None:
-        """Record that an order to ``target`` is in flight until :meth:`sent`."""
+    def record_sending(self, target: str, fence: int) -> None:
+        """Record that an order to ``target`` is in flight until :meth:`record_sent`."""
         with self._lock:
             self._in_flight[target, fence] += 1
 
-    def sent(self, target: str, fence: int, now: timedelta) -> None:
+    def record_sent(self, target: str, fence: int, now: timedelta) -> None:
         """Record that an order to ``target`` is no longer in flight."""
         with self._lock:
             self._last_sent_at[target] = now
             self._remove_in_flight(target, fence)
 
-    def unsent(self, target: str, fence: int) -> None:
+    def record_unsent(self, target: str, fence: int) -> None:
         """Record that an order to ``target`` was not sent."""
         with self._lock:
             self._remove_in_flight(target, fence)
@@ -115,7 +117,7 @@
         if self._in_flight[target, fence] <= 0:
             del self._in_flight[target, fence]
 
-    def forget(self, target: str, now: timedelta) -> None:
+    def remove_target(self, target: str, now: timedelta) -> None:
         """Remove the times of a target that is not listed, once they have passed.
 
         A running target may be listed again at any moment.
@@ -126,11 +128,11 @@
             if now >= self._last_sent_at.get(target, now) + self._min_interval:
                 self._last_sent_at.pop(target, None)
 
-    def resignation(self, epoch: int, now: timedelta) -> Resignation:
+    def make_resignation(self, epoch: int, now: timedelta) -> Resignation:
         """Return the waits for a successor if no order is sent after ``now``."""
         with self._lock:
             orderable_from = {**self._orderable_from}
-            arrives_at = now + ORDER_ARRIVES
+            arrives_at = now + MAX_ORDER_DELAY
             in_flight = dict.fromkeys(
                 (target for target, _ in self._in_flight), arrives_at
             )
--- a/packages/runhatch-server/src/runhatch_server/residency/_lease_log.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_lease_log.py
@@ -9,7 +9,7 @@
 """Logged change of a holder that resigned by itself."""
 
 
-TOLD_ONCE = (LeaseChange.STORE_DOWN, LeaseChange.BEHIND)
+LOGGED_ONCE = (LeaseChange.STORE_DOWN, LeaseChange.BEHIND)
 """Changes that repeat in consecutive steps and are logged once."""
 
 
@@ -30,43 +30,43 @@
         self._last_change = LeaseChange.NONE
         self._last_step_at = timedelta()
 
-    def note(
+    def log_step(
         self,
         change: LeaseChange,
         epoch: int,
-        left: timedelta,
-        begun: timedelta,
-        ended: timedelta,
-        newest: int,
+        remaining: timedelta,
+        started_at: timedelta,
+        ended_at: timedelta,
+        newest_epoch: int,
         takeover: Takeover | None = None,
     ) -> None:
         """Log a step that changed the lease; repeated changes are logged once."""
         previous_change, self._last_change = self._last_change, change
-        previous_step_at, self._last_step_at = self._last_step_at, ended
+        previous_step_at, self._last_step_at = self._last_step_at, ended_at
         if change is LeaseChange.NONE:
             return
         self._metrics.leases.labels(change.value).inc()
-        if change is previous_change and change in TOLD_ONCE:
+        if change is previous_change and change in LOGGED_ONCE:
             return
         log_change(
             "lease",
             change=change.value,
             epoch=epoch,
-            newest=newest,
-            left_ms=_milliseconds(left),
-            late_ms=_milliseconds(begun - previous_step_at),
-            took_ms=_milliseconds(ended - begun),
+            newest=newest_epoch,
+            left_ms=_milliseconds(remaining),
+            late_ms=_milliseconds(started_at - previous_step_at),
+            took_ms=_milliseconds(ended_at - started_at),
             **_takeover_fields(takeover),
         )
 
-    def resigned(self, epoch: int, left: timedelta, now: timedelta) -> None:
+    def log_resignation(self, epoch: int, remaining: timedelta, now: timedelta) -> None:
         """Log that the holder of ``epoch`` resigned because it cannot renew."""
         self._metrics.leases.labels(RESIGNED).inc()
         log_change(
             "lease",
             change=RESIGNED,
             epoch=epoch,
-            left_ms=_milliseconds(left),
+            left_ms=_milliseconds(remaining),
             late_ms=_milliseconds(now - self._last_step_at),
         )
 
--- a/packages/runhatch-server/src/runhatch_server/residency/_left_log.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_left_log.py
@@ -4,53 +4,53 @@
 from datetime import timedelta
 
 from runhatch_server.observability import log_change
-from runhatch_server.residency._adapter_policy import LeftAdapter
-from runhatch_server.residency._policy import LeftModel, LoadModel
+from runhatch_server.residency._adapter_policy import DeferredAdapter
+from runhatch_server.residency._policy import DeferredModel, ModelLoad
 
-LOG_EVERY = timedelta(seconds=2)
+LOG_INTERVAL = timedelta(seconds=2)
 """Minimum interval between two lines about one model. Plans run every 60 ms; with 26
 models of which eight are held nowhere, this is four lines per second at most."""
 
 
-class LeftLog:
+class DeferralLog:
     """Logs what plans deferred; used only by the orderer's loop."""
 
     def __init__(self) -> None:
         self._logged_at: dict[str, timedelta] = {}
 
-    def note(self, left: Iterable[LeftModel], now: timedelta) -> None:
-        """Log the models in ``left`` that were not logged recently."""
-        for model in left:
+    def log_models(self, deferred: Iterable[DeferredModel], now: timedelta) -> None:
+        """Log the models in ``deferred`` that were not logged recently."""
+        for model in deferred:
             if not self._is_due(model.model, now):
                 continue
             log_change(
                 "load_left",
                 model=model.model,
-                because=model.because.value,
+                because=model.reason.value,
                 target=model.target,
                 waiting=round(model.waiting, 2),
                 rate=round(model.rate, 3),
-                won=round(model.won, 2),
-                lost=round(model.lost, 2),
-                owed=round(model.owed, 2),
-                seconds=round(model.seconds, 2),
+                won=round(model.gain, 2),
+                lost=round(model.loss, 2),
+                owed=round(model.missed_gain, 2),
+                seconds=round(model.ready_in_seconds, 2),
             )
 
-    def note_adapters(self, left: Iterable[LeftAdapter], now: timedelta) -> None:
-        """Log the adapters in ``left`` that were not logged recently."""
-        for each in left:
+    def log_adapters(self, deferred: Iterable[DeferredAdapter], now: timedelta) -> None:
+        """Log the adapters in ``deferred`` that were not logged recently."""
+        for each in deferred:
             if not self._is_due(f"{each.model}/{each.adapter}", now):
                 continue
             log_change(
                 "adapter_left",
                 model=each.model,
                 adapter=each.adapter,
-                because=each.because.value,
+                because=each.reason.value,
                 waiting=round(each.waiting, 2),
-                lost=round(each.lost, 2),
+                lost=round(each.loss, 2),
             )
 
-    def no_permit(self, load: LoadModel, now: timedelta) -> None:
+    def log_store_limit(self, load: ModelLoad, now: timedelta) -> None:
         """Log that ``load`` is delayed by the limit of the weight store."""
         if self._is_due(load.model, now):
             log_change(
@@ -63,7 +63,7 @@
 
     def _is_due(self, model: str, now: timedelta) -> bool:
         logged_at = self._logged_at.get(model)
-        if logged_at is not None and now - logged_at < LOG_EVERY:
+        if logged_at is not None and now - logged_at < LOG_INTERVAL:
             return False
         self._logged_at[model] = now
         return True
--- a/packages/runhatch-server/src/runhatch_server/residency/_load_runner.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_load_runner.py
@@ -5,11 +5,11 @@
 
 from runhatch_coordination import Clock, Epoch
 from runhatch_server.observability import log_change
-from runhatch_server.residency._adapter_policy import LoadAdapter
+from runhatch_server.residency._adapter_policy import AdapterLoad
 from runhatch_server.residency._control import Intent, TargetControl
-from runhatch_server.residency._left_log import LeftLog
+from runhatch_server.residency._left_log import DeferralLog
 from runhatch_server.residency._permits import LoadPermits
-from runhatch_server.residency._policy import LoadModel
+from runhatch_server.residency._policy import ModelLoad
 from runhatch_server.residency._sending import OrderSender
 from runhatch_server.routing import EngineModel, EngineSpec, ServiceSpec
 from runhatch_server.targets import OrderKind
@@ -55,14 +55,14 @@
         self._clock = clock
         self._load_window = load_window
         self._permits = LoadPermits(load_window, clock.elapsed())
-        self.left_log = LeftLog()
+        self.deferral_log = DeferralLog()
 
-    def taken_over(self, now: timedelta) -> None:
+    def record_takeover(self, now: timedelta) -> None:
         """Reset the permits as if the last orderer had started loads until ``now``."""
         self._permits = LoadPermits(self._load_window, now)
 
-    def begin(
-        self, control: TargetControl, load: LoadModel, epoch: Epoch, now: timedelta
+    def start_load(
+        self, control: TargetControl, load: ModelLoad, epoch: Epoch, now: timedelta
     ) -> bool:
         """Start ``load`` on its target; return whether it was started.
 
@@ -74,26 +74,26 @@
         spec = self._declared.model(control, load.model)
         if engine is None or spec is None:
             return False
-        if control.loads_from_store(load.model) and not self._permits.take(
+        if control.loads_from_store(load.model) and not self._permits.try_acquire(
             engine.loads_per_second, now
         ):
-            self.left_log.no_permit(load, now)
+            self.deferral_log.log_store_limit(load, now)
             return False
         log_change(
             "load_planned",
             target=load.target,
             model=load.model,
-            evict=list(load.evict),
+            evict=list(load.evictions),
             reason=load.reason,
             value=round(load.value, 2),
             seconds=control.load_time(spec).total_seconds(),
         )
-        control.intent = Intent(load.model, load.evict, load.reason)
-        control.changed = True
+        control.intent = Intent(load.model, load.evictions, load.reason)
+        control.needs_publishing = True
         self._send_next_order(control, epoch)
         return True
 
-    def go_on(
+    def send_next_orders(
         self, controls: Iterable[TargetControl], epoch: Epoch, now: timedelta
     ) -> None:
         """Send the next order of each started load whose target accepts one."""
@@ -102,13 +102,13 @@
                 self._send_next_order(control, epoch)
 
     def load_adapter(
-        self, control: TargetControl, load: LoadAdapter, epoch: Epoch
+        self, control: TargetControl, load: AdapterLoad, epoch: Epoch
     ) -> None:
         """Order an adapter, or first that another makes room for it."""
         if not control.is_free_at(self._clock.elapsed()):
             return
-        if load.evict is not None:
-            self._sender.send(control, OrderKind.UNLOAD, *load.evict, epoch)
+        if load.eviction is not None:
+            self._sender.send(control, OrderKind.UNLOAD, *load.eviction, epoch)
             return
         self._sender.send(control, OrderKind.LOAD, load.model, load.adapter, epoch)
 
@@ -118,7 +118,7 @@
         engine = self._declared.engine(control.target.service)
         if intent is None or engine is None:
             return
-        remaining = [model for model in intent.evict if model in control.held]
+        remaining = [model for model in intent.evictions if model in control.held]
         if remaining:
             self._sender.send(control, OrderKind.UNLOAD, remaining[0], "", epoch)
             return
@@ -128,6 +128,6 @@
         )
         if intent.model in control.held or not fits:
             control.intent = None
-            control.changed = True
+            control.needs_publishing = True
             return
         self._sender.send(control, OrderKind.LOAD, intent.model, "", epoch)
--- a/packages/runhatch-server/src/runhatch_server/residency/_needs.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_needs.py
@@ -4,9 +4,9 @@
 from datetime import timedelta
 
 from runhatch_server.residency._view import (
+    MIN_DEMAND_RATE,
     REPLICA_LOAD,
     UNMET_WEIGHT,
-    WORTH_KEEPING_RATE,
     FleetView,
 )
 from runhatch_server.routing import EngineModel
@@ -14,18 +14,18 @@
 PERSISTENCE_SECONDS = 10.0
 """Expected duration of demand for a model. A load that takes longer gains only the
 requests already waiting for it."""
-SELDOM_SECONDS = 4.0
+RARE_PERSISTENCE_SECONDS = 4.0
 """Expected duration of demand after only a few requests, which do not show lasting
 demand."""
-MISSED_SECOND_VALUE = 0.25
+MISSED_GAIN_PER_SECOND = 0.25
 """Gain, in weighted requests, for each second for which requests have missed a model. A
 load from the weight store costs 3.3 or more, which requests that come once in ten
 seconds never gain, so that such models were never loaded. A load that evicts little
 starts within about ten seconds."""
-MISSED_FOR_LONG = timedelta(seconds=30)
+MISSED_GAIN_DOUBLING_TIME = timedelta(seconds=30)
 """Time after which each missed second counts twice, and so on, so that a rarely
 requested model is loaded even while busy models have high values."""
-MUCH_SOONER = timedelta(seconds=2)
+MIN_LOAD_ADVANCE = timedelta(seconds=2)
 """A load in progress is ignored if another would end this much sooner, for example
 because a target with a copy on disk has come back."""
 
@@ -41,19 +41,19 @@
     waiting: float
     rate: float
     reason: str
-    persistence: float = PERSISTENCE_SECONDS
+    persistence_seconds: float = PERSISTENCE_SECONDS
     missed_for: timedelta = timedelta()
     """How long requests have found no target that holds the model."""
 
     @property
-    def owed(self) -> float:
+    def missed_gain(self) -> float:
         """Gain of the load for the time during which the model has been missed."""
-        value = self.missed_for.total_seconds() * MISSED_SECOND_VALUE
-        return value * (1.0 + self.missed_for / MISSED_FOR_LONG)
+        value = self.missed_for.total_seconds() * MISSED_GAIN_PER_SECOND
+        return value * (1.0 + self.missed_for / MISSED_GAIN_DOUBLING_TIME)
 
-    def won(self, seconds: float) -> float:
+    def gain_after(self, seconds: float) -> float:
         """Return the gain of a load that ends after ``seconds``."""
-        remaining = max(0.0, self.persistence - seconds)
+        remaining = max(0.0, self.persistence_seconds - seconds)
         return self.waiting + self.rate * remaining
 
 
@@ -64,27 +64,27 @@
         for model in view.engine.models
         if (need := _need_for(view, model)) is not None
     ]
-    needs.sort(key=lambda need: need.won(0.0), reverse=True)
+    needs.sort(key=lambda need: need.gain_after(0.0), reverse=True)
     return needs
 
 
 def _need_for(view: FleetView, model: EngineModel) -> Need | None:
-    coming_at = view.coming_at(model.name)
+    coming_at = view.load_ready_at(model.name)
     holders = view.holders(model.name)
-    if coming_at is not None and (holders or coming_at - view.now < MUCH_SOONER):
+    if coming_at is not None and (holders or coming_at - view.now < MIN_LOAD_ADVANCE):
         return None
     demand = view.demand_for(model.name)
     if holders:
         overloaded = _overloaded_share(view, model.name)
-        rate = overloaded * demand.weighted
+        rate = overloaded * demand.weighted_rate
         return Need(model, 0.0, rate, TOO_BUSY) if overloaded > 0 else None
-    waiting = demand.waiting(view.now)
+    waiting = demand.waiting_requests(view.now)
     waiting += max(0.0, demand.unmet - 1.0) * UNMET_WEIGHT
-    if waiting <= 0 and demand.rate < WORTH_KEEPING_RATE:
+    if waiting <= 0 and demand.rate < MIN_DEMAND_RATE:
         return None
-    persistence = PERSISTENCE_SECONDS if demand.is_steady else SELDOM_SECONDS
+    persistence = PERSISTENCE_SECONDS if demand.is_steady else RARE_PERSISTENCE_SECONDS
     missed_for = demand.missed_for(view.now)
-    return Need(model, waiting, demand.weighted, NOT_HELD, persistence, missed_for)
+    return Need(model, waiting, demand.weighted_rate, NOT_HELD, persistence, missed_for)
 
 
 def _overloaded_share(view: FleetView, model: str) -> float:
--- a/packages/runhatch-server/src/runhatch_server/residency/_orderer.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_orderer.py
@@ -24,34 +24,34 @@
     Takeover,
     Vacancy,
 )
-from runhatch_server.fleet import Directory
+from runhatch_server.fleet import TargetDirectory
 from runhatch_server.observability import Metrics
 from runhatch_server.residency._adapter_policy import plan_adapters
 from runhatch_server.residency._calls import TargetCalls
 from runhatch_server.residency._controls import TargetControls
 from runhatch_server.residency._copies import CopyPlanner
 from runhatch_server.residency._demand import DemandBook, DemandShare
-from runhatch_server.residency._demand_inbox import DemandInbox, DemandNews
-from runhatch_server.residency._handover import ORDER_ARRIVES, OrderTimes, Resignation
+from runhatch_server.residency._demand_inbox import DemandInbox, DemandMessage
+from runhatch_server.residency._handover import MAX_ORDER_DELAY, OrderTimes, Resignation
 from runhatch_server.residency._lease_log import LeaseLog
 from runhatch_server.residency._load_runner import DeclaredModels, LoadRunner
 from runhatch_server.residency._orders import OrderClient
 from runhatch_server.residency._policy import plan_models
 from runhatch_server.residency._round_log import RoundLog
 from runhatch_server.residency._sending import OrderSender
-from runhatch_server.residency._telling import HoldingsTeller, OnHoldings
-from runhatch_server.residency._view import FleetView, by_service
+from runhatch_server.residency._telling import HoldingsPublisher, OnHoldings
+from runhatch_server.residency._view import FleetView, group_by_service
 from runhatch_server.routing import ServiceSpec
 
-RESIGN_BEFORE = timedelta(milliseconds=700)
+RESIGN_MARGIN = timedelta(milliseconds=700)
 """A holder that cannot renew resigns this long before its lease lapses, so that peers
 that reach the store take over 2 s sooner, and order most targets at once."""
 
 
-MOST_REST = timedelta(milliseconds=500)
+MAX_ROUND_PAUSE = timedelta(milliseconds=500)
 """Maximum pause after a round: rounds send adapter orders, and requests that need an
 adapter wait for about 400 ms."""
-REST_FACTOR = 2
+ROUND_PAUSE_FACTOR = 2
 """Length of a pause as a multiple of the round before it, so that rounds use at most a
 third of one core; the same VM answers callers and renews the lease."""
 
@@ -81,7 +81,7 @@
         self,
         lease: Lease,
         node: str,
-        directory: Directory,
+        directory: TargetDirectory,
         client: OrderClient,
         clock: Clock,
         metrics: Metrics,
@@ -116,7 +116,7 @@
             self._declared.load_time,
         )
         self._runner = LoadRunner(self._declared, sender, clock, load_window)
-        self._publisher = HoldingsTeller(on_holdings, self._declared.load_time)
+        self._publisher = HoldingsPublisher(on_holdings, self._declared.load_time)
         self._lease_log = LeaseLog(metrics)
         self._round_log = RoundLog(metrics)
         self._inbox = DemandInbox()
@@ -142,7 +142,7 @@
         return self._lease.record
 
     @property
-    def rest(self) -> timedelta:
+    def round_pause(self) -> timedelta:
         """How long to pause after the last round."""
         return self._pause
 
@@ -152,7 +152,7 @@
 
     def _may_send(self) -> Epoch | None:
         """Return the epoch if an order sent now arrives while the lease is held."""
-        return self.holds_lease() if self._lease.left() > ORDER_ARRIVES else None
+        return self.holds_lease() if self._lease.left() > MAX_ORDER_DELAY else None
 
     @property
     def has_work(self) -> bool:
@@ -169,7 +169,7 @@
         if change is LeaseChange.ACQUIRED:
             takeover = self._lease.takeover
             self._start_term()
-        self._lease_log.note(
+        self._lease_log.log_step(
             change,
             self._term.epoch,
             left,
@@ -180,22 +180,22 @@
         )
         return change
 
-    def resign_if_cut_off(self) -> Resignation | None:
+    def resign_if_lapsing(self) -> Resignation | None:
         """Resign if the lease is about to lapse or has just lapsed.
 
         Holdings of targets are published until another node holds the lease.
         """
         with self._lock:
             term, left = self._term, self._lease.left()
-            if not term.epoch or term.is_resigned or left > RESIGN_BEFORE:
+            if not term.epoch or term.is_resigned or left > RESIGN_MARGIN:
                 return None
             self._term = replace(term, is_resigned=True)
             self._lease.abandon()
         now = self._clock.elapsed()
-        self._lease_log.resigned(term.epoch, left, now)
-        return self._times.resignation(term.epoch, now)
+        self._lease_log.log_resignation(term.epoch, left, now)
+        return self._times.make_resignation(term.epoch, now)
 
-    def take_in_resignation(self, resignation: Resignation) -> None:
+    def record_resignation(self, resignation: Resignation) -> None:
         """Record the resignation of a previous holder, even if it arrives late."""
         with self._lock:
             last = self._last_resignation
@@ -222,20 +222,20 @@
             term, self._term = self._term, NO_TERM
         if not term.epoch or term.is_resigned:
             return None
-        return self._times.resignation(term.epoch, self._clock.elapsed())
+        return self._times.make_resignation(term.epoch, self._clock.elapsed())
 
     def release(self) -> None:
         """Release the lease after :meth:`stop`, so that a successor need not wait."""
         self._lease.release()
 
-    def asked(
+    def add_demand(
         self,
         node: str,
         shares: Iterable[DemandShare],
         age: timedelta = timedelta(),
     ) -> None:
         """Queue the demand that ``node`` received within ``age``."""
-        self._inbox.put(DemandNews(node, tuple(shares), self._clock.elapsed(), age))
+        self._inbox.put(DemandMessage(node, tuple(shares), self._clock.elapsed(), age))
 
     def step(self) -> None:
         """Run one round: apply answers, request reports, plan, order and publish.
@@ -246,7 +246,7 @@
         """
         with self._round_lock:
             started_at = self._clock.elapsed()
-            self._inbox.empty_into(self._demand)
+            self._inbox.drain_into(self._demand)
             self._adopt_term()
             if self._is_term_over():
                 self._end_term()
@@ -256,8 +256,10 @@
 
     def _record_round(self, started_at: timedelta) -> None:
         ended = self._clock.elapsed()
-        self._pause = min((ended - started_at) * REST_FACTOR, MOST_REST)
-        self._round_log.round(started_at, ended, len(self._controls), self._inbox)
+        self._pause = min((ended - started_at) * ROUND_PAUSE_FACTOR, MAX_ROUND_PAUSE)
+        self._round_log.record_round(
+            started_at, ended, len(self._controls), self._inbox
+        )
 
     def _adopt_term(self) -> None:
         """Reset the state of rounds if the lease was acquired since the last round."""
@@ -268,11 +270,11 @@
             return
         now = self._clock.elapsed()
         self._controls.clear()
-        self._runner.taken_over(now)
+        self._runner.record_takeover(now)
         takeover = term.takeover
         if takeover is not None and takeover.vacancy is not Vacancy.NEVER_HELD:
-            self._copies.taken_over(now)
-        self._publisher.begin()
+            self._copies.record_takeover(now)
+        self._publisher.schedule_full_update()
 
     def _is_term_over(self) -> bool:
         """Return whether this node stopped or another node took over."""
@@ -284,15 +286,15 @@
         epoch = self.holds_lease()
         if epoch is not None and epoch.number != self._round_term.epoch:
             return
-        if self._controls.meet(self._round_term.epoch):
-            self._copies.met(self._clock.elapsed())
-        self._calls.take_answers(self._controls)
+        if self._controls.update_targets(self._round_term.epoch):
+            self._copies.record_new_target(self._clock.elapsed())
+        self._calls.apply_answers(self._controls)
         now = self._clock.elapsed()
-        self._controls.ask_reports(now)
+        self._controls.request_reports(now)
         if epoch is not None:
-            self._runner.go_on(self._controls, epoch, now)
+            self._runner.send_next_orders(self._controls, epoch, now)
             self._plan(epoch, now)
-        self._publisher.tell(self._round_term.epoch, self._controls, now)
+        self._publisher.publish_changes(self._round_term.epoch, self._controls, now)
 
     def _start_term(self) -> None:
         """Start a new term, in which orders wait for those of the last holder."""
@@ -300,7 +302,7 @@
         with self._lock:
             if takeover is not None and takeover.vacancy is Vacancy.OWN:
                 now = self._clock.elapsed()
-                self._times.go_on_after_restart(takeover.free_since, now)
+                self._times.start_after_restart(takeover.free_since, now)
             elif takeover is not None and takeover.is_from_another:
                 self._wait_for_last_holder(takeover)
             number = 0 if epoch is None else epoch.number
@@ -309,13 +311,13 @@
     def _wait_for_last_holder(self, takeover: Takeover) -> None:
         last = self._last_resignation
         if last is not None and last[0].epoch == takeover.predecessor:
-            self._times.take_over_from(*last)
+            self._times.start_after_resignation(*last)
         elif takeover.free_since is not None:
-            self._times.take_over(takeover.free_since)
+            self._times.start_after_lapse(takeover.free_since)
 
     def _end_term(self) -> None:
         self._controls.clear()
-        self._calls.forget()
+        self._calls.ignore_pending()
         with self._lock:
             if self._term.epoch == self._round_term.epoch:
                 self._term = NO_TERM
@@ -325,29 +327,29 @@
         ready_targets = {
             target.incarnation
             for service in self._declared.services
-            for target in self._directory.ready(service)
+            for target in self._directory.ready_targets(service)
             if not self._is_down(target.incarnation)
         }
         controls = [c for c in self._controls if c.target.incarnation in ready_targets]
         limits = self._rate_limits()
-        for service, members in by_service(controls).items():
+        for service, members in group_by_service(controls).items():
             engine = self._declared.engine(service)
             if engine is None:
                 continue
             for member in members:
-                for model, adapters in member.view().adapters_by_model.items():
-                    self._demand.met(service, model, adapters)
+                for model, adapters in member.held_models().adapters_by_model.items():
+                    self._demand.record_held(service, model, adapters)
             view = FleetView(service, engine, members, self._demand, now, limits)
             adapter_plan = plan_adapters(view)
             for adapter in adapter_plan.loads:
                 control = self._controls[adapter.target]
                 self._runner.load_adapter(control, adapter, epoch)
-            self._runner.left_log.note_adapters(adapter_plan.left, now)
+            self._runner.deferral_log.log_adapters(adapter_plan.deferred, now)
             plan = plan_models(view)
             for load in plan.loads:
-                self._runner.begin(self._controls[load.target], load, epoch, now)
-            self._runner.left_log.note(plan.left, now)
-            for load in self._copies.plan(view):
+                self._runner.start_load(self._controls[load.target], load, epoch, now)
+            self._runner.deferral_log.log_models(plan.deferred, now)
+            for load in self._copies.plan_copies(view):
                 control = self._controls[load.target]
-                if self._runner.begin(control, load, epoch, now):
-                    self._copies.made(service, load, now)
+                if self._runner.start_load(control, load, epoch, now):
+                    self._copies.record_copy(service, load, now)
--- a/packages/runhatch-server/src/runhatch_server/residency/_orders.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_orders.py
@@ -30,15 +30,16 @@
 class TargetReport:
     """Report of a target, some hundred milliseconds old.
 
-    ``orders`` counts the orders it has accepted; ``busy`` is true while it carries out
-    one that concerns a model. ``coming`` are adapters being loaded, as pairs of model
-    and adapter. ``started_at`` is when this incarnation started, if reported.
+    ``accepted_orders`` counts the orders it has accepted; ``is_busy`` is true while it
+    carries out one that concerns a model. ``loading_adapters`` are adapters being
+    loaded, as pairs of model and adapter. ``started_at`` is when this incarnation
+    started, if reported.
     """
 
-    orders: int
+    accepted_orders: int
     held: HeldModels
-    busy: bool
-    coming: frozenset[tuple[str, str]]
+    is_busy: bool
+    loading_adapters: frozenset[tuple[str, str]]
     copies: StoredCopies
     running: int
     waiting: int
@@ -48,8 +49,8 @@
 class OrderClient(Protocol):
     """Sends orders to targets and requests their reports."""
 
-    def give(self, target: Target, order: TargetOrder) -> OrderOutcome:
+    def send_order(self, target: Target, order: TargetOrder) -> OrderOutcome:
         """Send ``order`` to ``target`` once, without retries."""
 
-    def report(self, target: Target) -> TargetReport | Unavailable:
+    def fetch_report(self, target: Target) -> TargetReport | Unavailable:
         """Request a report from ``target``."""
--- a/packages/runhatch-server/src/runhatch_server/residency/_permits.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_permits.py
@@ -20,7 +20,7 @@
         self._taken_over_at = now
         self._started: deque[timedelta] = deque()
 
-    def take(self, per_second: float, now: timedelta) -> bool:
+    def try_acquire(self, per_second: float, now: timedelta) -> bool:
         """Return whether a load may start at ``now``, and count it if so."""
         while self._started and now - self._started[0] >= self._window:
             self._started.popleft()
--- a/packages/runhatch-server/src/runhatch_server/residency/_places.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_places.py
@@ -18,58 +18,58 @@
 from functools import cached_property
 
 from runhatch_server.residency._control import TargetControl
-from runhatch_server.residency._needs import MUCH_SOONER, NOT_HELD, OVERDUE, Need
-from runhatch_server.residency._view import HORIZON_SECONDS, FleetView
+from runhatch_server.residency._needs import MIN_LOAD_ADVANCE, NOT_HELD, OVERDUE, Need
+from runhatch_server.residency._view import EVICTION_MISS_SECONDS, FleetView
 from runhatch_server.routing import EngineModel
 
-STORE_LOAD_PRICE = 1.0
+STORE_LOAD_COST = 1.0
 """Cost of a load from the weight store, in weighted requests; a load from a target's
 own copy costs only its time."""
-LOAD_SECOND_PRICE = 0.25
+LOAD_COST_PER_SECOND = 0.25
 """Cost per second for which a load blocks other orders to its target."""
-BUSY_PRICE = 0.5
+FULL_UTILISATION_COST = 0.5
 """Cost of a load on a fully utilised target."""
-HYSTERESIS = 1.3
+EVICTION_LOSS_FACTOR = 1.3
 """Factor by which the gain must exceed the loss, so that models do not evict each other
 in turn."""
-LEAST_DIFFERENCE = 0.2
+MIN_LOAD_DIFFERENCE = 0.2
 """Minimum difference in load between the busiest holder and the target of a new
 replica."""
-OVERDUE_TARGETS = 1 / 8
+MAX_OVERDUE_TARGET_SHARE = 1 / 8
 """Maximum share of the targets (at least one target) that load overdue models from the
 weight store, because they accept no adapter orders meanwhile."""
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class PlacementOption:
     """Gain and cost of loading a model on one target, in weighted requests."""
 
     target: str
-    evict: tuple[str, ...]
-    won: float
-    lost: float
-    seconds: float
-    busy: float
+    evictions: tuple[str, ...]
+    gain: float
+    loss: float
+    ready_in_seconds: float
+    load_penalty: float
     """Penalty for the load of the target."""
-    startable: bool
-    from_store: bool
-    owed: float
+    is_startable: bool
+    loads_from_store: bool
+    missed_gain: float
     """Additional gain for the time during which the model has been missed."""
 
     @property
-    def is_worth_it(self) -> bool:
-        """Whether the gain, with ``owed``, exceeds the loss."""
-        return self.won > 0.0 and self.lost < self.won + self.owed
+    def is_worthwhile(self) -> bool:
+        """Whether the gain, with ``missed_gain``, exceeds the loss."""
+        return self.gain > 0.0 and self.loss < self.gain + self.missed_gain
 
     @property
     def is_overdue(self) -> bool:
         """Whether only the time since the first miss justifies the load."""
-        return self.won <= self.lost
+        return self.gain <= self.loss
 
     @property
     def value(self) -> float:
         """Net gain, by which places are compared."""
-        return self.won - self.lost - self.busy
+        return self.gain - self.loss - self.load_penalty
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,35 +83,35 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LeastLoad:
+class LoadLowerBounds:
     """Lower bounds of a load: the least memory and the shortest time."""
 
     memory_mb: float
-    took: timedelta
+    duration: timedelta
 
 
-def _load_lower_bound(models: Sequence[EngineModel]) -> LeastLoad:
+def _load_lower_bound(models: Sequence[EngineModel]) -> LoadLowerBounds:
     """Return the lower bounds of a load from the weight store."""
     memory_mb = min((model.memory_mb for model in models), default=0.0)
     took = min((model.loads.from_store for model in models), default=timedelta())
-    return LeastLoad(memory_mb, took)
+    return LoadLowerBounds(memory_mb, took)
 
 
-class Site:
+class CandidateTarget:
     """Costs of loading on one target that do not depend on the model.
 
     Created once per plan.
     """
 
     def __init__(
-        self, view: FleetView, control: TargetControl, least: LeastLoad
+        self, view: FleetView, control: TargetControl, lower_bounds: LoadLowerBounds
     ) -> None:
         self.control = control
         self.name = control.target.incarnation
         self.free_in = control.free_at(view.engine, view.now) - view.now
-        self.startable = control.is_free_at(view.now) and control.intent is None
+        self.is_startable = control.is_free_at(view.now) and control.intent is None
         self.load = view.load_of(control)
-        self.second_price = LOAD_SECOND_PRICE + view.blocked_by(control)
+        self.cost_per_second = LOAD_COST_PER_SECOND + view.delayed_adapter_rate(control)
         self._delayed_rates: dict[str, float] = {}
         self._free_mb = view.free_mb(control)
         known = view.engine.by_name
@@ -121,17 +121,17 @@
                     view.keep_value(control, name),
                     name,
                     known[name].memory_mb if name in known else 0.0,
-                    view.is_last_asked(control, name),
+                    view.is_only_holder_in_demand(control, name),
                 )
                 for name in control.held
-                if not control.protected(name, "", view.now)
+                if not control.is_protected(name, "", view.now)
             ),
             key=lambda candidate: (candidate.value, candidate.model),
         )
-        self._lower_bound = least
+        self._lower_bound = lower_bounds
 
-    def victims(
-        self, memory_mb: float, replica: bool
+    def find_evictions(
+        self, memory_mb: float, is_replica: bool
     ) -> tuple[tuple[str, ...], float] | None:
         """Return the models to evict for ``memory_mb``, and the loss, or ``None``.
 
@@ -143,46 +143,50 @@
         for candidate in self._eviction_candidates:
             if lacking <= 0:
                 break
-            if replica and candidate.is_only_replica_in_demand:
+            if is_replica and candidate.is_only_replica_in_demand:
                 continue
             victims.append(candidate.model)
             lost += candidate.value
             lacking -= candidate.memory_mb
         return (tuple(victims), lost) if lacking <= 0 else None
 
-    def blocks(self, model: str, rate: float) -> None:
+    def charge_for_delay(self, model: str, rate: float) -> None:
         """Charge other loads for each second that they delay ``model``.
 
         The model is missed, could be loaded quickly here, and would then serve ``rate``
         weighted requests per second.
         """
         self._delayed_rates[model] = rate
-        self.second_price += rate
+        self.cost_per_second += rate
 
-    def cost(self, model: str, lost: float, seconds: float) -> float:
+    def cost(self, model: str, loss: float, seconds: float) -> float:
         """Return the cost of a load that takes ``seconds`` and loses ``lost``."""
-        weighted_loss = lost * max(1.0, seconds / HORIZON_SECONDS) * HYSTERESIS
-        second_price = self.second_price - self._delayed_rates.get(model, 0.0)
+        weighted_loss = (
+            loss * max(1.0, seconds / EVICTION_MISS_SECONDS) * EVICTION_LOSS_FACTOR
+        )
+        second_price = self.cost_per_second - self._delayed_rates.get(model, 0.0)
         return weighted_loss + seconds * second_price
 
     @cached_property
-    def least_cost(self) -> float:
+    def min_cost(self) -> float:
         """Lower bound of the cost of any load from the weight store on this target."""
-        eviction = self.victims(self._lower_bound.memory_mb, replica=False)
+        eviction = self.find_evictions(self._lower_bound.memory_mb, is_replica=False)
         if eviction is None:
             return math.inf
-        seconds = (self.free_in + self._lower_bound.took).total_seconds()
-        return self.cost("", eviction[1], seconds) + STORE_LOAD_PRICE
+        seconds = (self.free_in + self._lower_bound.duration).total_seconds()
+        return self.cost("", eviction[1], seconds) + STORE_LOAD_COST
 
 
-class Draft:
+class PlacementDraft:
     """The targets that a plan has not used yet."""
 
     def __init__(self, view: FleetView, needs: Iterable[Need]) -> None:
         self._view = view
         lower_bound = _load_lower_bound(view.engine.models)
-        candidates = [Site(view, control, lower_bound) for control in view.controls]
-        self._with_copy: dict[str, list[Site]] = defaultdict(list)
+        candidates = [
+            CandidateTarget(view, control, lower_bound) for control in view.controls
+        ]
+        self._with_copy: dict[str, list[CandidateTarget]] = defaultdict(list)
         for candidate in candidates:
             control = candidate.control
             for model in control.copies_in_memory | control.copies_on_disk:
@@ -190,44 +194,50 @@
         for need in needs:
             if need.reason == NOT_HELD:
                 self._charge_for_delayed_loads(need)
-        self.open_sites = sorted(candidates, key=lambda candidate: candidate.least_cost)
+        self.unused_candidates = sorted(
+            candidates, key=lambda candidate: candidate.min_cost
+        )
         """Unused targets, by rising lower bound of cost."""
         self._used_targets: set[str] = set()
         self._overdue_loads = sum(map(_is_loading_overdue, view.controls))
-        self._max_overdue_loads = max(1.0, len(view.controls) * OVERDUE_TARGETS)
+        self._max_overdue_loads = max(
+            1.0, len(view.controls) * MAX_OVERDUE_TARGET_SHARE
+        )
 
-    def is_open(self, place: Place) -> bool:
+    def is_available(self, place: PlacementOption) -> bool:
         """Return whether ``place`` is still available at its computed cost."""
         if place.target in self._used_targets:
             return False
-        needs_overdue_slot = place.from_store and place.is_overdue
+        needs_overdue_slot = place.loads_from_store and place.is_overdue
         return not (needs_overdue_slot and self._is_overdue_limit_reached)
 
-    def take(self, place: Place) -> None:
+    def reserve(self, place: PlacementOption) -> None:
         """Reserve the target of ``place``."""
         self._used_targets.add(place.target)
-        self.open_sites = [
-            candidate for candidate in self.open_sites if candidate.name != place.target
+        self.unused_candidates = [
+            candidate
+            for candidate in self.unused_candidates
+            if candidate.name != place.target
         ]
-        if place.startable and place.from_store and place.is_overdue:
+        if place.is_startable and place.loads_from_store and place.is_overdue:
             self._overdue_loads += 1
 
-    def best_place(self, need: Need) -> Place | None:
+    def find_best_option(self, need: Need) -> PlacementOption | None:
         """Return the best place for ``need``, even if it is not worth the load."""
-        best: Place | None = None
+        best: PlacementOption | None = None
         with_copy = self._with_copy.get(need.model.name, [])
         for candidate in with_copy:
             if candidate.name not in self._used_targets:
-                best = _better_place(best, self.place(candidate, need))
+                best = _better_place(best, self.evaluate_option(candidate, need))
         names_with_copy = {candidate.name for candidate in with_copy}
-        won = need.won(need.model.loads.from_store.total_seconds())
-        for candidate in self.open_sites:
+        won = need.gain_after(need.model.loads.from_store.total_seconds())
+        for candidate in self.unused_candidates:
             if best is not None and _beats_remaining(
-                best, won, need.owed, candidate.least_cost
+                best, won, need.missed_gain, candidate.min_cost
             ):
                 break
             if candidate.name not in names_with_copy:
-                best = _better_place(best, self.place(candidate, need))
+                best = _better_place(best, self.evaluate_option(candidate, need))
         return best
 
     def _charge_for_delayed_loads(self, need: Need) -> None:
@@ -235,30 +245,32 @@
         free = [
             candidate
             for candidate in self._with_copy[need.model.name]
-            if candidate.startable
+            if candidate.is_startable
         ]
         for candidate in free:
-            candidate.blocks(need.model.name, need.rate / len(free) ** 2)
+            candidate.charge_for_delay(need.model.name, need.rate / len(free) ** 2)
 
     @property
     def _is_overdue_limit_reached(self) -> bool:
         """Whether the maximum number of targets already load overdue models."""
         return self._overdue_loads + 1 > self._max_overdue_loads
 
-    def place(self, site: Site, need: Need) -> Place | None:
-        """Return the place of ``need`` at ``site``, or ``None`` if there is none."""
-        view, control, model = self._view, site.control, need.model
+    def evaluate_option(
+        self, candidate: CandidateTarget, need: Need
+    ) -> PlacementOption | None:
+        """Return the place of ``need`` at ``candidate``, if there is one."""
+        view, control, model = self._view, candidate.control, need.model
         if model.name in control.held:
             return None
         holders = view.holders(model.name)
         if holders:
             busiest = max(view.load_of(holder) for holder in holders)
-            if busiest - site.load < LEAST_DIFFERENCE:
+            if busiest - candidate.load < MIN_LOAD_DIFFERENCE:
                 return None
-        ready_in = site.free_in + control.load_time(model)
+        ready_in = candidate.free_in + control.load_time(model)
         if self._is_load_ending_soon(model.name, ready_in):
             return None
-        eviction = site.victims(model.memory_mb, replica=bool(holders))
+        eviction = candidate.find_evictions(model.memory_mb, is_replica=bool(holders))
         if eviction is None:
             return None
         victims, lost = eviction
@@ -267,52 +279,56 @@
             # The evicted models would be missed for the whole duration of the load.
             return None
         seconds = ready_in.total_seconds()
-        return Place(
-            site.name,
+        return PlacementOption(
+            candidate.name,
             victims,
-            need.won(seconds),
-            site.cost(model.name, lost, seconds)
-            + (STORE_LOAD_PRICE if from_store else 0.0),
+            need.gain_after(seconds),
+            candidate.cost(model.name, lost, seconds)
+            + (STORE_LOAD_COST if from_store else 0.0),
             seconds,
             # Breaks ties between equal gains in favour of the least busy target.
-            site.load * BUSY_PRICE,
-            site.startable,
+            candidate.load * FULL_UTILISATION_COST,
+            candidate.is_startable,
             from_store,
-            0.0 if from_store and self._is_overdue_limit_reached else need.owed,
+            0.0 if from_store and self._is_overdue_limit_reached else need.missed_gain,
         )
 
     def _is_load_ending_soon(self, model: str, ready_in: timedelta) -> bool:
         """Return whether a load in progress ends soon enough.
 
-        It does unless a load started now, done in ``ready_in``, ends ``MUCH_SOONER`` or
-        more before it.
+        It does unless a load started now, done in ``ready_in``, ends
+        ``MIN_LOAD_ADVANCE`` or more before it.
         """
-        coming_at = self._view.coming_at(model)
+        coming_at = self._view.load_ready_at(model)
         return coming_at is not None and (
-            coming_at - self._view.now - ready_in < MUCH_SOONER
+            coming_at - self._view.now - ready_in < MIN_LOAD_ADVANCE
         )
 
 
 def _is_loading_overdue(control: TargetControl) -> bool:
-    return control.loading_because == OVERDUE and control.is_loading_from_store
+    return control.pending_load_reason == OVERDUE and control.is_loading_from_store
 
 
-def _better_place(best: Place | None, other: Place | None) -> Place | None:
+def _better_place(
+    best: PlacementOption | None, other: PlacementOption | None
+) -> PlacementOption | None:
     """Return the better of two places; ties go to the first target name."""
     if best is None or other is None:
         return best or other
     return min(best, other, key=_place_sort_key)
 
 
-def _place_sort_key(place: Place) -> tuple[bool, float, str]:
-    return not place.is_worth_it, -place.value, place.target
+def _place_sort_key(place: PlacementOption) -> tuple[bool, float, str]:
+    return not place.is_worthwhile, -place.value, place.target
 
 
-def _beats_remaining(best: Place, won: float, owed: float, least_cost: float) -> bool:
+def _beats_remaining(
+    best: PlacementOption, won: float, owed: float, least_cost: float
+) -> bool:
     """Return whether ``best`` is better than every place within these bounds.
 
-    The other places gain at most ``won`` plus ``owed`` and cost at least
-    ``least_cost``.
+    The other places gain at most ``gain`` plus ``missed_gain`` and cost at least
+    ``min_cost``.
     """
     none_is_worth_it = won <= 0.0 or least_cost >= won + owed
-    return won - least_cost < best.value and (best.is_worth_it or none_is_worth_it)
+    return won - least_cost < best.value and (best.is_worthwhile or none_is_worth_it)
--- a/packages/runhatch-server/src/runhatch_server/residency/_policy.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_policy.py
@@ -10,22 +10,22 @@
 from enum import Enum
 
 from runhatch_server.residency._needs import NOT_HELD, OVERDUE, Need, find_needs
-from runhatch_server.residency._places import Draft, Place
+from runhatch_server.residency._places import PlacementDraft, PlacementOption
 from runhatch_server.residency._view import FleetView
 
 
 @dataclass(frozen=True, slots=True)
-class LoadModel:
-    """Load ``model`` on ``target`` after unloading the models in ``evict``."""
+class ModelLoad:
+    """Load ``model`` on ``target`` after unloading the models in ``evictions``."""
 
     target: str
     model: str
-    evict: tuple[str, ...]
+    evictions: tuple[str, ...]
     reason: str
     value: float
 
 
-class LeftBecause(Enum):
+class DeferralReason(Enum):
     """Why a model that no target holds is not loaded now."""
 
     NO_PLACE = "no place"
@@ -37,31 +37,31 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LeftModel:
+class DeferredModel:
     """A model that requests wait for and for which no load was started.
 
-    ``target`` is the best target, empty if there is none. ``waiting``, ``won``,
-    ``lost`` and ``owed`` are in weighted requests, ``rate`` in weighted requests per
-    second; ``seconds`` is the time until the load would be done.
+    ``target`` is the best target, empty if there is none. ``waiting``, ``gain``,
+    ``loss`` and ``missed_gain`` are in weighted requests, ``rate`` in weighted requests
+    per second; ``ready_in_seconds`` is the time until the load would be done.
     """
 
     model: str
-    because: LeftBecause
+    reason: DeferralReason
     waiting: float
     rate: float
     target: str = ""
-    won: float = 0.0
-    lost: float = 0.0
-    owed: float = 0.0
-    seconds: float = 0.0
+    gain: float = 0.0
+    loss: float = 0.0
+    missed_gain: float = 0.0
+    ready_in_seconds: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class ModelPlan:
     """The loads to start now, at most one per target, and the models deferred."""
 
-    loads: list[LoadModel]
-    left: list[LeftModel]
+    loads: list[ModelLoad]
+    deferred: list[DeferredModel]
 
 
 def plan_models(view: FleetView) -> ModelPlan:
@@ -75,12 +75,12 @@
     """
     plan = ModelPlan([], [])
     needs = find_needs(view)
-    draft = Draft(view, needs)
-    places = [draft.best_place(need) for need in needs]
+    draft = PlacementDraft(view, needs)
+    places = [draft.find_best_option(need) for need in needs]
     queue = [
         (-place.value, index)
         for index, place in enumerate(places)
-        if place is not None and place.is_worth_it
+        if place is not None and place.is_worthwhile
     ]
     heapq.heapify(queue)
     planned = set()
@@ -88,17 +88,17 @@
         _, index = heapq.heappop(queue)
         place = places[index]
         assert place is not None
-        if not draft.is_open(place):
-            place = places[index] = draft.best_place(needs[index])
-            if place is not None and place.is_worth_it:
+        if not draft.is_available(place):
+            place = places[index] = draft.find_best_option(needs[index])
+            if place is not None and place.is_worthwhile:
                 heapq.heappush(queue, (-place.value, index))
             continue
         # A busy target may still be the best place.
-        draft.take(place)
-        if place.startable:
+        draft.reserve(place)
+        if place.is_startable:
             planned.add(index)
             plan.loads.append(_load_model(needs[index], place))
-    plan.left.extend(
+    plan.deferred.extend(
         _deferred_model(need, places[index])
         for index, need in enumerate(needs)
         if index not in planned and need.reason == NOT_HELD
@@ -106,26 +106,28 @@
     return plan
 
 
-def _load_model(need: Need, place: Place) -> LoadModel:
+def _load_model(need: Need, place: PlacementOption) -> ModelLoad:
     reason = OVERDUE if place.is_overdue else need.reason
-    return LoadModel(place.target, need.model.name, place.evict, reason, place.value)
+    return ModelLoad(
+        place.target, need.model.name, place.evictions, reason, place.value
+    )
 
 
-def _deferred_model(need: Need, best: Place | None) -> LeftModel:
+def _deferred_model(need: Need, best: PlacementOption | None) -> DeferredModel:
     if best is None:
-        because = LeftBecause.NO_PLACE
-        return LeftModel(need.model.name, because, need.waiting, need.rate)
-    because = LeftBecause.NOT_WORTH_IT
-    if best.is_worth_it:
-        because = LeftBecause.TARGET_BUSY
-    return LeftModel(
+        because = DeferralReason.NO_PLACE
+        return DeferredModel(need.model.name, because, need.waiting, need.rate)
+    because = DeferralReason.NOT_WORTH_IT
+    if best.is_worthwhile:
+        because = DeferralReason.TARGET_BUSY
+    return DeferredModel(
         need.model.name,
         because,
         need.waiting,
         need.rate,
         best.target,
-        best.won,
-        best.lost,
-        best.owed,
-        best.seconds,
+        best.gain,
+        best.loss,
+        best.missed_gain,
+        best.ready_in_seconds,
     )
--- a/packages/runhatch-server/src/runhatch_server/residency/_round_log.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_round_log.py
@@ -5,10 +5,10 @@
 
 from runhatch_server.observability import Metrics, log_change
 
-LONG_ROUND = timedelta(milliseconds=200)
+LONG_ROUND_DURATION = timedelta(milliseconds=200)
 """Duration of a round from which it is logged: adapters wait for the next round, and
 requests that need one have about 400 ms."""
-LOG_EVERY = timedelta(seconds=1)
+LOG_INTERVAL = timedelta(seconds=1)
 """Minimum interval between two log lines."""
 
 
@@ -20,21 +20,21 @@
         self._logged_at = timedelta(days=-1)
         self._rounds = 0
 
-    def round(
-        self, begun: timedelta, ended: timedelta, targets: int, inbox: Sized
+    def record_round(
+        self, started_at: timedelta, ended_at: timedelta, targets: int, queue: Sized
     ) -> None:
-        """Record a round over ``targets`` targets, after which ``inbox`` is queued."""
-        took = ended - begun
+        """Record a round over ``targets`` targets, after which ``queue`` is queued."""
+        took = ended_at - started_at
         self._metrics.round_seconds.observe(took.total_seconds())
         self._rounds += 1
-        if took < LONG_ROUND or ended - self._logged_at < LOG_EVERY:
+        if took < LONG_ROUND_DURATION or ended_at - self._logged_at < LOG_INTERVAL:
             return
         log_change(
             "long_round",
             took_ms=round(took / timedelta(milliseconds=1)),
             targets=targets,
             rounds=self._rounds,
-            demand_waiting=len(inbox),
+            demand_waiting=len(queue),
         )
-        self._logged_at = ended
+        self._logged_at = ended_at
         self._rounds = 0
--- a/packages/runhatch-server/src/runhatch_server/residency/_sending.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_sending.py
@@ -8,7 +8,7 @@
 from runhatch_server.observability import Metrics, log_change
 from runhatch_server.residency._calls import TargetCalls
 from runhatch_server.residency._control import TargetControl
-from runhatch_server.residency._handover import ORDER_ARRIVES, OrderTimes
+from runhatch_server.residency._handover import MAX_ORDER_DELAY, OrderTimes
 from runhatch_server.residency._orders import OrderClient, TargetOrder
 from runhatch_server.targets import OrderKind, OrderOutcome
 
@@ -49,7 +49,7 @@
     ) -> None:
         """Send an order to the target of ``control`` under the lease of ``epoch``."""
         order = TargetOrder(
-            kind, model, adapter, control.orders, self._node, epoch.number
+            kind, model, adapter, control.accepted_orders, self._node, epoch.number
         )
         target = control.target
         self._calls.start(
@@ -65,16 +65,16 @@
         the two would otherwise not name its target, and a successor would order it at
         once.
         """
-        self._times.begin(target.name, order.fence)
+        self._times.record_sending(target.name, order.fence)
         epoch = self._held_epoch()
         if epoch is None or epoch.number != order.fence:
-            self._times.unsent(target.name, order.fence)
+            self._times.record_unsent(target.name, order.fence)
             return None
         started_at = self._clock.elapsed()
-        outcome = self._client.give(target, order)
+        outcome = self._client.send_order(target, order)
         ended = self._clock.elapsed()
-        max_delay = ORDER_ARRIVES if outcome is OrderOutcome.UNKNOWN else timedelta()
-        self._times.sent(target.name, order.fence, ended + max_delay)
+        max_delay = MAX_ORDER_DELAY if outcome is OrderOutcome.UNKNOWN else timedelta()
+        self._times.record_sent(target.name, order.fence, ended + max_delay)
         seconds = (ended - started_at).total_seconds()
         self._metrics.order_seconds.labels(order.kind.value).observe(seconds)
         return outcome
@@ -83,10 +83,10 @@
         self, control: TargetControl, order: TargetOrder, outcome: object
     ) -> None:
         if not isinstance(outcome, OrderOutcome):
-            control.calling = False
+            control.is_calling = False
             return
         load_time = self._load_time(control, order.model)
-        control.ordered(order, outcome, load_time, self._clock.elapsed())
+        control.record_outcome(order, outcome, load_time, self._clock.elapsed())
         self._metrics.orders.labels(order.kind.value, outcome.value).inc()
         log_change(
             "order",
