--- a/packages/runhatch-server/src/runhatch_server/residency/_view.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_view.py
@@ -6,39 +6,39 @@
 from collections.abc import Iterable, Mapping, Sequence
 from datetime import timedelta
 
-from runhatch_server.decisions import TRIAL_RATE, Spread, spread
+from runhatch_server.decisions import MIN_RATE, WorkDistribution, distribute_work
 from runhatch_server.residency._control import TargetControl
 from runhatch_server.residency._demand import Demand, DemandBook
 from runhatch_server.routing import EngineSpec
 
-HORIZON_SECONDS = 3.0
+EVICTION_MISS_SECONDS = 3.0
 """How long an evicted model is missed: it takes this long to load it again when
 requested, if a target has a copy on disk."""
-ADAPTER_MISSES = 0.3
+ADAPTER_MISS_SHARE = 0.3
 """Share of requests for adapters whose adapter must first be loaded: a target accepts
 no adapter orders while it loads a model."""
 REPLICA_LOAD = 0.5
 """Share of a target's time spent on prompts above which another replica is worth its
 load: at 0.5 a prompt of 100 ms waits half as long again, and requests arrive in
 bursts."""
-EASY_LOAD = 0.25
+LOSSLESS_LOAD = 0.25
 """Share of a target's time up to which it takes over another replica's requests without
 a loss; at ``REPLICA_LOAD`` all of them are counted as lost."""
-UNKNOWN_MODEL = 2.5
+UNKNOWN_MODEL_VALUE = 2.5
 """Value, in weighted requests, of the last replica of a model that was never requested,
 or that requests which cannot wait for a load have used. Demand moves to other models
 without warning: within ten seconds, to one in seven of those not in demand, and
 about 40 weighted requests are missed until such a model is loaded."""
-HURRIED_MODEL = 3.0
+HURRIED_MODEL_VALUE = 3.0
 """Additional value of the last replica if requests that cannot wait for a load have
 used it recently: the rate of demand that has just begun is underestimated."""
-KNOWN_MODEL = 0.2
+PATIENT_MODEL_VALUE = 0.2
 """Value of the last replica of a model that only requests which can wait have used; its
 rate accounts for the rest."""
-PATIENT_MISSES = 0.6
+PATIENT_LOSS_SHARE = 0.6
 """Share of the requests that can wait for a load but are lost anyway if their model
 must be loaded first, because its target may be busy with another."""
-WORTH_KEEPING_RATE = 0.05
+MIN_DEMAND_RATE = 0.05
 """Requests per second above which a model that no target holds any more is loaded again
 without waiting for the next request."""
 UNMET_WEIGHT = 0.7
@@ -78,7 +78,10 @@
             for model in control.held:
                 if control.holds(model):
                     self._holders.setdefault(model, []).append(control)
-        work = {model.name: self.demand_for(model.name).work for model in engine.models}
+        work = {
+            model.name: self.demand_for(model.name).work_share
+            for model in engine.models
+        }
         hosts = {
             model: [control.target.incarnation for control in holders]
             for model, holders in self._holders.items()
@@ -90,17 +93,17 @@
             )
             for control in controls
         }
-        self.spread: Spread = spread(work, hosts, capacities)
+        self.spread: WorkDistribution = distribute_work(work, hosts, capacities)
         self._adapter_rates: dict[str, float] = {}
-        for model, adapter in demand.adapters(service):
-            rate = self.adapter_demand(model, adapter).weighted
+        for model, adapter in demand.requested_adapters(service):
+            rate = self.adapter_demand(model, adapter).weighted_rate
             self._adapter_rates[model] = self._adapter_rates.get(model, 0.0) + rate
 
     def demand_for(self, model: str) -> Demand:
         """Return the demand for ``model``, cached in this view."""
         cached = self._demands.get(model)
         if cached is None:
-            cached = self.demand.model(self.service, model, self.now)
+            cached = self.demand.model_demand(self.service, model, self.now)
             self._demands[model] = cached
         return cached
 
@@ -108,7 +111,7 @@
         """Return the demand for an adapter, cached in this view."""
         cached = self._adapter_demands.get((model, adapter))
         if cached is None:
-            cached = self.demand.adapter(self.service, model, adapter, self.now)
+            cached = self.demand.adapter_demand(self.service, model, adapter, self.now)
             self._adapter_demands[model, adapter] = cached
         return cached
 
@@ -116,7 +119,7 @@
         """Return the targets that hold ``model``."""
         return self._holders.get(model, [])
 
-    def coming_at(self, model: str) -> timedelta | None:
+    def load_ready_at(self, model: str) -> timedelta | None:
         """Return when a load of ``model`` in progress or planned ends."""
         return self._coming_at.get(model)
 
@@ -125,7 +128,7 @@
         used = control.used_mb(self.engine)
         return self.engine.memory_mb - self._reserve_mb - used
 
-    def blocked_by(self, control: TargetControl) -> float:
+    def delayed_adapter_rate(self, control: TargetControl) -> float:
         """Return the weighted adapter requests per second that a load would delay.
 
         Other free holders serve their share of them.
@@ -137,7 +140,7 @@
                 for holder in self.holders(model)
                 if holder is not control and holder.is_free
             ]
-            rate = self._adapter_rates.get(model, 0.0) * ADAPTER_MISSES
+            rate = self._adapter_rates.get(model, 0.0) * ADAPTER_MISS_SHARE
             blocked += rate / (len(others) + 1) ** 2
         return blocked
 
@@ -145,29 +148,29 @@
         """Return the share of a target's time spent on prompts."""
         return self.spread.utilisation(control.target.incarnation)
 
-    def is_last_asked(self, control: TargetControl, model: str) -> bool:
+    def is_only_holder_in_demand(self, control: TargetControl, model: str) -> bool:
         """Return whether ``control`` is the only holder of a model in demand."""
         if any(holder is not control for holder in self.holders(model)):
             return False
-        return self.demand_for(model).rate >= WORTH_KEEPING_RATE
+        return self.demand_for(model).rate >= MIN_DEMAND_RATE
 
     def keep_value(self, control: TargetControl, model: str) -> float:
         """Return the loss if ``control`` dropped ``model``."""
         demand = self.demand_for(model)
-        hurried = demand.weighted - demand.patient
-        missed = hurried + demand.patient * PATIENT_MISSES
-        value = missed * HORIZON_SECONDS
+        hurried = demand.weighted_rate - demand.patient_rate
+        missed = hurried + demand.patient_rate * PATIENT_LOSS_SHARE
+        value = missed * EVICTION_MISS_SECONDS
         others = [c for c in self.holders(model) if c is not control]
         if not others:
-            patient = demand.asked and demand.hurried_at is None
-            unrequested_value = KNOWN_MODEL if patient else UNKNOWN_MODEL
+            patient = demand.was_requested and demand.last_hurried_at is None
+            unrequested_value = PATIENT_MODEL_VALUE if patient else UNKNOWN_MODEL_VALUE
             if demand.is_hurried(self.now):
-                unrequested_value += HURRIED_MODEL
-            return unrequested_value + value + demand.waiting(self.now)
+                unrequested_value += HURRIED_MODEL_VALUE
+            return unrequested_value + value + demand.waiting_requests(self.now)
         share = self.spread.share(model, control.target.incarnation)
         moved = share / len(others)
         load_after = min(self.load_of(other) + moved for other in others)
-        crowding = (load_after - EASY_LOAD) / (REPLICA_LOAD - EASY_LOAD)
+        crowding = (load_after - LOSSLESS_LOAD) / (REPLICA_LOAD - LOSSLESS_LOAD)
         return value / (len(others) + 1) * min(max(crowding, 0.0), 1.0)
 
     def _capacity(self, control: TargetControl, limit: float | None) -> float:
@@ -176,13 +179,13 @@
             return 1.0
         demands = [self.demand_for(model) for model in control.held]
         rate = sum(demand.rate for demand in demands)
-        work = sum(demand.work for demand in demands)
+        work = sum(demand.work_share for demand in demands)
         if rate <= 0 or work <= 0:
             return 1.0
-        return min(1.0, max(limit, TRIAL_RATE) * work / rate)
+        return min(1.0, max(limit, MIN_RATE) * work / rate)
 
     def _record_expected_load(self, control: TargetControl) -> None:
-        models = {control.loading}
+        models = {control.loading_model}
         if control.intent is not None:
             models.add(control.intent.model)
         for model in models - {""}:
@@ -191,7 +194,7 @@
             self._coming_at[model] = min(known_ready_at, ready_at)
 
 
-def by_service(
+def group_by_service(
     controls: Iterable[TargetControl],
 ) -> Mapping[str, list[TargetControl]]:
     """Return the targets of each service, ordered by incarnation."""
--- a/packages/runhatch-server/src/runhatch_server/routing/_specs.py
+++ b/packages/runhatch-server/src/runhatch_server/routing/_specs.py
@@ -8,7 +8,7 @@
 from enum import Enum
 from functools import cached_property
 
-LOAD_GUESS = timedelta(seconds=10)
+DEFAULT_LOAD_TIME = timedelta(seconds=10)
 """Assumed time to load weights if none is declared."""
 
 
@@ -56,7 +56,7 @@
     patience: timedelta | None = None
 
     @property
-    def may_repeat(self) -> bool:
+    def may_retry(self) -> bool:
         """Whether a request that may have run already may be sent again."""
         if self.kind is RequestKind.STREAM:
             return self.resumable
@@ -67,9 +67,9 @@
 class LoadTimes:
     """Time that a target takes to load weights, by where they are stored."""
 
-    from_store: timedelta = LOAD_GUESS
-    from_disk: timedelta = LOAD_GUESS
-    from_memory: timedelta = LOAD_GUESS
+    from_store: timedelta = DEFAULT_LOAD_TIME
+    from_disk: timedelta = DEFAULT_LOAD_TIME
+    from_memory: timedelta = DEFAULT_LOAD_TIME
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/runhatch-server/src/runhatch_server/serving/__init__.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/__init__.py
@@ -6,7 +6,7 @@
 from runhatch_server.serving._cancel import Canceller
 from runhatch_server.serving._demand import DemandCounter
 from runhatch_server.serving._dispatch import Dispatcher, Grant
-from runhatch_server.serving._lives import TargetLives
+from runhatch_server.serving._lives import TargetIncarnations
 from runhatch_server.serving._once import OnceGuard
 from runhatch_server.serving._picture import Host, Hosting, Picture
 from runhatch_server.serving._queue import Waiter
@@ -33,6 +33,6 @@
     "Route",
     "RouteKind",
     "ServingService",
-    "TargetLives",
+    "TargetIncarnations",
     "Waiter",
 ]
--- a/packages/runhatch-server/src/runhatch_server/serving/_attempts.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_attempts.py
@@ -6,7 +6,7 @@
 from datetime import timedelta
 
 from runhatch_coordination import Clock, RetryBudget
-from runhatch_server.crashes import CrashWatch
+from runhatch_server.crashes import CrashDetector
 from runhatch_server.observability import (
     AttemptTrace,
     Metrics,
@@ -15,7 +15,7 @@
 )
 from runhatch_server.refusals import Executed, Reason, Refusal
 from runhatch_server.serving._dispatch import Dispatcher, Grant
-from runhatch_server.serving._lives import TargetLives
+from runhatch_server.serving._lives import TargetIncarnations
 from runhatch_server.serving._picture import Picture
 from runhatch_server.serving._request import CallerRequest
 from runhatch_server.serving._target_requests import build_target_request
@@ -23,7 +23,7 @@
     AttemptReason,
     NotSent,
     OpenAnswer,
-    RefusedUnrun,
+    RefusedNotRun,
     TargetClient,
     UnknownResult,
 )
@@ -74,8 +74,8 @@
         metrics: Metrics,
         clock: Clock,
         on_draining: Callable[[str], None],
-        crashes: CrashWatch,
-        lives: TargetLives,
+        crashes: CrashDetector,
+        lives: TargetIncarnations,
         seed: int | None = None,
     ) -> None:
         self._on_draining = on_draining
@@ -92,7 +92,7 @@
     def open(self, context: RequestContext) -> Opened | Refusal:
         """Return an answer that has started, or a refusal once no retry is allowed."""
         while True:
-            crash_refusal = self._crashes.judge(context.fingerprint)
+            crash_refusal = self._crashes.check_request(context.fingerprint)
             if crash_refusal is not None:
                 return (
                     crash_refusal.as_unknown() if context.maybe_ran else crash_refusal
@@ -114,7 +114,7 @@
         self._budget.deposit()
         self._record_attempt(context, opened.grant, "answered")
         self._dispatcher.completed(opened.grant, opened.first_byte, opened.answer.load)
-        self._crashes.answered(
+        self._crashes.record_answer(
             context.fingerprint, context.life, opened.grant.granted_at
         )
         opened.answer.close()
@@ -123,7 +123,7 @@
         self,
         context: RequestContext,
         grant: Grant,
-        outcome: NotSent | RefusedUnrun | UnknownResult,
+        outcome: NotSent | RefusedNotRun | UnknownResult,
     ) -> Refusal | None:
         """Return the slot; return a refusal unless the request is to be retried."""
         self._dispatcher.failed(grant, outcome)
@@ -150,10 +150,10 @@
 
     def _attempt(
         self, context: RequestContext, grant: Grant
-    ) -> Opened | NotSent | RefusedUnrun | UnknownResult:
+    ) -> Opened | NotSent | RefusedNotRun | UnknownResult:
         context.attempts += 1
         context.last_url = grant.host.url
-        context.life = self._lives.current(grant.host.target, grant.host.url)
+        context.life = self._lives.current_id(grant.host.target, grant.host.url)
         target_request = build_target_request(
             context.request, grant.host, context.attempts, context.continuation
         )
@@ -168,12 +168,12 @@
     ) -> None:
         """Report a broken connection, which may mean that the target crashed."""
         if reason is AttemptReason.BROKEN:
-            self._crashes.cut_off(context.fingerprint, context.life)
+            self._crashes.record_abort(context.fingerprint, context.life)
 
     def _refuse_or_back_off(
         self,
         context: RequestContext,
-        outcome: NotSent | RefusedUnrun | UnknownResult,
+        outcome: NotSent | RefusedNotRun | UnknownResult,
     ) -> Refusal | None:
         if outcome.reason is AttemptReason.CALLER_GONE:
             return Refusal(Reason.CALLER_GONE, Executed.UNKNOWN)
@@ -213,9 +213,9 @@
         context.trace.attempts.append(AttemptTrace(target, explanation, outcome))
 
 
-def _choose_final_reason(outcome: NotSent | RefusedUnrun | UnknownResult) -> Reason:
+def _choose_final_reason(outcome: NotSent | RefusedNotRun | UnknownResult) -> Reason:
     if outcome.reason is AttemptReason.MODEL_NOT_THERE:
         return Reason.NO_REPLICA
-    if isinstance(outcome, RefusedUnrun):
+    if isinstance(outcome, RefusedNotRun):
         return Reason.TARGETS_BUSY
     return Reason.TARGETS_FAILED
--- a/packages/runhatch-server/src/runhatch_server/serving/_dispatch.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_dispatch.py
@@ -21,7 +21,7 @@
     AttemptReason,
     CacheEvent,
     NotSent,
-    RefusedUnrun,
+    RefusedNotRun,
     ReportedLoad,
     UnknownResult,
 )
@@ -191,11 +191,11 @@
             state.succeeded(duration, route.service_times.mean, now)
             route.drain_rate.note(now)
             route.service_times.note(duration)
-            self._prefixes.stored(grant.host.target, grant.prefix)
+            self._prefixes.record_blocks(grant.host.target, grant.prefix)
             self._return_slot(state, grant)
 
     def failed(
-        self, grant: Grant, outcome: NotSent | RefusedUnrun | UnknownResult
+        self, grant: Grant, outcome: NotSent | RefusedNotRun | UnknownResult
     ) -> None:
         """Return the slot after an attempt without a complete answer."""
         with self._lock:
@@ -205,7 +205,7 @@
                 state.limit.refused(now)
             if outcome.reason in TARGET_FAULTS:
                 state.failed(now)
-            if isinstance(outcome, RefusedUnrun) and outcome.retry_after is not None:
+            if isinstance(outcome, RefusedNotRun) and outcome.retry_after is not None:
                 # The target knows best when it can take work again.
                 resume_at = now + outcome.retry_after
                 state.rests_until = max(state.rests_until, resume_at)
@@ -225,13 +225,13 @@
         with self._lock:
             stored = [b for b in latest if latest[b] and self._prefixes.is_known(b)]
             for block in latest.keys() - set(stored):
-                self._prefixes.dropped(target, block)
-            self._prefixes.stored(target, stored)
+                self._prefixes.remove_block(target, block)
+            self._prefixes.record_blocks(target, stored)
 
     def cache_lost(self, target: str) -> None:
         """Remove a restarted target from the prefix index."""
         with self._lock:
-            self._prefixes.forget(target)
+            self._prefixes.remove_target(target)
 
     def picture_changed(self) -> None:
         """Grant waiting requests the slots that became available."""
--- a/packages/runhatch-server/src/runhatch_server/serving/_lives.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_lives.py
@@ -3,12 +3,12 @@
 import threading
 from urllib.parse import urlsplit
 
-from runhatch_server.crashes import Standing
+from runhatch_server.crashes import TargetStanding
 from runhatch_server.targets import refuses_connections
 
 
-class TargetLives:
-    """Implements :class:`runhatch_server.crashes.Targets`; thread-safe.
+class TargetIncarnations:
+    """Implements :class:`runhatch_server.crashes.TargetMonitor`; thread-safe.
 
     A declared target restarts under the same name and address, so its incarnations
     cannot be told apart from outside.  This node counts the ends that it observed and
@@ -21,17 +21,17 @@
         self._ended_counts: dict[str, int] = {}
         self._urls: dict[str, str] = {}
 
-    def current(self, target: str, url: str) -> str:
+    def current_id(self, target: str, url: str) -> str:
         """Return the id of the current incarnation of ``target``."""
         with self._lock:
             self._urls[target] = url
             return self._incarnation_id(target)
 
-    def standing(self, target: str) -> Standing:
-        """Return ``WORKS``: an incarnation works until it is observed to end."""
-        return Standing.WORKS
+    def standing(self, target: str) -> TargetStanding:
+        """Return ``RUNNING``: an incarnation works until it is observed to end."""
+        return TargetStanding.RUNNING
 
-    def refuses(self, target: str) -> bool:
+    def refuses_connections(self, target: str) -> bool:
         """Return whether the address of an incarnation refuses connections."""
         with self._lock:
             parts = urlsplit(self._urls.get(_target_of(target), ""))
@@ -39,7 +39,7 @@
             return False
         return refuses_connections(parts.hostname, parts.port)
 
-    def ended(self, target: str) -> None:
+    def record_end(self, target: str) -> None:
         """Record the end of an incarnation; the next one gets another id."""
         target_name = _target_of(target)
         with self._lock:
--- a/packages/runhatch-server/src/runhatch_server/serving/_request.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_request.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from runhatch_server.decisions import fingerprint_of
+from runhatch_server.decisions import compute_fingerprint
 
 
 class RouteKind(Enum):
@@ -54,9 +54,9 @@
 
     @property
     def fingerprint(self) -> str:
-        """Equal for all repeats of the request, see :func:`fingerprint_of`."""
+        """Equal for all repeats of the request, see :func:`compute_fingerprint`."""
         content = msgspec.json.encode(self.document) if self.is_model else self.body
-        return fingerprint_of(self.method, str(self.route), self.path, content)
+        return compute_fingerprint(self.method, str(self.route), self.path, content)
 
     @property
     def is_model(self) -> bool:
--- a/packages/runhatch-server/src/runhatch_server/serving/_router.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_router.py
@@ -94,7 +94,7 @@
 
     def _affinity_rank(self, host: Host, prefix: tuple[str, ...]) -> tuple[int, int]:
         # All nodes rank hosts for a prefix equally without coordination.
-        matched = self._prefixes.matched(host.target, prefix)
+        matched = self._prefixes.count_matching(host.target, prefix)
         return matched, weight(prefix[0], host.target)
 
     def _score(
@@ -105,7 +105,9 @@
         now: timedelta,
     ) -> "_Scored":
         wait = _predict_wait(host, states[host.target], now)
-        matched = self._prefixes.matched(host.target, prefix) if self._affinity else 0
+        matched = (
+            self._prefixes.count_matching(host.target, prefix) if self._affinity else 0
+        )
         score = wait * self._random.uniform(1 - JITTER, 1 + JITTER)
         # The bonus equals the prefill saved, so affinity never adds a longer wait.
         score -= PREFILL_PER_BLOCK * matched
--- a/packages/runhatch-server/src/runhatch_server/targets/_client.py
+++ b/packages/runhatch-server/src/runhatch_server/targets/_client.py
@@ -13,7 +13,7 @@
     AttemptOutcome,
     AttemptReason,
     NotSent,
-    RefusedUnrun,
+    RefusedNotRun,
     UnknownResult,
     rest_asked,
 )
@@ -144,7 +144,7 @@
         if answer.status in request.unrun_statuses:
             answer.close()
             reason = UNRUN_REASONS.get(answer.status, AttemptReason.TARGET_BUSY)
-            return RefusedUnrun(reason, rest_asked(answer.headers.get("retry-after")))
+            return RefusedNotRun(reason, rest_asked(answer.headers.get("retry-after")))
         echoed_id = answer.headers.get(REQUEST_ID.lower())
         expected_id = request.request_id
         if echoed_id != expected_id and (echoed_id is not None or request.must_echo_id):
--- a/packages/runhatch-server/src/runhatch_server/targets/_outcomes.py
+++ b/packages/runhatch-server/src/runhatch_server/targets/_outcomes.py
@@ -1,6 +1,6 @@
 """Outcomes of an attempt to send a request to a target.
 
-Only ``NotSent`` and ``RefusedUnrun`` prove that the target did not run the request.
+Only ``NotSent`` and ``RefusedNotRun`` prove that the target did not run the request.
 """
 
 import re
@@ -82,19 +82,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RefusedUnrun:
+class RefusedNotRun:
     """The target stated that it did not run the request.
 
-    ``idle`` is how long its connection may stay open, ``None`` if not at all.
-    ``retry_after`` is how long the target accepts no requests.  ``leaving`` is
+    ``idle_timeout`` is how long its connection may stay open, ``None`` if not at all.
+    ``retry_after`` is how long the target accepts no requests.  ``draining`` is
     whether it drains and accepts no further ones.  ``rate_limit`` is the result of
     :func:`limit_named`.
     """
 
     reason: AttemptReason
     retry_after: timedelta | None = None
-    idle: timedelta | None = None
-    leaving: bool = False
+    idle_timeout: timedelta | None = None
+    draining: bool = False
     rate_limit: float | UnreadableLimit | None = None
 
 
@@ -105,4 +105,4 @@
     reason: AttemptReason
 
 
-AttemptOutcome = NotSent | RefusedUnrun | UnknownResult | OpenAnswer
+AttemptOutcome = NotSent | RefusedNotRun | UnknownResult | OpenAnswer
--- a/packages/runhatch-server/tests/gateway_cases.py
+++ b/packages/runhatch-server/tests/gateway_cases.py
@@ -3,8 +3,8 @@
 from datetime import UTC, datetime, timedelta
 
 from runhatch_coordination import Entry
-from runhatch_server.crashes import Standing
-from runhatch_server.fleet import Directory, HeldModels, Target, TargetState
+from runhatch_server.crashes import TargetStanding
+from runhatch_server.fleet import HeldModels, Target, TargetDirectory, TargetState
 from runhatch_server.gateway import GatewayRequest, ModelWork, PromptPart
 from runhatch_server.gateway._balancer import Balancer
 from runhatch_server.gateway._rate_limits import RateLimits
@@ -53,33 +53,37 @@
     models=("m0",),
     adapters=(),
     state=TargetState.READY,
-    born=None,
+    started_at_seconds=None,
 ):
-    """Return a target that started at the Unix time ``born`` in seconds, if given."""
+    """Return a target, started at the Unix time ``started_at_seconds`` if given."""
     held = HeldModels({model: frozenset(adapters) for model in models})
-    started_at = None if born is None else datetime.fromtimestamp(born, UTC)
+    started_at = (
+        None
+        if started_at_seconds is None
+        else datetime.fromtimestamp(started_at_seconds, UTC)
+    )
     return Target(
         name, service, "127.0.0.1", 1, "d1", 8, state, held, started_at=started_at
     )
 
 
 def make_directory(clock, *targets):
-    directory = Directory(clock)
+    directory = TargetDirectory(clock)
     directory.listed(tuple(Entry(t.name, t) for t in targets))
     return directory
 
 
-def ignore(*arguments):
+def do_nothing(*arguments):
     pass
 
 
 def make_balancer(directory, clock, failure_domain="d1", seed=1, **callbacks):
     """Return a balancer; callbacks that are not given do nothing."""
     defaults = {
-        "on_missing": ignore,
+        "on_missing": do_nothing,
         "has_connection": lambda target: True,
-        "on_change": ignore,
-        "on_leaving": ignore,
+        "on_change": do_nothing,
+        "on_leaving": do_nothing,
     }
     limits = RateLimits(clock, Metrics())
     balancer = Balancer(
@@ -95,18 +99,18 @@
     def __init__(self):
         self.standings = {}
         self.refusing = set()
-        self.looks = 0
-        self.ends = []
+        self.check_count = 0
+        self.ended_targets = []
 
     def standing(self, target):
-        return self.standings.get(target, Standing.WORKS)
+        return self.standings.get(target, TargetStanding.RUNNING)
 
-    def refuses(self, target):
-        self.looks += 1
+    def refuses_connections(self, target):
+        self.check_count += 1
         return target in self.refusing
 
-    def ended(self, target):
-        self.ends.append(target)
+    def record_end(self, target):
+        self.ended_targets.append(target)
 
 
 def make_route(kind=RequestKind.STREAM, **changes):
@@ -139,14 +143,14 @@
         service=service,
         method="POST",
         uri="/x",
-        passed=(("host", "a.example"),),
+        forwarded_headers=(("host", "a.example"),),
         body=b"body",
-        received=now,
+        received_at=now,
         goal_at=now + route.goal,
         deadline=now + route.timeout,
         work=work,
     )
 
 
-def never_gone():
+def never_disconnected():
     return False
--- a/packages/runhatch-server/tests/late_world.py
+++ b/packages/runhatch-server/tests/late_world.py
@@ -15,12 +15,12 @@
     make_request,
     make_route,
     make_target,
-    never_gone,
+    never_disconnected,
     seconds,
 )
 
 from runhatch_coordination import MemberFact, Membership, Standing, Vm
-from runhatch_server.decisions import Tried
+from runhatch_server.decisions import TriedTargets
 from runhatch_server.gateway._grant import Grant
 from runhatch_server.gateway._permits import PermitExchange
 from runhatch_server.peers import Member
@@ -75,7 +75,7 @@
         fleet = [make_target(name, "plain", ()) for name in targets]
         directory = make_directory(cluster.clock, *fleet)
         self.balancer = make_balancer(directory, cluster.clock, seed=int(vm.name[1:]))
-        self.balancer._held_requests.pause = lambda longest: cluster.pause(
+        self.balancer._held_requests.wait_for_update = lambda longest: cluster.pause(
             self, longest
         )
         self.limits = self.balancer.limits
@@ -132,7 +132,7 @@
         node = self.nodes[address]
         member = Member(sender.vm.name, "d", sender.vm.name, 1, Standing.ALIVE)
         self._schedule(
-            self._message_delays, lambda: node.exchange.take_in(fact, member)
+            self._message_delays, lambda: node.exchange.handle_message(fact, member)
         )
 
     def pause(self, node, longest):
@@ -173,7 +173,7 @@
 
     def _acquire(self, node):
         request = make_request(self.clock, ROUTE, "plain", "")
-        found = node.balancer.acquire(request, Tried(), never_gone)
+        found = node.balancer.acquire(request, TriedTargets(), never_disconnected)
         if isinstance(found, Grant):
             node.balancer.released(found, faulty=False)
             arrivals = self.sent[found.target.incarnation]
--- a/packages/runhatch-server/tests/orderer_cases.py
+++ b/packages/runhatch-server/tests/orderer_cases.py
@@ -7,7 +7,7 @@
 from runhatch_coordination import Lease
 from runhatch_server.fleet import HeldModels, StoredCopies
 from runhatch_server.observability import Metrics
-from runhatch_server.residency import DemandShare, Orderer, TargetReport, Wanted
+from runhatch_server.residency import DemandKey, DemandShare, Orderer, TargetReport
 from runhatch_server.targets import OrderOutcome
 
 TTL = seconds(2)
@@ -25,12 +25,12 @@
         self.reports = 0
         self.orders = []
 
-    def report(self, target):
+    def fetch_report(self, target):
         self.reports += 1
         held = HeldModels({model: frozenset() for model in self.models})
         return TargetReport(0, held, False, frozenset(), StoredCopies(), 0, 0)
 
-    def give(self, target, order):
+    def send_order(self, target, order):
         self.orders.append(order)
         return OrderOutcome.ACCEPTED
 
@@ -47,12 +47,12 @@
         self.arrives = threading.Event()
         self._is_first = True
 
-    def give(self, target, order):
+    def send_order(self, target, order):
         is_first, self._is_first = self._is_first, False
         self.sent.release()
         if is_first:
             self.arrives.wait()
-        return super().give(target, order)
+        return super().send_order(target, order)
 
 
 class OrdererCase:
@@ -67,7 +67,9 @@
         self.answered = threading.Event()
         self.newest_epoch = 0
         self.on_publish = lambda: None
-        directory = make_directory(clock, make_target("t1", models=(), born=born))
+        directory = make_directory(
+            clock, make_target("t1", models=(), started_at_seconds=born)
+        )
         self.directory = directory
         self.orderer = Orderer(
             Lease(table, clock, "orders", name, TTL),
@@ -92,8 +94,8 @@
         self.published += [(epoch, *sorted(h.held.adapters_by_model)) for h in holdings]
 
     def request_model(self, model):
-        wanted = Wanted("engine", model, "", 0)
-        self.orderer.asked("n1", [DemandShare(wanted, 3, 3, 300.0)])
+        wanted = DemandKey("engine", model, "", 0)
+        self.orderer.add_demand("n1", [DemandShare(wanted, 3, 3, 300.0)])
 
     def run_round(self):
         """Run a round, wait for the answer to its call, and run another to apply it."""
--- a/packages/runhatch-server/tests/rate_limit_cases.py
+++ b/packages/runhatch-server/tests/rate_limit_cases.py
@@ -8,12 +8,12 @@
     make_request,
     make_route,
     make_target,
-    never_gone,
+    never_disconnected,
     seconds,
 )
 
 from runhatch_coordination import MemberFact, Membership, Standing, Vm, rank
-from runhatch_server.decisions import Tried
+from runhatch_server.decisions import TriedTargets
 from runhatch_server.gateway._grant import Grant
 from runhatch_server.gateway._permits import PermitExchange
 from runhatch_server.peers import Member
@@ -92,9 +92,9 @@
 
     def acquire(self, clock, priority=1):
         request = make_request(clock, make_route(priority=priority))
-        found = self.balancer.acquire(request, Tried(), never_gone)
+        found = self.balancer.acquire(request, TriedTargets(), never_disconnected)
         if isinstance(found, Grant):
-            self.balancer.released(found, faulty=False)
+            self.balancer.release(found, target_failed=False)
         return found
 
     def suspect(self, vms):
--- a/packages/runhatch-server/tests/test_admission.py
+++ b/packages/runhatch-server/tests/test_admission.py
@@ -13,16 +13,16 @@
     make_request,
     make_route,
     make_target,
-    never_gone,
+    never_disconnected,
     seconds,
 )
 
 from runhatch_coordination import SystemClock
 from runhatch_server.decisions import (
     LoadShare,
-    Outstanding,
+    OutstandingRequest,
     TargetLoad,
-    Tried,
+    TriedTargets,
     WorkRates,
 )
 from runhatch_server.gateway._grant import Grant
@@ -53,11 +53,11 @@
 
     def report_peer_load(self, target, waiting_ms, running=4, busy=0.0):
         share = LoadShare((waiting_ms, 0.0, 0.0, 0.0), 1, running, busy=busy)
-        self.balancer.loads.of_peer("other", {target: share}, whole=False)
+        self.balancer.loads.apply_peer("other", {target: share}, whole=False)
 
     def acquire(self, route=CHAT, tokens=300):
         request = make_request(self.clock, route, tokens=tokens)
-        return self.balancer.acquire(request, Tried(), never_gone)
+        return self.balancer.acquire(request, TriedTargets(), never_disconnected)
 
 
 class TestStreamPauses:
@@ -88,8 +88,8 @@
         case.report_peer_load("t1", waiting_ms, busy=busy)
         if not is_admitted:
             request = make_request(clock, route, tokens=300)
-            delayed = replace(request, received=request.received - seconds(0.2))
-            answer = case.balancer.acquire(delayed, Tried(), never_gone)
+            delayed = replace(request, received=request.received_at - seconds(0.2))
+            answer = case.balancer.acquire(delayed, TriedTargets(), never_disconnected)
             assert answer.reason is Reason.TOO_BUSY
             assert answer.judged_by.pause_ms > MAX_GAP / milliseconds(1) * 0.85
         else:
@@ -145,22 +145,22 @@
         for i in range(200):
             unread = (200, 1_500, 600, 3_000)[i % 4]
             took = milliseconds(base_ms + unread * ms_per_token)
-            sent = Outstanding(0.0, unread, timedelta(), 0.0, 0, unread)
-            rates.first_token("m", sent, took)
+            sent = OutstandingRequest(0.0, unread, timedelta(), 0.0, 0, unread)
+            rates.record_first_token("m", sent, took)
         assert rates.prompt_ms("m", 1_000) == pytest.approx(1_000 * ms_per_token, 0.2)
         assert rates.base_ms == pytest.approx(base_ms, 0.35)
 
     def test_unmeasured_model_gets_the_average_speed_of_others(self):
         rates = WorkRates()
         for _ in range(200):
-            sent = Outstanding(0.0, 1_000, timedelta(), 0.0, 0, 1_000)
-            rates.first_token("m", sent, milliseconds(35))
+            sent = OutstandingRequest(0.0, 1_000, timedelta(), 0.0, 0, 1_000)
+            rates.record_first_token("m", sent, milliseconds(35))
         assert rates.prompt_ms("other", 1_000) < 35
 
     def test_step_time_follows_streams_without_prompt_reading(self):
         load = TargetLoad()
         for step_ms in (6.0, 40.0, 6.0, 30.0, 6.0, 6.0):
-            load.stepped(step_ms)
+            load.record_step_time(step_ms)
         assert 5.5 < load.step_ms < 9.0
 
 
@@ -170,11 +170,11 @@
     def test_longest_pause_and_mean_gap_are_computed(self):
         pace = StreamPace()
         for at in (1.0, 1.1, 1.2, 1.6, 1.7):
-            pace.piece(seconds(at))
+            pace.record_piece(seconds(at))
         assert pace.longest_pause == seconds(0.4)
         assert pace.mean_gap == pytest.approx(seconds(0.175), abs=milliseconds(1))
 
     def test_mean_gap_is_none_after_one_event(self):
         pace = StreamPace()
-        pace.piece(seconds(1))
+        pace.record_piece(seconds(1))
         assert pace.mean_gap is None
--- a/packages/runhatch-server/tests/test_attempts.py
+++ b/packages/runhatch-server/tests/test_attempts.py
@@ -6,7 +6,7 @@
 from server_cases import make_request
 
 from runhatch_coordination import RetryBudget, SystemClock
-from runhatch_server.crashes import CrashWatch
+from runhatch_server.crashes import CrashDetector
 from runhatch_server.observability import (
     Metrics,
     RequestLog,
@@ -18,18 +18,18 @@
     Dispatcher,
     Hosting,
     Picture,
-    TargetLives,
+    TargetIncarnations,
 )
 from runhatch_server.serving._attempts import RequestContext
 from runhatch_server.targets import (
     AttemptReason,
     NotSent,
-    RefusedUnrun,
+    RefusedNotRun,
     UnknownResult,
 )
 
 FAILED = NotSent(AttemptReason.CONNECT_FAILED)
-BUSY = RefusedUnrun(AttemptReason.TARGET_BUSY)
+BUSY = RefusedNotRun(AttemptReason.TARGET_BUSY)
 BROKEN = UnknownResult(AttemptReason.BROKEN)
 
 
@@ -54,19 +54,19 @@
     return picture
 
 
-class FakeTargetLives(TargetLives):
+class FakeTargetLives(TargetIncarnations):
     """Reports the targets in ``ended_targets`` as refusing connections."""
 
     def __init__(self, *ended_targets):
         super().__init__("n")
         self._ended_targets = ended_targets
 
-    def refuses(self, target):
+    def refuses_connections(self, target):
         return target.partition("#")[0] in self._ended_targets
 
 
 def make_crash_watch(clock, lives):
-    return CrashWatch(clock, lives, Metrics(), lambda: None)
+    return CrashDetector(clock, lives, Metrics(), lambda: None)
 
 
 def open_requests(picture, outcomes, requests=1, idempotent=True, crashes=None):
@@ -172,8 +172,8 @@
             make_crash_watch(clock, FakeTargetLives("w0", "w1", "w2")) for _ in "ab"
         )
         open_requests(picture, [BROKEN], crashes=first)
-        ends, _ = first.take_news()
-        second.told(ends)
+        ends, _ = first.take_updates()
+        second.receive_ends(ends)
 
         _, client = open_requests(picture, [BROKEN], crashes=second)
 
@@ -185,28 +185,31 @@
 
     def test_each_end_starts_a_new_incarnation(self):
         """A repeated report of the same end does not change the id again."""
-        lives = TargetLives("n1")
-        first = lives.current("w0", "http://127.0.0.1:1")
-        lives.ended(first)
-        second = lives.current("w0", "http://127.0.0.1:1")
-        lives.ended(first)
+        lives = TargetIncarnations("n1")
+        first = lives.current_id("w0", "http://127.0.0.1:1")
+        lives.record_end(first)
+        second = lives.current_id("w0", "http://127.0.0.1:1")
+        lives.record_end(first)
 
         assert first != second
-        assert lives.current("w0", "http://127.0.0.1:1") == second
+        assert lives.current_id("w0", "http://127.0.0.1:1") == second
 
     def test_ids_of_different_nodes_differ(self):
         """Two nodes that observe the same end must not produce the same id."""
-        ids = {TargetLives(node).current("w0", "http://a:1") for node in ("n1", "n2")}
+        ids = {
+            TargetIncarnations(node).current_id("w0", "http://a:1")
+            for node in ("n1", "n2")
+        }
 
         assert len(ids) == 2
 
     def test_refuses_only_if_no_process_listens(self):
         """An unknown target does not count as refusing connections."""
-        lives = TargetLives("n1")
+        lives = TargetIncarnations("n1")
         with socket.create_server(("127.0.0.1", 0)) as listener:
             url = f"http://127.0.0.1:{listener.getsockname()[1]}"
-            incarnation = lives.current("w0", url)
-            assert not lives.refuses(incarnation)
+            incarnation = lives.current_id("w0", url)
+            assert not lives.refuses_connections(incarnation)
 
-        assert lives.refuses(incarnation)
-        assert not lives.refuses("unknown#n1-0")
+        assert lives.refuses_connections(incarnation)
+        assert not lives.refuses_connections("unknown#n1-0")
--- a/packages/runhatch-server/tests/test_balancer.py
+++ b/packages/runhatch-server/tests/test_balancer.py
@@ -11,12 +11,12 @@
     make_request,
     make_route,
     make_target,
-    never_gone,
+    never_disconnected,
     seconds,
 )
 
 from runhatch_coordination import Entry, SystemClock
-from runhatch_server.decisions import LATE_TIER, LoadShare, Tried
+from runhatch_server.decisions import LATE_TIER, LoadShare, TriedTargets
 from runhatch_server.fleet import ExpectedLoad, HeldModels
 from runhatch_server.gateway._grant import Grant
 from runhatch_server.refusals import Reason, Refusal
@@ -50,15 +50,17 @@
             on_leaving=self.draining_targets.append,
         )
 
-    def acquire(self, request=None, tried=(), turned_away=(), caller_gone=never_gone):
+    def acquire(
+        self, request=None, tried=(), turned_away=(), caller_gone=never_disconnected
+    ):
         request = request or make_request(self.clock)
-        previous_attempts = Tried(frozenset(tried), frozenset(turned_away))
+        previous_attempts = TriedTargets(frozenset(tried), frozenset(turned_away))
         return self.balancer.acquire(request, previous_attempts, caller_gone)
 
     def report_peer_load(self, target, waiting_ms=0.0, **share):
         waiting = (waiting_ms, 0.0, 0.0, 0.0)
         shares = {target: LoadShare(waiting, **share)}
-        self.balancer.loads.of_peer("other", shares, whole=True)
+        self.balancer.loads.apply_peer("other", shares, whole=True)
 
 
 @pytest.fixture
@@ -181,7 +183,7 @@
         for i in range(60):
             results.append(harness.acquire(make_request(clock, name=str(i))))
             if isinstance(results[-1], Grant):
-                harness.balancer.released(results[-1], faulty=False)
+                harness.balancer.release(results[-1], target_failed=False)
         harness.report_peer_load("t1", waiting_ms=300.0, waiting=3)
         results.append(harness.acquire())
         assert results[-1].reason is Reason.TOO_BUSY
@@ -279,7 +281,7 @@
             )
         )
         waiting.start()
-        harness.directory.told("t1", HeldModels({"m1": frozenset()}), ())
+        harness.directory.record_report("t1", HeldModels({"m1": frozenset()}), ())
         waiting.join(5)
 
         assert results[0].target.incarnation == "t1"
@@ -312,13 +314,13 @@
         target = make_target("t1")
         harness = BalancerHarness(clock, target)
         grant = harness.acquire()
-        harness.balancer.rests(grant, seconds(10))
-        harness.balancer.released(grant, faulty=False)
+        harness.balancer.back_off_target(grant, seconds(10))
+        harness.balancer.release(grant, target_failed=False)
         harness.directory.listed(())
-        harness.directory.settle()
+        harness.directory.remove_expired()
         clock.advance(seconds(3))
-        harness.directory.settle()
-        harness.balancer.forget_unknown()
+        harness.directory.remove_expired()
+        harness.balancer.delete_unknown_targets()
         harness.directory.listed((Entry("t1", target),))
 
         assert harness.acquire().reason is Reason.TARGETS_REST
--- a/packages/runhatch-server/tests/test_cache_intake.py
+++ b/packages/runhatch-server/tests/test_cache_intake.py
@@ -49,7 +49,7 @@
     picture = Picture()
     picture.configure(deployment)
     dispatcher = Dispatcher(picture, SystemClock(), "d0", 8, 0.5, seed=1)
-    dispatcher._prefixes.stored("w0", BLOCKS)
+    dispatcher._prefixes.record_blocks("w0", BLOCKS)
     return dispatcher
 
 
--- a/packages/runhatch-server/tests/test_candidates.py
+++ b/packages/runhatch-server/tests/test_candidates.py
@@ -4,10 +4,10 @@
 from gateway_cases import make_target, seconds
 
 from runhatch_server.decisions import (
-    BUSY_HOLDS,
-    NoneWilling,
+    BUSY_AVOIDANCE_DURATION,
+    NoCandidates,
     TargetLoad,
-    Tried,
+    TriedTargets,
     choose_candidates,
 )
 from runhatch_server.refusals import Reason
@@ -24,12 +24,12 @@
     """
     loads = {
         name: TargetLoad(
-            rests_until=seconds(dict(rests).get(name, 0)),
-            shut_until=seconds(dict(shut).get(name, 0)),
+            backoff_until=seconds(dict(rests).get(name, 0)),
+            avoided_until=seconds(dict(shut).get(name, 0)),
         )
         for name in TARGETS
     }
-    tried = Tried(frozenset(failed), frozenset(turned_away))
+    tried = TriedTargets(frozenset(failed), frozenset(turned_away))
     candidates = choose_candidates(
         [TARGETS[n] for n in holders],
         tried,
@@ -37,7 +37,7 @@
         NOW,
         lambda name: seconds(dict(limited).get(name, 0)),
     )
-    if isinstance(candidates, NoneWilling):
+    if isinstance(candidates, NoCandidates):
         return candidates
     return "".join(target.name for target in candidates)
 
@@ -71,32 +71,40 @@
     @pytest.mark.parametrize(
         ("holders", "states", "refusal"),
         [
-            ("a", {"turned_away": "a"}, NoneWilling(BUSY_HOLDS, Reason.TARGETS_BUSY)),
-            ("ab", {"turned_away": "ab"}, NoneWilling(BUSY_HOLDS, Reason.TARGETS_BUSY)),
+            (
+                "a",
+                {"turned_away": "a"},
+                NoCandidates(BUSY_AVOIDANCE_DURATION, Reason.TARGETS_BUSY),
+            ),
+            (
+                "ab",
+                {"turned_away": "ab"},
+                NoCandidates(BUSY_AVOIDANCE_DURATION, Reason.TARGETS_BUSY),
+            ),
             (
                 "ab",
                 {"turned_away": "a", "rests": {"b": 109}},
-                NoneWilling(BUSY_HOLDS, Reason.TARGETS_BUSY),
+                NoCandidates(BUSY_AVOIDANCE_DURATION, Reason.TARGETS_BUSY),
             ),
             (
                 "a",
                 {"rests": {"a": 103}},
-                NoneWilling(seconds(3), BACKING_OFF, "a"),
+                NoCandidates(seconds(3), BACKING_OFF, "a"),
             ),
             (
                 "ab",
                 {"rests": {"a": 160, "b": 104}},
-                NoneWilling(seconds(4), BACKING_OFF, "b"),
+                NoCandidates(seconds(4), BACKING_OFF, "b"),
             ),
             (
                 "ab",
                 {"limited": {"a": 102, "b": 104}},
-                NoneWilling(seconds(2), Reason.TARGETS_LIMITED, "a"),
+                NoCandidates(seconds(2), Reason.TARGETS_LIMITED, "a"),
             ),
             (
                 "ab",
                 {"limited": {"a": 104}, "rests": {"a": 106, "b": 103}},
-                NoneWilling(seconds(3), BACKING_OFF, "b"),
+                NoCandidates(seconds(3), BACKING_OFF, "b"),
             ),
         ],
     )
@@ -116,18 +124,18 @@
         arrivals = dict.fromkeys(holders, 0)
         for number in range(110):
             now = NOW + seconds(number * 0.025)
-            tried = Tried()
+            tried = TriedTargets()
             while True:
                 targets = [TARGETS[name] for name in holders]
                 candidates = choose_candidates(
                     targets, tried, loads.get, now, lambda name: NOW
                 )
-                if isinstance(candidates, NoneWilling):
+                if isinstance(candidates, NoCandidates):
                     assert candidates.reason is BACKING_OFF
                     break
                 name = candidates[0].name
                 arrivals[name] += 1
-                loads[name].rests_until = now + seconds(3)
-                tried = tried.turned_away_at(name)
+                loads[name].backoff_until = now + seconds(3)
+                tried = tried.with_refusal(name)
 
         assert set(arrivals.values()) == {1}
--- a/packages/runhatch-server/tests/test_copies.py
+++ b/packages/runhatch-server/tests/test_copies.py
@@ -8,18 +8,18 @@
 from runhatch_server.fleet import HeldModels, StoredCopies
 from runhatch_server.residency import (
     DemandBook,
+    DemandKey,
     DemandShare,
     FleetView,
     TargetControl,
     TargetReport,
-    Wanted,
 )
 from runhatch_server.residency._copies import (
-    AGAIN_AFTER,
-    PAUSE,
-    QUIET,
-    SETTLED,
-    TAKEN_OVER,
+    COPY_INTERVAL,
+    MIN_IDLE_TIME,
+    MIN_RECOPY_INTERVAL,
+    SETTLING_TIME,
+    TAKEOVER_SETTLING_TIME,
     CopyPlanner,
 )
 
@@ -41,15 +41,15 @@
         held = HeldModels({model: frozenset() for model in models})
         copies = StoredCopies(on_disk=frozenset({*models, *on_disk}))
         report = TargetReport(0, held, False, frozenset(), copies, 0, 0)
-        target_control.reported(report, seconds(0))
+        target_control.apply_report(report, seconds(0))
     return target_control
 
 
-def planned_copies(*controls, last_request_ago=None, model="m0", settled=SETTLED):
+def planned_copies(*controls, last_request_ago=None, model="m0", settled=SETTLING_TIME):
     book = DemandBook()
     if last_request_ago is not None:
-        share = DemandShare(Wanted("engine", model, "", 1), 5, 0, 100.0)
-        book.add("n1", share, NOW - last_request_ago)
+        share = DemandShare(DemandKey("engine", model, "", 1), 5, 0, 100.0)
+        book.add_requests("n1", share, NOW - last_request_ago)
     planner = CopyPlanner(NOW - settled)
     return as_tuples(planner, FleetView("engine", PLAIN, controls, book, NOW))
 
@@ -78,7 +78,7 @@
 
     @pytest.mark.parametrize(
         ("last_request_ago", "count"),
-        [(seconds(0), 0), (QUIET / 2, 0), (seconds(30), 1)],
+        [(seconds(0), 0), (MIN_IDLE_TIME / 2, 0), (seconds(30), 1)],
     )
     def test_none_is_created_while_requests_arrive(self, last_request_ago, count):
         assert (
@@ -89,21 +89,21 @@
     def test_none_is_created_until_all_targets_are_known(self):
         unknown = make_control("t3", ["m7"], reported=False)
 
-        assert planned_copies(*make_two_targets(), settled=SETTLED / 2) == []
+        assert planned_copies(*make_two_targets(), settled=SETTLING_TIME / 2) == []
         assert planned_copies(*make_two_targets(), unknown) == []
 
     def test_none_is_created_soon_after_takeover(self):
         """An orderer that its peers cannot reach receives no demand."""
         planner = CopyPlanner(NOW)
-        planner.taken_over(NOW)
+        planner.record_takeover(NOW)
 
         def view(later):
             return FleetView(
                 "engine", PLAIN, make_two_targets(), DemandBook(), NOW + later
             )
 
-        assert as_tuples(planner, view(SETTLED)) == []
-        assert len(as_tuples(planner, view(TAKEN_OVER))) == 1
+        assert as_tuples(planner, view(SETTLING_TIME)) == []
+        assert len(as_tuples(planner, view(TAKEOVER_SETTLING_TIME))) == 1
 
     def test_models_with_several_holders_are_not_evicted(self):
         controls = [
@@ -115,7 +115,7 @@
 
     def test_recently_requested_model_is_not_evicted(self):
         planned = planned_copies(
-            *make_two_targets(), last_request_ago=QUIET, model="m0"
+            *make_two_targets(), last_request_ago=MIN_IDLE_TIME, model="m0"
         )
 
         assert planned == [("m7", "t1", ("m2",))]
@@ -131,15 +131,15 @@
 
     def test_copies_that_replace_each_other_are_delayed(self):
         controls = make_two_targets()
-        planner = CopyPlanner(NOW - SETTLED)
+        planner = CopyPlanner(NOW - SETTLING_TIME)
 
         def view(later=seconds(0)):
             return FleetView("engine", PLAIN, controls, DemandBook(), NOW + later)
 
-        (load,) = planner.plan(view())
-        planner.made("engine", load, NOW)
-        assert as_tuples(planner, view(AGAIN_AFTER / 2)) == []
-        assert len(as_tuples(planner, view(AGAIN_AFTER))) == 1
+        (load,) = planner.plan_copies(view())
+        planner.record_copy("engine", load, NOW)
+        assert as_tuples(planner, view(MIN_RECOPY_INTERVAL / 2)) == []
+        assert len(as_tuples(planner, view(MIN_RECOPY_INTERVAL))) == 1
 
     def test_next_copies_wait_for_pause(self):
         """Requests that arrive meanwhile find targets busy for one load, not two."""
@@ -147,16 +147,18 @@
             make_control("t1", ["m0", "m1", "m2"]),
             make_control("t2", ["m3", "m4"]),
         ]
-        planner = CopyPlanner(NOW - SETTLED)
+        planner = CopyPlanner(NOW - SETTLING_TIME)
         view = FleetView("engine", PLAIN, controls, DemandBook(), NOW)
-        (load,) = planner.plan(view)
-        planner.made("engine", load, NOW)
+        (load,) = planner.plan_copies(view)
+        planner.record_copy("engine", load, NOW)
 
-        soon = FleetView("engine", PLAIN, controls, DemandBook(), NOW + PAUSE / 2)
-        later = FleetView("engine", PLAIN, controls, DemandBook(), NOW + PAUSE)
+        soon = FleetView(
+            "engine", PLAIN, controls, DemandBook(), NOW + COPY_INTERVAL / 2
+        )
+        later = FleetView("engine", PLAIN, controls, DemandBook(), NOW + COPY_INTERVAL)
 
-        assert planner.plan(soon) == []
-        assert [each.model for each in planner.plan(later)] == ["m6"]
+        assert planner.plan_copies(soon) == []
+        assert [each.model for each in planner.plan_copies(later)] == ["m6"]
 
     def test_prefers_target_whose_copies_exist_elsewhere(self):
         """A full disk drops its oldest copy, which must not be the only one."""
@@ -186,10 +188,10 @@
 
     def make_copied_targets(self, held, on_disk=("m0",)):
         """Return the planner and the targets after m7 was copied to t1."""
-        planner = CopyPlanner(NOW - SETTLED)
+        planner = CopyPlanner(NOW - SETTLING_TIME)
         view = FleetView("engine", PLAIN, make_two_targets(), DemandBook(), NOW)
-        (load,) = planner.plan(view)
-        planner.made("engine", load, NOW)
+        (load,) = planner.plan_copies(view)
+        planner.record_copy("engine", load, NOW)
         t2 = make_control("t2", ["m3", "m4", "m5"], on_disk=["m6"])
         return planner, [make_control("t1", held, on_disk=on_disk), t2]
 
@@ -200,10 +202,10 @@
     def test_is_loaded_again_once_copy_exists(self):
         planner, controls = self.make_copied_targets(["m7", "m1", "m2"])
 
-        (load,) = planner.plan(self.make_view(controls))
+        (load,) = planner.plan_copies(self.make_view(controls))
 
-        assert (load.model, load.target, load.evict) == ("m0", "t1", ("m7",))
-        planner.made("engine", load, NOW + seconds(9))
+        assert (load.model, load.target, load.evictions) == ("m0", "t1", ("m7",))
+        planner.record_copy("engine", load, NOW + seconds(9))
         assert as_tuples(planner, self.make_view(controls)) == []
 
     def test_is_not_loaded_before_copy_exists(self):
@@ -220,7 +222,7 @@
         """From then on loads follow demand."""
         planner, controls = self.make_copied_targets(["m7", "m1", "m2"])
         book = DemandBook()
-        share = DemandShare(Wanted("engine", "m7", "", 1), 5, 0, 100.0)
-        book.add("n1", share, NOW + seconds(8))
+        share = DemandShare(DemandKey("engine", "m7", "", 1), 5, 0, 100.0)
+        book.add_requests("n1", share, NOW + seconds(8))
 
         assert as_tuples(planner, self.make_view(controls, book)) == []
--- a/packages/runhatch-server/tests/test_crashes.py
+++ b/packages/runhatch-server/tests/test_crashes.py
@@ -6,13 +6,13 @@
 from gateway_cases import FakeTargets, make_directory, make_target, seconds
 
 from runhatch_coordination import Entry
-from runhatch_server.crashes import CrashWatch, Standing
+from runhatch_server.crashes import CrashDetector, TargetStanding
 from runhatch_server.crashes._watch import (
-    LOOKED_AT_FOR,
-    PROBE_VALID,
-    SECOND_LOOK,
+    PROBE_TTL,
+    PROBE_WINDOW,
+    REPROBE_DELAY,
 )
-from runhatch_server.decisions import EndedUnder
+from runhatch_server.decisions import ObservedEnd
 from runhatch_server.fleet import TargetState
 from runhatch_server.gateway._connections import ConnectionPool
 from runhatch_server.gateway._known_targets import KnownTargets
@@ -23,14 +23,14 @@
 
 
 class WatchCase:
-    """A :class:`CrashWatch` over fake targets."""
+    """A :class:`CrashDetector` over fake targets."""
 
     def __init__(self, clock):
         self.clock = clock
         self.targets = FakeTargets()
         self.notifications = 0
         self.metrics = Metrics()
-        self.watch = CrashWatch(
+        self.watch = CrashDetector(
             clock, self.targets, self.metrics, self.count_notification
         )
 
@@ -39,10 +39,10 @@
 
     def end_target(self, target, fingerprint="x"):
         self.targets.refusing.add(target)
-        self.watch.cut_off(fingerprint, target)
+        self.watch.record_abort(fingerprint, target)
 
     def answer_request(self, target, fingerprint):
-        self.watch.answered(fingerprint, target, self.clock.elapsed())
+        self.watch.record_answer(fingerprint, target, self.clock.elapsed())
 
 
 @pytest.fixture
@@ -84,11 +84,13 @@
 
         assert case.targets.looks == 1
         assert b"ended_targets_total 1.0" in case.metrics.exposition()
-        clock.advance(PROBE_VALID)
+        clock.advance(PROBE_TTL)
         case.end_target("t1")
         assert case.targets.looks == 2
 
-    @pytest.mark.parametrize("standing", [Standing.LEAVES, Standing.GONE])
+    @pytest.mark.parametrize(
+        "standing", [TargetStanding.DRAINING, TargetStanding.REMOVED]
+    )
     def test_planned_shutdown_of_a_target_is_ignored(self, case, standing):
         for target in TARGETS[:2]:
             case.targets.standings[target] = standing
@@ -106,7 +108,7 @@
         ("delay", "held"), [(seconds(4), True), (seconds(20), False)]
     )
     @pytest.mark.parametrize(
-        "report_abort", [CrashWatch.cut_off, CrashWatch.unfinished]
+        "report_abort", [CrashDetector.record_abort, CrashDetector.record_abandoned]
     )
     def test_removal_of_the_store_entry_soon_after_counts(
         self, clock, case, report_abort, delay, held
@@ -117,7 +119,7 @@
             report_abort(case.watch, "x", target)
             clock.advance(delay)
             case.watch.settle()
-            case.targets.standings[target] = Standing.GONE
+            case.targets.standings[target] = TargetStanding.REMOVED
             case.watch.settle()
 
         assert (case.watch.judge("x") is not None) == held
@@ -127,7 +129,7 @@
             case.watch.cut_off("x", target)
             assert case.watch.doubts.is_set()
             case.targets.refusing.add(target)
-            clock.advance(SECOND_LOOK)
+            clock.advance(REPROBE_DELAY)
             case.watch.settle()
 
         assert case.watch.judge("x") is not None
@@ -135,7 +137,7 @@
     def test_target_that_drains_first_ends_as_planned(self, case):
         for target in TARGETS[:2]:
             case.watch.unfinished("x", target)
-            for standing in (Standing.LEAVES, Standing.GONE):
+            for standing in (TargetStanding.DRAINING, TargetStanding.REMOVED):
                 case.targets.standings[target] = standing
                 case.watch.settle()
 
@@ -150,15 +152,15 @@
     def test_number_of_probes_of_a_target_is_limited(self, clock, case):
         for _ in range(40):
             case.watch.cut_off("x", "t0")
-            clock.advance(SECOND_LOOK)
+            clock.advance(REPROBE_DELAY)
             case.watch.settle()
-        assert case.targets.looks <= 2 * 40 * SECOND_LOOK / PROBE_VALID
+        assert case.targets.looks <= 2 * 40 * REPROBE_DELAY / PROBE_TTL
         case.targets.looks = 0
         for _ in range(200):
-            clock.advance(SECOND_LOOK)
+            clock.advance(REPROBE_DELAY)
             case.watch.settle()
 
-        assert case.targets.looks <= 2 * LOOKED_AT_FOR / PROBE_VALID
+        assert case.targets.looks <= 2 * PROBE_WINDOW / PROBE_TTL
 
 
 class TestUpdates:
@@ -173,7 +175,7 @@
         assert case.watch.take_news() == ([], [])
 
     def test_only_new_ends_from_peers_are_forwarded(self, clock, case):
-        end = EndedUnder("x", "elsewhere", clock.elapsed())
+        end = ObservedEnd("x", "elsewhere", clock.elapsed())
         case.watch.told([end])
         case.watch.told([end])
 
@@ -183,12 +185,14 @@
     def test_answer_clears_a_request_on_all_nodes(self, clock, case):
         other = WatchCase(clock)
         for watch in (case.watch, other.watch):
-            watch.told([EndedUnder("x", f"t{i}", clock.elapsed()) for i in range(2)])
+            watch.receive_ends(
+                [ObservedEnd("x", f"t{i}", clock.elapsed()) for i in range(2)]
+            )
         case.answer_request("t3", "x")
         _, cleared = case.watch.take_news()
-        other.watch.told_cleared(cleared)
+        other.watch.receive_cleared(cleared)
 
-        assert case.watch.judge("x") is other.watch.judge("x") is None
+        assert case.watch.judge("x") is other.watch.check_request("x") is None
 
 
 class TestKnownTargets:
@@ -197,9 +201,9 @@
     @pytest.mark.parametrize(
         ("state", "standing"),
         [
-            (TargetState.READY, Standing.WORKS),
-            (TargetState.DRAINING, Standing.LEAVES),
-            (None, Standing.GONE),
+            (TargetState.READY, TargetStanding.RUNNING),
+            (TargetState.DRAINING, TargetStanding.DRAINING),
+            (None, TargetStanding.REMOVED),
         ],
     )
     def test_standing_follows_the_directory(self, clock, state, standing):
@@ -215,4 +219,4 @@
     def test_unknown_target_does_not_count_as_refusing(self, clock):
         known = KnownTargets(make_directory(clock), ConnectionPool(clock))
 
-        assert not known.refuses("t1")
+        assert not known.refuses_connections("t1")
--- a/packages/runhatch-server/tests/test_directory.py
+++ b/packages/runhatch-server/tests/test_directory.py
@@ -5,7 +5,7 @@
 
 from runhatch_coordination import Entry
 from runhatch_server.fleet import ExpectedLoad, HeldModels, TargetState
-from runhatch_server.fleet._directory import LEAVING_REMEMBERED
+from runhatch_server.fleet._directory import DRAINING_RETENTION
 
 
 def make_entry(target):
@@ -26,14 +26,14 @@
     def test_only_ready_targets_accept_work(self, clock, state, ready):
         directory = make_directory(clock, make_target(state=state))
 
-        assert incarnations(directory.ready("engine")) == ready
+        assert incarnations(directory.ready_targets("engine")) == ready
 
     def test_draining_target_gets_no_more_work(self, clock):
         directory = make_directory(clock, make_target())
 
         directory.changed((make_entry(make_target(state=TargetState.DRAINING)),))
 
-        assert directory.ready("engine") == ()
+        assert directory.ready_targets("engine") == ()
 
     def test_removed_target_disappears_at_once_without_outage(self, clock):
         directory = make_directory(clock, make_target())
@@ -51,8 +51,8 @@
             (Entry("t1", None), make_entry(make_target("t2", service="plain")))
         )
 
-        assert incarnations(directory.ready("engine")) == []
-        assert incarnations(directory.ready("plain")) == ["t2"]
+        assert incarnations(directory.ready_targets("engine")) == []
+        assert incarnations(directory.ready_targets("plain")) == ["t2"]
 
 
 class TestAnnouncedDrain:
@@ -65,18 +65,18 @@
         """
         directory = make_directory(clock, make_target())
 
-        assert directory.leaves("t1")
+        assert directory.record_draining("t1")
         directory.changed((make_entry(make_target()),))
 
-        assert directory.ready("engine") == ()
+        assert directory.ready_targets("engine") == ()
         assert directory.holders("engine", "m0", "") == []
 
     @pytest.mark.parametrize("target", ["t1", "unknown"])
     def test_drain_is_reported_as_new_only_once(self, clock, target):
         directory = make_directory(clock, make_target())
 
-        assert directory.leaves(target)
-        assert not directory.leaves(target)
+        assert directory.record_draining(target)
+        assert not directory.record_draining(target)
 
     def test_drain_outlasts_a_temporarily_missing_entry(self, clock):
         """An announced drain must not be lost with the target's entry.
@@ -84,54 +84,58 @@
         Entries expire during an outage of the store and reappear within seconds.
         """
         directory = make_directory(clock, make_target())
-        directory.leaves("t1")
+        directory.record_draining("t1")
         directory.listed(())
         clock.advance(seconds(3))
-        directory.settle()
+        directory.remove_expired()
         directory.listed((make_entry(make_target()),))
 
-        assert directory.ready("engine") == ()
+        assert directory.ready_targets("engine") == ()
 
     def test_drain_known_before_listing_applies_to_the_entry(self, clock):
         directory = make_directory(clock)
-        directory.leaves("t1")
+        directory.record_draining("t1")
         directory.changed((make_entry(make_target()),))
 
-        assert directory.ready("engine") == ()
+        assert directory.ready_targets("engine") == ()
 
     def test_drain_is_forgotten_after_retention(self, clock):
         directory = make_directory(clock)
-        directory.leaves("t1")
-        clock.advance(LEAVING_REMEMBERED)
-        directory.settle()
+        directory.record_draining("t1")
+        clock.advance(DRAINING_RETENTION)
+        directory.remove_expired()
 
-        assert directory.leaves("t1")
+        assert directory.record_draining("t1")
 
     def test_next_incarnation_accepts_work(self, clock):
-        directory = make_directory(clock, make_target(born=1))
-        directory.leaves("t1@1000")
+        directory = make_directory(clock, make_target(started_at_seconds=1))
+        directory.record_draining("t1@1000")
 
-        directory.changed((make_entry(make_target(born=2)),))
+        directory.changed((make_entry(make_target(started_at_seconds=2)),))
 
-        assert incarnations(directory.ready("engine")) == ["t1@2000"]
+        assert incarnations(directory.ready_targets("engine")) == ["t1@2000"]
 
 
 class TestRestartedTarget:
     """A restarted target keeps its name, but none of the models it held."""
 
     def directory_after_restart(self, clock, born=200):
-        directory = make_directory(clock, make_target(models=["m0"], born=100))
-        directory.told("t1@100000", HeldModels({"m5": frozenset()}), ())
+        directory = make_directory(
+            clock, make_target(models=["m0"], started_at_seconds=100)
+        )
+        directory.record_report("t1@100000", HeldModels({"m5": frozenset()}), ())
         load = ExpectedLoad("t1@100000", "m7", seconds(9))
-        directory.told("t1@100000", HeldModels({"m5": frozenset()}), (load,))
-        directory.changed((make_entry(make_target(models=["m1"], born=born)),))
+        directory.record_report("t1@100000", HeldModels({"m5": frozenset()}), (load,))
+        directory.changed(
+            (make_entry(make_target(models=["m1"], started_at_seconds=born)),)
+        )
         return directory
 
     def test_reports_on_previous_incarnation_are_deleted(self, clock):
         directory = self.directory_after_restart(clock)
 
         assert directory.holders("engine", "m5", "") == []
-        assert directory.expected("engine", "m7") is None
+        assert directory.earliest_load("engine", "m7") is None
         assert incarnations(directory.holders("engine", "m1", "")) == ["t1@200000"]
 
     def test_previous_incarnation_is_removed(self, clock):
@@ -143,14 +147,14 @@
     def test_late_report_on_previous_incarnation_is_ignored(self, clock):
         directory = self.directory_after_restart(clock)
 
-        directory.told("t1@100000", HeldModels({"m5": frozenset()}), ())
+        directory.record_report("t1@100000", HeldModels({"m5": frozenset()}), ())
 
         assert directory.holders("engine", "m5", "") == []
 
     def test_entry_of_older_incarnation_is_ignored(self, clock):
         directory = self.directory_after_restart(clock, born=50)
 
-        assert incarnations(directory.ready("engine")) == ["t1@100000"]
+        assert incarnations(directory.ready_targets("engine")) == ["t1@100000"]
 
     @pytest.mark.parametrize(
         ("elapsed", "known"),
@@ -162,18 +166,20 @@
         directory = self.directory_after_restart(clock, born=50)
         clock.advance(seconds(elapsed))
 
-        directory.settle()
+        directory.remove_expired()
 
-        assert incarnations(directory.ready("engine")) == [known]
+        assert incarnations(directory.ready_targets("engine")) == [known]
 
     def test_overwritten_older_entry_is_discarded(self, clock):
         directory = self.directory_after_restart(clock, born=50)
-        directory.changed((make_entry(make_target(models=["m0"], born=100)),))
+        directory.changed(
+            (make_entry(make_target(models=["m0"], started_at_seconds=100)),)
+        )
         clock.advance(seconds(5))
 
-        directory.settle()
+        directory.remove_expired()
 
-        assert incarnations(directory.ready("engine")) == ["t1@100000"]
+        assert incarnations(directory.ready_targets("engine")) == ["t1@100000"]
 
 
 class TestOutages:
@@ -192,26 +198,26 @@
         directory = self.directory_after_outage(clock)
 
         clock.advance(seconds(1.5))
-        directory.settle()
+        directory.remove_expired()
 
-        assert incarnations(directory.ready("engine")) == ["t1"]
+        assert incarnations(directory.ready_targets("engine")) == ["t1"]
 
     def test_missing_target_is_removed_after_grace_period(self, clock):
         directory = self.directory_after_outage(clock)
 
         clock.advance(seconds(2))
-        directory.settle()
+        directory.remove_expired()
 
-        assert directory.ready("engine") == ()
+        assert directory.ready_targets("engine") == ()
 
     def test_relisted_target_stays(self, clock):
         directory = self.directory_after_outage(clock)
         directory.changed((make_entry(make_target()),))
 
         clock.advance(seconds(2))
-        directory.settle()
+        directory.remove_expired()
 
-        assert incarnations(directory.ready("engine")) == ["t1"]
+        assert incarnations(directory.ready_targets("engine")) == ["t1"]
 
 
 class TestHolders:
@@ -234,7 +240,7 @@
 
     def test_recent_orderer_report_takes_precedence_over_entry(self, clock):
         directory = make_directory(clock, make_target())
-        directory.told("t1", HeldModels({"m5": frozenset()}), ())
+        directory.record_report("t1", HeldModels({"m5": frozenset()}), ())
 
         assert incarnations(directory.holders("engine", "m5", "")) == ["t1"]
         assert directory.holders("engine", "m0", "") == []
@@ -247,7 +253,7 @@
     def test_target_that_lacks_a_model_is_excluded_briefly(self, clock):
         directory = make_directory(clock, make_target())
 
-        directory.correct("t1", "m0", "")
+        directory.record_missing_model("t1", "m0", "")
 
         assert directory.holders("engine", "m0", "") == []
         clock.advance(seconds(0.2))
@@ -257,10 +263,10 @@
         directory = make_directory(clock, make_target("t1"), make_target("t2"))
         for name, at in (("t1", 9), ("t2", 2)):
             load = ExpectedLoad(name, "m7", seconds(at))
-            directory.told(name, HeldModels(), (load,))
+            directory.record_report(name, HeldModels(), (load,))
 
-        assert directory.expected("engine", "m7").target == "t2"
-        assert directory.expected("engine", "m6") is None
+        assert directory.earliest_load("engine", "m7").target == "t2"
+        assert directory.earliest_load("engine", "m6") is None
 
 
 class TestCostOfReports:
@@ -277,11 +283,11 @@
 
     def test_other_targets_are_not_refreshed(self, clock):
         directory = self.directory(clock)
-        before = directory.ready("engine")
+        before = directory.ready_targets("engine")
 
-        directory.told("t2", HeldModels({"m7": frozenset()}), ())
+        directory.record_report("t2", HeldModels({"m7": frozenset()}), ())
 
-        after = directory.ready("engine")
+        after = directory.ready_targets("engine")
         assert incarnations(after) == incarnations(before)
         changed = [new for new, old in zip(after, before, strict=True) if new != old]
         assert incarnations(changed) == ["t2"]
@@ -291,20 +297,20 @@
     def test_empty_report_wakes_no_waiter(self, clock):
         directory = self.directory(clock)
         notifications = []
-        directory.news.notify_all = lambda: notifications.append(True)
+        directory.update_condition.notify_all = lambda: notifications.append(True)
 
-        directory.told_all([])
+        directory.record_reports([])
 
         assert notifications == []
 
     def test_report_stays_when_entries_change(self, clock):
         directory = self.directory(clock)
-        directory.told("t2", HeldModels({"m7": frozenset()}), ())
+        directory.record_report("t2", HeldModels({"m7": frozenset()}), ())
 
         directory.changed((make_entry(make_target("t9")),))
 
         assert incarnations(directory.holders("engine", "m7", "")) == ["t2"]
-        assert incarnations(directory.ready("engine")) == [
+        assert incarnations(directory.ready_targets("engine")) == [
             "t0",
             "t1",
             "t2",
@@ -317,9 +323,9 @@
         directory = self.directory(clock)
         directory.changed((make_entry(make_target("t2", state=TargetState.DRAINING)),))
 
-        directory.told("t2", HeldModels({"m7": frozenset()}), ())
+        directory.record_report("t2", HeldModels({"m7": frozenset()}), ())
 
-        assert "t2" not in incarnations(directory.ready("engine"))
+        assert "t2" not in incarnations(directory.ready_targets("engine"))
 
 
 class TestRestored:
@@ -331,11 +337,11 @@
 
         directory.restored()
         directory.listed((make_entry(make_target("t1")),))
-        assert incarnations(directory.ready("engine")) == ["t1", "t2"]
+        assert incarnations(directory.ready_targets("engine")) == ["t1", "t2"]
 
         clock.advance(seconds(2))
-        directory.settle()
-        assert incarnations(directory.ready("engine")) == ["t1"]
+        directory.remove_expired()
+        assert incarnations(directory.ready_targets("engine")) == ["t1"]
 
     def test_draining_target_stays_draining(self, clock):
         directory = make_directory(clock, make_target("t1"))
@@ -344,7 +350,7 @@
         directory.restored()
         directory.listed((make_entry(make_target("t1")),))
 
-        assert directory.ready("engine") == ()
+        assert directory.ready_targets("engine") == ()
 
     @pytest.mark.parametrize("writes_again", [True, False])
     def test_removed_target_returns_only_if_it_writes_again(self, clock, writes_again):
@@ -354,10 +360,10 @@
 
         directory.restored()
         directory.listed((make_entry(make_target("t1")), make_entry(make_target("t2"))))
-        assert incarnations(directory.ready("engine")) == ["t2"]
+        assert incarnations(directory.ready_targets("engine")) == ["t2"]
 
         changed = make_entry(make_target("t1")) if writes_again else Entry("t1", None)
         directory.changed((changed,))
         clock.advance(seconds(10))
-        directory.settle()
-        assert ("t1" in incarnations(directory.ready("engine"))) is writes_again
+        directory.remove_expired()
+        assert ("t1" in incarnations(directory.ready_targets("engine"))) is writes_again
--- a/packages/runhatch-server/tests/test_dispatch.py
+++ b/packages/runhatch-server/tests/test_dispatch.py
@@ -10,7 +10,7 @@
 from runhatch_coordination import SystemClock
 from runhatch_server.refusals import Reason, Refusal
 from runhatch_server.serving import Dispatcher, Grant, Hosting, Picture
-from runhatch_server.targets import AttemptReason, NotSent, RefusedUnrun
+from runhatch_server.targets import AttemptReason, NotSent, RefusedNotRun
 
 
 @pytest.fixture
@@ -139,7 +139,7 @@
     def test_refusal_for_load_decreases_the_limit(self, dispatcher):
         """A target that refuses for load gets fewer requests."""
         grants = acquire_slots(dispatcher)
-        busy = RefusedUnrun(AttemptReason.TARGET_BUSY)
+        busy = RefusedNotRun(AttemptReason.TARGET_BUSY)
         dispatcher.failed(grants[0], busy)
         assert dispatcher.loads()["w0"] == (3, 2)
 
@@ -169,7 +169,7 @@
     """Targets that refuse a request with a Retry-After."""
 
     def back_off(self, dispatcher, grant, backoff_seconds):
-        busy = RefusedUnrun(
+        busy = RefusedNotRun(
             AttemptReason.TARGET_BUSY, timedelta(seconds=backoff_seconds)
         )
         dispatcher.failed(grant, busy)
--- a/packages/runhatch-server/tests/test_gateway_peers.py
+++ b/packages/runhatch-server/tests/test_gateway_peers.py
@@ -5,7 +5,7 @@
 import pytest
 from gateway_cases import (
     FakeTargets,
-    ignore,
+    do_nothing,
     make_balancer,
     make_directory,
     make_request,
@@ -14,11 +14,11 @@
 )
 
 from runhatch_coordination import LeaseRecord, Membership, Standing, Vm
-from runhatch_server.crashes import CrashWatch
+from runhatch_server.crashes import CrashDetector
 from runhatch_server.fleet import HeldModels
 from runhatch_server.gateway._demand import DemandCounter
-from runhatch_server.gateway._known_orderer import NO_RENEWAL, ORDERER_SILENT
-from runhatch_server.gateway._peers import DEMAND_KEPT, GatewayPeers
+from runhatch_server.gateway._known_orderer import ORDERER_TIMEOUT, UNKNOWN_RENEWAL
+from runhatch_server.gateway._peers import DEMAND_RETENTION, GatewayPeers
 from runhatch_server.gateway._tables import GatewayTables
 from runhatch_server.observability import Metrics
 from runhatch_server.peers import (
@@ -56,7 +56,7 @@
         self.held = address
 
 
-def make_peers(clock, *targets, on_orderer=ignore):
+def make_peers(clock, *targets, on_orderer=do_nothing):
     directory = make_directory(clock, *targets)
     balancer = make_balancer(directory, clock)
     links = RecordingLinks()
@@ -78,11 +78,11 @@
         balancer.loads,
         balancer.limits,
         directory,
-        ignore,
+        do_nothing,
         on_orderer,
-        ignore,
+        do_nothing,
         tables,
-        CrashWatch(clock, FakeTargets(), Metrics(), ignore),
+        CrashDetector(clock, FakeTargets(), Metrics(), do_nothing),
     )
     peers.attach(links)
     return peers, links
@@ -90,7 +90,7 @@
 
 def make_demand(clock):
     demand = DemandCounter()
-    demand.miss(make_request(clock))
+    demand.count_miss(make_request(clock))
     return demand
 
 
@@ -101,11 +101,11 @@
         peers, links = make_peers(clock)
         demand = make_demand(clock)
 
-        peers.tell_demand(demand)
+        peers.send_demand(demand)
         assert links.sent == []
 
-        peers.learn_orderer(LeaseRecord("b", 3, 0, PEER.address))
-        peers.tell_demand(demand)
+        peers.record_lease(LeaseRecord("b", 3, 0, PEER.address))
+        peers.send_demand(demand)
         (message,) = links.sent
         assert message[0] == PEER.address
         assert isinstance(message[1], ModelDemand)
@@ -114,28 +114,28 @@
     def test_demand_without_orderer_expires(self, clock):
         peers, links = make_peers(clock)
         demand = make_demand(clock)
-        clock.advance(DEMAND_KEPT)
-        peers.tell_demand(demand)
+        clock.advance(DEMAND_RETENTION)
+        peers.send_demand(demand)
 
-        peers.learn_orderer(LeaseRecord("b", 3, 0, PEER.address))
-        peers.tell_demand(demand)
+        peers.record_lease(LeaseRecord("b", 3, 0, PEER.address))
+        peers.send_demand(demand)
 
         assert links.sent == []
 
     def test_new_orderer_gets_recent_demand(self, clock):
         """Without it, a new orderer takes models in constant use for idle ones."""
         peers, links = make_peers(clock)
-        peers.learn_orderer(LeaseRecord("c", 2, 0, "10.0.0.9:1"))
+        peers.record_lease(LeaseRecord("c", 2, 0, "10.0.0.9:1"))
         demand = DemandCounter()
         for _ in range(3):
-            demand.note(make_request(clock), 20.0)
-            peers.tell_demand(demand)
+            demand.count_request(make_request(clock), 20.0)
+            peers.send_demand(demand)
             clock.advance(seconds(1))
         links.sent.clear()
 
-        peers.learn_orderer(LeaseRecord("b", 3, 0, PEER.address))
-        peers.tell_demand(demand)
-        peers.tell_demand(demand)
+        peers.record_lease(LeaseRecord("b", 3, 0, PEER.address))
+        peers.send_demand(demand)
+        peers.send_demand(demand)
 
         ((address, fact),) = links.sent
         assert address == PEER.address
@@ -149,15 +149,15 @@
     def test_new_orderer_gets_time_missed_of_models(self, clock, model, missed_for):
         """Without it, each change of orderer delays the load of a missed model."""
         peers, links = make_peers(clock, make_target("t1", models=["m0"]))
-        peers.learn_orderer(LeaseRecord("c", 2, 0, "10.0.0.9:1"))
+        peers.record_lease(LeaseRecord("c", 2, 0, "10.0.0.9:1"))
         demand = DemandCounter()
-        demand.miss(make_request(clock, model=model))
-        peers.tell_demand(demand)
+        demand.count_miss(make_request(clock, model=model))
+        peers.send_demand(demand)
         clock.advance(seconds(10))
         links.sent.clear()
 
-        peers.learn_orderer(LeaseRecord("b", 3, 0, PEER.address))
-        peers.tell_demand(demand)
+        peers.record_lease(LeaseRecord("b", 3, 0, PEER.address))
+        peers.send_demand(demand)
 
         sent = [each for _, fact in links.sent for each in fact.demand]
         assert [each.missed_for_ms for each in sent] == missed_for
@@ -176,9 +176,9 @@
         notice = OrdererNotice(3, 1)
         peers.receive(Envelope(VERSION, PEER, True, [notice]))
 
-        peers.learn_orderer(record)
+        peers.record_lease(record)
 
-        peers.tell_demand(make_demand(clock))
+        peers.send_demand(make_demand(clock))
         assert [address for address, _ in links.sent] == [PEER.address]
 
     @pytest.mark.parametrize(
@@ -198,19 +198,19 @@
         peers, _ = make_peers(
             clock, on_orderer=lambda *arguments: reports.append(arguments)
         )
-        peers.tell_renewal(2, 7)
+        peers.publish_renewal(2, 7)
 
         report(peers, fact)
 
-        assert (3, NO_RENEWAL) in reports
+        assert (3, UNKNOWN_RENEWAL) in reports
 
     def test_resignation_of_earlier_orderer_is_ignored(self, clock):
         peers, _ = make_peers(clock)
         peers.receive(Envelope(VERSION, PEER, True, [OrdererNotice(3, 1)]))
 
-        peers.tell_resigned(Resignation(2))
+        peers.publish_resignation(Resignation(2))
 
-        assert peers.orderer_is_heard()
+        assert peers.has_active_orderer()
 
 
 class TestHoldingsForUnlinkedNodes:
@@ -230,7 +230,7 @@
     def test_node_is_sent_holders_at_once(self, clock):
         """Otherwise the node would refuse requests for an adapter that is loaded."""
         peers, links = make_peers(clock, make_target("t1", adapters=["a1"]))
-        peers.tell_renewal(3, 1)
+        peers.publish_renewal(3, 1)
         self.receive_miss(peers)
         (fact,) = self.sent_directly(links)
         assert fact.epoch == 3
@@ -239,10 +239,10 @@
     @pytest.mark.parametrize(("later", "times"), [(0.1, 1), (2.5, 0)])
     def test_node_is_sent_changes_for_a_while(self, clock, later, times):
         peers, links = make_peers(clock, make_target("t1"))
-        peers.tell_renewal(3, 1)
+        peers.publish_renewal(3, 1)
         self.receive_miss(peers)
         clock.advance(seconds(later))
-        peers.tell_holdings(3, [self.holding()])
+        peers.publish_holdings(3, [self.holding()])
         assert len(self.sent_directly(links)) == times
 
     def test_only_orderer_sends_holders(self, clock):
@@ -253,7 +253,7 @@
 
     def test_linked_node_is_not_sent_holders_separately(self, clock):
         peers, links = make_peers(clock, make_target("t1", adapters=["a1"]))
-        peers.tell_renewal(3, 1)
+        peers.publish_renewal(3, 1)
         peers.receive(Envelope(VERSION, PEER, False, []))
         peers.keep_links()
         self.receive_miss(peers)
@@ -267,7 +267,7 @@
         peers, links = make_peers(clock)
 
         for renewal in (4, 4, 5):
-            peers.tell_renewal(3, renewal)
+            peers.publish_renewal(3, renewal)
 
         assert links.sent == [
             ("all", OrdererNotice(3, 4, OWN.address)),
@@ -277,12 +277,12 @@
     def test_repeated_notice_is_not_a_renewal(self, clock):
         peers, _ = make_peers(clock)
         peers.receive(Envelope(VERSION, PEER, True, [OrdererNotice(3, 1)]))
-        assert peers.orderer_is_heard()
+        assert peers.has_active_orderer()
 
-        clock.advance(ORDERER_SILENT)
+        clock.advance(ORDERER_TIMEOUT)
         peers.receive(Envelope(VERSION, PEER, True, [OrdererNotice(3, 1)]))
 
-        assert not peers.orderer_is_heard()
+        assert not peers.has_active_orderer()
 
 
 class TestNewMembers:
@@ -318,4 +318,4 @@
             fact for _, fact in links.sent if isinstance(fact, DrainingTargets)
         ]
         assert forwarded == [DrainingTargets(("t1",))]
-        assert not peers._directory.ready("engine")
+        assert not peers._directory.ready_targets("engine")
--- a/packages/runhatch-server/tests/test_gateway_run.py
+++ b/packages/runhatch-server/tests/test_gateway_run.py
@@ -10,15 +10,15 @@
     make_request,
     make_route,
     make_target,
-    never_gone,
+    never_disconnected,
     seconds,
 )
 
-from runhatch_server.crashes import CrashWatch
-from runhatch_server.decisions import Tried
+from runhatch_server.crashes import CrashDetector
+from runhatch_server.decisions import TriedTargets
 from runhatch_server.gateway import RetryBounds
-from runhatch_server.gateway._answers import WholeAnswer
-from runhatch_server.gateway._budget import WindowBudget
+from runhatch_server.gateway._answers import CompleteAnswer
+from runhatch_server.gateway._budget import WindowedRetryBudget
 from runhatch_server.gateway._forward import OpenedAnswer
 from runhatch_server.gateway._messages import AnswerHead
 from runhatch_server.gateway._records import RequestRecorder
@@ -29,14 +29,14 @@
 from runhatch_server.targets import (
     AttemptReason,
     NotSent,
-    RefusedUnrun,
+    RefusedNotRun,
     UnknownResult,
 )
 
 UNREACHED = NotSent(AttemptReason.CONNECT_FAILED)
-BUSY = RefusedUnrun(AttemptReason.TARGET_BUSY)
-BACKING_OFF = RefusedUnrun(AttemptReason.TARGET_BUSY, retry_after=seconds(3))
-DRAINING = RefusedUnrun(AttemptReason.TARGET_BUSY, leaving=True)
+BUSY = RefusedNotRun(AttemptReason.TARGET_BUSY)
+BACKING_OFF = RefusedNotRun(AttemptReason.TARGET_BUSY, retry_after=seconds(3))
+DRAINING = RefusedNotRun(AttemptReason.TARGET_BUSY, draining=True)
 BROKEN = UnknownResult(AttemptReason.BROKEN)
 TIMED_OUT = UnknownResult(AttemptReason.TIMED_OUT)
 CALLER_GONE = UnknownResult(AttemptReason.CALLER_GONE)
@@ -86,15 +86,15 @@
     balancer = make_balancer(directory, clock)
     forwarder = ScriptedForwarder(results)
     metrics = Metrics()
-    crashes = CrashWatch(clock, FakeTargets(), metrics, lambda: None)
+    crashes = CrashDetector(clock, FakeTargets(), metrics, lambda: None)
     recorder = RequestRecorder(metrics, clock)
     parts = RunParts(balancer, forwarder, recorder, crashes, clock)
     request = make_request(
         clock, make_route(kind, max_attempts=2, **route), "plain", ""
     )
     bounds = RetryBounds(0.0, reserve, seconds(10))
-    budget = WindowBudget(bounds, clock)
-    outcome = RequestRun(parts, request, budget, never_gone).answer()
+    budget = WindowedRetryBudget(bounds, clock)
+    outcome = RequestRun(parts, request, budget, never_disconnected).answer()
     return outcome, forwarder, balancer
 
 
@@ -123,7 +123,7 @@
     def test_request_is_answered(self, clock, kind, results, sent, status):
         outcome, forwarder, _ = run(clock, kind, results)
 
-        assert isinstance(outcome, WholeAnswer)
+        assert isinstance(outcome, CompleteAnswer)
         assert outcome.status == status
         assert len(forwarder.targets) == sent
         assert len(set(forwarder.targets)) == sent
@@ -207,7 +207,9 @@
             clock, NON_IDEMPOTENT, [OpenedAnswer(FakeConnection(b""), head)], count=1
         )
         refusal = balancer.acquire(
-            make_request(clock, service="plain", model=""), Tried(), never_gone
+            make_request(clock, service="plain", model=""),
+            TriedTargets(),
+            never_disconnected,
         )
 
         assert refusal.reason is Reason.NO_TARGET
--- a/packages/runhatch-server/tests/test_known_orderer.py
+++ b/packages/runhatch-server/tests/test_known_orderer.py
@@ -3,7 +3,7 @@
 import pytest
 from gateway_cases import seconds
 
-from runhatch_server.gateway._known_orderer import ORDERER_SILENT, KnownOrderer
+from runhatch_server.gateway._known_orderer import ORDERER_TIMEOUT, KnownOrderer
 from runhatch_server.observability import Metrics
 
 
@@ -11,7 +11,7 @@
 def known(clock):
     """Return a record of a holder with epoch 5."""
     known = KnownOrderer(clock, Metrics())
-    known.learn("10.0.0.2:1", 5)
+    known.record_holder("10.0.0.2:1", 5)
     return known
 
 
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize(
-    ("elapsed", "expected_heard"), [(seconds(0), True), (ORDERER_SILENT, False)]
+    ("elapsed", "expected_heard"), [(seconds(0), True), (ORDERER_TIMEOUT, False)]
 )
 def test_holder_counts_as_heard_until_renewals_stop(
     known, clock, elapsed, expected_heard
--- a/packages/runhatch-server/tests/test_late_permits.py
+++ b/packages/runhatch-server/tests/test_late_permits.py
@@ -25,20 +25,20 @@
     def test_permits_are_counted_by_outcome(self, clock):
         metrics = Metrics()
         limits = RateLimits(clock, metrics)
-        limits.heard("t1", 10.0, clock.elapsed())
-        limits.ask("t1", 1)
+        limits.apply_answer("t1", 10.0, clock.elapsed())
+        limits.request_permit("t1", 1)
         for _ in range(3):
-            limits.granted("t1")
-        limits.settle(["t1"])
-        limits.granted("t1")
-        assert limits.take("t1", asked=True)
-        assert limits.take("t1", asked=True)
-        limits.give_back("t1")
-        limits.denied("t1", 1, timedelta())
-        limits.unanswered("t1", 1)
+            limits.record_granted("t1")
+        limits.stop_waiting(["t1"])
+        limits.record_granted("t1")
+        assert limits.use_permit("t1", has_requested=True)
+        assert limits.use_permit("t1", has_requested=True)
+        limits.return_permit("t1")
+        limits.record_denied("t1", 1, timedelta())
+        limits.record_unanswered("t1", 1)
         clock.advance(seconds(5))
-        limits.forget(lambda target: True)
-        limits.forget(lambda target: True)
+        limits.remove_expired(lambda target: True)
+        limits.remove_expired(lambda target: True)
 
         (counted,) = metrics.permits.collect()
         assert {
@@ -81,7 +81,7 @@
             clock, random.Random(seed), 6, targets, message, thread
         )
         for target in targets:
-            cluster.nodes["n0"].limits.heard(target, rate, clock.elapsed())
+            cluster.nodes["n0"].limits.apply_answer(target, rate, clock.elapsed())
         cluster.play(DEMAND * rate * len(targets), seconds(3))
         since = clock.elapsed()
         duration = seconds(max(24, 30 / rate))
--- a/packages/runhatch-server/tests/test_load_exchange.py
+++ b/packages/runhatch-server/tests/test_load_exchange.py
@@ -11,18 +11,18 @@
     make_directory,
     make_request,
     make_target,
-    never_gone,
+    never_disconnected,
     seconds,
 )
 
 from runhatch_coordination import Membership, Standing, Vm, choose_readers, role_of
 from runhatch_coordination._peers import FULL_MESH, Role
-from runhatch_server.decisions import LoadShare, Tried
+from runhatch_server.decisions import LoadShare, TriedTargets
 from runhatch_server.gateway._load_exchange import (
-    SUM_EVERY,
-    SUMS_SILENT,
+    FIRST_READER_TIMEOUT,
+    SUM_INTERVAL,
+    LoadChanges,
     LoadExchange,
-    LoadNews,
 )
 from runhatch_server.peers import Member
 
@@ -99,14 +99,14 @@
         """Start ``number`` streams at the only target."""
         for _ in range(number):
             request = make_request(self.cluster.clock)
-            grant = self.balancer.acquire(request, Tried(), never_gone)
-            self.balancer.started(grant)
+            grant = self.balancer.acquire(request, TriedTargets(), never_disconnected)
+            self.balancer.record_first_byte(grant)
             self.grants.append(grant)
 
     def end(self):
         """End all streams of this node."""
         while self.grants:
-            self.balancer.released(self.grants.pop(), faulty=False)
+            self.balancer.release(self.grants.pop(), target_failed=False)
 
     def running(self):
         """Return the streams of all nodes at the target, as known to this node."""
@@ -129,7 +129,7 @@
         )
         for fact in facts:
             if not node.frozen:
-                node.loads.take_in(fact, member)
+                node.loads.handle_message(fact, member)
 
     def advance(self, time):
         for _ in range(round(time / TICK)):
@@ -138,9 +138,9 @@
                 if node.frozen:
                     continue
                 node.loads.choose_links(self.vms)
-                node.loads.tell_own()
-                if self.clock.elapsed() % SUM_EVERY < TICK:
-                    node.loads.tell_sums()
+                node.loads.send_own()
+                if self.clock.elapsed() % SUM_INTERVAL < TICK:
+                    node.loads.send_sums()
 
 
 @pytest.mark.parametrize("number", [6, 30, 90])
@@ -192,7 +192,7 @@
     active = [node for node in nodes if not node.frozen]
     active[3].begin(4)
 
-    cluster.advance(SUMS_SILENT + EXCHANGE_TIME)
+    cluster.advance(FIRST_READER_TIMEOUT + EXCHANGE_TIME)
 
     assert {node.running() for node in active} == {4}
 
@@ -205,7 +205,7 @@
 
     cluster.advance(seconds(2))
 
-    assert cluster.broadcasts - previous <= 3 * seconds(2) / SUM_EVERY
+    assert cluster.broadcasts - previous <= 3 * seconds(2) / SUM_INTERVAL
 
 
 def test_small_cluster_exchanges_loads_directly(clock):
@@ -222,20 +222,26 @@
     """Selection of the changed shares to send."""
 
     def test_changes_are_sent_and_all_shares_periodically(self):
-        news, one, two = LoadNews(), LoadShare(running=1), LoadShare(running=2)
-        assert news.take({"t": one}, seconds(0)) == ({"t": one}, True)
-        assert news.take({"t": one}, seconds(0.1)) is None
-        assert news.take({"t": one, "u": two}, seconds(0.2)) == ({"u": two}, False)
-        assert news.take({"u": two}, seconds(0.3)) == ({"t": LoadShare()}, False)
-        assert news.take({"u": two}, seconds(1.1)) == ({"u": two}, True)
+        news, one, two = LoadChanges(), LoadShare(running=1), LoadShare(running=2)
+        assert news.take_changes({"t": one}, seconds(0)) == ({"t": one}, True)
+        assert news.take_changes({"t": one}, seconds(0.1)) is None
+        assert news.take_changes({"t": one, "u": two}, seconds(0.2)) == (
+            {"u": two},
+            False,
+        )
+        assert news.take_changes({"u": two}, seconds(0.3)) == (
+            {"t": LoadShare()},
+            False,
+        )
+        assert news.take_changes({"u": two}, seconds(1.1)) == ({"u": two}, True)
 
     def test_small_changes_are_sent_once_they_add_up(self):
-        news = LoadNews(lambda share: share.running // 2)
-        news.take({"t": LoadShare(running=2)}, seconds(0))
+        news = LoadChanges(lambda share: share.running // 2)
+        news.take_changes({"t": LoadShare(running=2)}, seconds(0))
 
-        assert news.take({"t": LoadShare(running=3)}, seconds(0.1)) is None
+        assert news.take_changes({"t": LoadShare(running=3)}, seconds(0.1)) is None
         four = LoadShare(running=4)
-        assert news.take({"t": four}, seconds(0.2)) == ({"t": four}, False)
+        assert news.take_changes({"t": four}, seconds(0.2)) == ({"t": four}, False)
 
 
 def test_load_shares_are_added_and_subtracted():
--- a/packages/runhatch-server/tests/test_orderer.py
+++ b/packages/runhatch-server/tests/test_orderer.py
@@ -6,8 +6,8 @@
 
 from runhatch_coordination import Entry
 from runhatch_coordination.testing import FaultyTable, MemoryTable, TableFault
-from runhatch_server.residency._handover import ORDER_ARRIVES
-from runhatch_server.residency._orderer import RESIGN_BEFORE
+from runhatch_server.residency._handover import MAX_ORDER_DELAY
+from runhatch_server.residency._orderer import RESIGN_MARGIN
 
 
 @pytest.fixture
@@ -31,7 +31,7 @@
 def acquire_after_resignation(clock, table, resignation):
     """Return a node that acquired the lease after ``resignation`` and ran rounds."""
     case = OrdererCase(clock, table, "n1")
-    case.orderer.take_in_resignation(resignation)
+    case.orderer.record_resignation(resignation)
     case.orderer.keep_lease(eager=True)
     assert case.orderer.holds_lease() is not None
     case.request_model("m1")
@@ -84,7 +84,7 @@
         case.orderer.keep_lease(eager=True)
         case.run_round()
 
-        case.orderer.take_in_resignation(resignation)
+        case.orderer.record_resignation(resignation)
 
         case.request_model("m1")
         for _ in range(3):
@@ -125,7 +125,7 @@
         resignation = first.orderer.stop()
         first.orderer.release()
         case = OrdererCase(clock, table, "n1", born=200)
-        case.orderer.take_in_resignation(resignation)
+        case.orderer.record_resignation(resignation)
         case.orderer.keep_lease(eager=True)
         case.request_model("m1")
         for _ in range(3):
@@ -136,10 +136,10 @@
     def test_holder_without_store_resigns_before_lease_lapses(self, clock, table):
         first = self.make_holder(clock, table)
         table.inject(TableFault.DOWN)
-        clock.advance(TTL - RESIGN_BEFORE)
+        clock.advance(TTL - RESIGN_MARGIN)
         first.orderer.keep_lease(eager=True)
 
-        resignation = first.orderer.resign_if_cut_off()
+        resignation = first.orderer.resign_if_lapsing()
 
         assert first.orderer.holds_lease() is None
         assert resignation.epoch == 1
@@ -157,11 +157,11 @@
             first.run_round()
         assert targets.sent.acquire(timeout=ANSWER_WAIT)
         table.inject(TableFault.DOWN)
-        clock.advance(TTL - RESIGN_BEFORE)
-        resignation = first.orderer.resign_if_cut_off()
+        clock.advance(TTL - RESIGN_MARGIN)
+        resignation = first.orderer.resign_if_lapsing()
         table.inject(TableFault.NONE)
         case = acquire_after_resignation(clock, table, resignation)
-        clock.advance(ORDER_ARRIVES)
+        clock.advance(MAX_ORDER_DELAY)
         targets.arrives.set()
 
         for _ in range(5):
@@ -173,7 +173,7 @@
         assert case.targets.orders == []
 
     @pytest.mark.parametrize(
-        ("left", "sent"), [(ORDER_ARRIVES, 0), (ORDER_ARRIVES * 1.1, 1)]
+        ("left", "sent"), [(MAX_ORDER_DELAY, 0), (MAX_ORDER_DELAY * 1.1, 1)]
     )
     def test_sends_no_order_that_may_arrive_after_lease_ends(
         self, clock, table, left, sent
@@ -189,10 +189,10 @@
 
     def test_holder_that_renews_does_not_resign(self, clock, table):
         first = self.make_holder(clock, table)
-        clock.advance(TTL - RESIGN_BEFORE)
+        clock.advance(TTL - RESIGN_MARGIN)
         first.orderer.keep_lease(eager=True)
 
-        assert first.orderer.resign_if_cut_off() is None
+        assert first.orderer.resign_if_lapsing() is None
         assert first.orderer.holds_lease() is not None
 
 
@@ -249,7 +249,7 @@
         assert [order.model for order in case.targets.orders] == ["m2"]
         reports = case.targets.reports
 
-        restarted = make_target("t1", models=(), born=200)
+        restarted = make_target("t1", models=(), started_at_seconds=200)
         case.directory.changed((Entry("t1", restarted),))
         case.request_model("m1")
         for _ in range(3):
@@ -271,7 +271,7 @@
         memory.copy()
         last = OrdererCase(clock, FaultyTable(memory), "n2")
         successor = OrdererCase(clock, FaultyTable(memory), "n1")
-        successor.orderer.take_in_resignation(first.orderer.stop())
+        successor.orderer.record_resignation(first.orderer.stop())
         first.orderer.release()
         last.orderer.keep_lease(eager=True)
         assert last.orderer.holds_lease() is not None
--- a/packages/runhatch-server/tests/test_orders_at_size.py
+++ b/packages/runhatch-server/tests/test_orders_at_size.py
@@ -18,15 +18,15 @@
 from runhatch_server.fleet import HeldModels, StoredCopies
 from runhatch_server.residency import (
     DemandBook,
+    DemandKey,
     DemandShare,
     FleetView,
     TargetControl,
     TargetReport,
-    Wanted,
     plan_adapters,
     plan_models,
 )
-from runhatch_server.residency._orderer import MOST_REST, REST_FACTOR
+from runhatch_server.residency._orderer import MAX_ROUND_PAUSE, ROUND_PAUSE_FACTOR
 from runhatch_server.routing import EngineModel, EngineSpec, LoadTimes
 
 TARGETS, MODELS, ADAPTERS = 70, 305, 2
@@ -98,7 +98,7 @@
             clock.advance(seconds(1))
 
             assert ends_during_round(lambda: case.orderer.keep_lease(eager=True))
-            assert ends_during_round(case.orderer.resign_if_cut_off)
+            assert ends_during_round(case.orderer.resign_if_lapsing)
             assert case.orderer.holds_lease() is not None
 
     def test_demand_is_queued(self, clock):
@@ -116,7 +116,7 @@
         resignation = other.orderer.stop()
 
         with LongRound(clock) as case:
-            apply_resignation = case.orderer.take_in_resignation
+            apply_resignation = case.orderer.record_resignation
             assert ends_during_round(lambda: apply_resignation(resignation))
 
 
@@ -125,7 +125,11 @@
 
     @pytest.mark.parametrize(
         ("duration", "pause"),
-        [(0.0, 0.0), (0.02, 0.02 * REST_FACTOR), (3.0, MOST_REST.total_seconds())],
+        [
+            (0.0, 0.0),
+            (0.02, 0.02 * ROUND_PAUSE_FACTOR),
+            (3.0, MAX_ROUND_PAUSE.total_seconds()),
+        ],
     )
     def test_is_proportional_to_round_up_to_maximum(self, clock, duration, pause):
         case = OrdererCase(clock, MemoryTable())
@@ -134,7 +138,7 @@
 
         case.run_round()
 
-        assert case.orderer.rest == seconds(pause)
+        assert case.orderer.round_pause == seconds(pause)
 
 
 class CountingBook(DemandBook):
@@ -146,11 +150,11 @@
 
     def model(self, service, model, now):
         self.lookups += 1
-        return super().model(service, model, now)
+        return super().model_demand(service, model, now)
 
     def adapter(self, service, model, adapter, now):
         self.lookups += 1
-        return super().adapter(service, model, adapter, now)
+        return super().adapter_demand(service, model, adapter, now)
 
 
 @pytest.fixture(scope="module")
@@ -164,15 +168,15 @@
         control = TargetControl(make_target(f"t{index}", models=copies[:HELD_EACH]))
         stored = StoredCopies(on_disk=frozenset(copies))
         report = TargetReport(0, held, False, frozenset(), stored, 0, 0)
-        control.reported(report, seconds(0))
+        control.apply_report(report, seconds(0))
         controls.append(control)
     held = {name for control in controls for name in control.held}
     book = CountingBook()
     for index in range(MODELS):
         name, adapter = f"m{index}", f"a{1 + index % ADAPTERS}"
-        wanted = Wanted("engine", name, adapter, index % 3)
+        wanted = DemandKey("engine", name, adapter, index % 3)
         missed = 2 if name not in held and index % 2 else 0
-        book.add("n1", DemandShare(wanted, 2, missed, 150.0), NOW)
+        book.add_requests("n1", DemandShare(wanted, 2, missed, 150.0), NOW)
     return controls, book
 
 
@@ -187,5 +191,5 @@
         plan_adapters(view)
         plan = plan_models(view)
 
-        assert len(plan.loads) + len(plan.left) > MODELS / 8
+        assert len(plan.loads) + len(plan.deferred) > MODELS / 8
         assert book.lookups <= MODELS * 2
--- a/packages/runhatch-server/tests/test_places.py
+++ b/packages/runhatch-server/tests/test_places.py
@@ -7,16 +7,16 @@
 
 from runhatch_server.fleet import HeldModels, StoredCopies
 from runhatch_server.residency import (
+    ControlState,
     DemandBook,
+    DemandKey,
     DemandShare,
     FleetView,
-    Step,
     TargetControl,
     TargetReport,
-    Wanted,
 )
 from runhatch_server.residency._needs import find_needs
-from runhatch_server.residency._places import Draft, Place
+from runhatch_server.residency._places import PlacementDraft, PlacementOption
 from runhatch_server.routing import EngineModel, EngineSpec, LoadTimes
 
 NOW = seconds(100)
@@ -52,11 +52,11 @@
         control = TargetControl(make_target(f"t{index}", models=copies[:2]))
         stored = StoredCopies(on_disk=frozenset(copies))
         report = TargetReport(0, held, False, frozenset(), stored, 0, 0)
-        control.reported(report, seconds(0))
+        control.apply_report(report, seconds(0))
         if self.rng.random() < 0.3:
-            control.step = Step.LOADING
-            control.loading = self.rng.choice(names)
-            control.ready_at = NOW + seconds(self.rng.uniform(0, 9))
+            control.state = ControlState.LOADING
+            control.loading_model = self.rng.choice(names)
+            control.load_ready_at = NOW + seconds(self.rng.uniform(0, 9))
         return control
 
     def _demand(self):
@@ -64,15 +64,15 @@
         for model in self.engine.models:
             priority = self.rng.randrange(3)
             adapter = self.rng.choice(("", "", "a1"))
-            wanted = Wanted("engine", model.name, adapter, priority, GOALS[priority])
+            wanted = DemandKey("engine", model.name, adapter, priority, GOALS[priority])
             missed = self.rng.choice((0, 0, 1, 4))
             missed_for = seconds(self.rng.choice((0, 0, 40)))
             for age in range(self.rng.randrange(6)):
                 share = DemandShare(wanted, 2, 0, 200.0, missed_for)
-                book.add("n1", share, NOW - seconds(5 - age))
+                book.add_requests("n1", share, NOW - seconds(5 - age))
             share = DemandShare(wanted, missed, missed, missed * 100.0, missed_for)
-            book.add("n1", share, NOW)
-            book.missed_before(share, NOW)
+            book.add_requests("n1", share, NOW)
+            book.record_missed_for(share, NOW)
         return book
 
 
@@ -98,14 +98,14 @@
 def test_best_place_equals_that_of_weighing_all(seed):
     fleet = Fleet(seed)
     needs = find_needs(fleet.view)
-    draft = Draft(fleet.view, needs)
+    draft = PlacementDraft(fleet.view, needs)
     placed = 0
     for need in needs:
-        best = draft.best_place(need)
+        best = draft.find_best_option(need)
         assert best == best_of_all_places(draft, need)
         if best is not None:
             placed += 1
-            draft.take(best)
+            draft.reserve(best)
     assert placed
 
 
@@ -113,15 +113,15 @@
     fleet = Fleet(1)
     weighed = []
     needs = find_needs(fleet.view)
-    draft = Draft(fleet.view, needs)
-    place = draft.place
+    draft = PlacementDraft(fleet.view, needs)
+    place = draft.evaluate_option
 
-    def count_and_place(candidate, need) -> Place | None:
+    def count_and_place(candidate, need) -> PlacementOption | None:
         weighed.append(candidate)
         return place(candidate, need)
 
-    draft.place = count_and_place
+    draft.evaluate_option = count_and_place
     for need in needs:
-        draft.best_place(need)
+        draft.find_best_option(need)
 
     assert len(weighed) < len(needs) * len(fleet.controls) / 2
--- a/packages/runhatch-server/tests/test_prefixes.py
+++ b/packages/runhatch-server/tests/test_prefixes.py
@@ -30,8 +30,8 @@
 
     @pytest.fixture
     def index(self):
-        index = PrefixIndex(known=6)
-        index.stored("w0", BLOCKS)
+        index = PrefixIndex(max_blocks=6)
+        index.record_blocks("w0", BLOCKS)
         return index
 
     def test_counts_matching_leading_blocks(self, index):
--- a/packages/runhatch-server/tests/test_rate_limits.py
+++ b/packages/runhatch-server/tests/test_rate_limits.py
@@ -9,10 +9,10 @@
 from runhatch_coordination import Standing
 from runhatch_server.decisions import (
     LimitedTarget,
-    LimitSeen,
+    ObservedLimit,
     PermitBucket,
-    most_permits,
-    share_of_rate,
+    bucket_capacity,
+    issued_rate_share,
 )
 from runhatch_server.gateway._grant import Grant
 from runhatch_server.gateway._rate_limits import RateLimits
@@ -77,13 +77,13 @@
     @pytest.mark.parametrize(
         ("known", "seen", "newer"),
         [
-            (None, LimitSeen(None, seconds(5)), False),
-            (None, LimitSeen(2.0, seconds(5)), True),
-            (LimitSeen(2.0, seconds(5)), LimitSeen(None, seconds(4.9)), False),
-            (LimitSeen(2.0, seconds(5)), LimitSeen(None, seconds(5.1)), True),
-            (LimitSeen(None, seconds(5)), LimitSeen(2.0, seconds(4.9)), False),
-            (LimitSeen(None, seconds(5)), LimitSeen(2.0, seconds(5.1)), True),
-            (LimitSeen(2.0, seconds(5)), LimitSeen(3.0, seconds(4.9)), False),
+            (None, ObservedLimit(None, seconds(5)), False),
+            (None, ObservedLimit(2.0, seconds(5)), True),
+            (ObservedLimit(2.0, seconds(5)), ObservedLimit(None, seconds(4.9)), False),
+            (ObservedLimit(2.0, seconds(5)), ObservedLimit(None, seconds(5.1)), True),
+            (ObservedLimit(None, seconds(5)), ObservedLimit(2.0, seconds(4.9)), False),
+            (ObservedLimit(None, seconds(5)), ObservedLimit(2.0, seconds(5.1)), True),
+            (ObservedLimit(2.0, seconds(5)), ObservedLimit(3.0, seconds(4.9)), False),
         ],
     )
     def test_newer_limit_supersedes_older(self, known, seen, newer):
@@ -93,21 +93,21 @@
         limits = RateLimits(clock, Metrics())
         sent_at = clock.elapsed()
         clock.advance(seconds(1))
-        limits.heard("t1", 2.0, sent_at)
-        limits.heard("t1", None, sent_at)
-        assert limits.known("t1").rate == 2.0
+        limits.apply_answer("t1", 2.0, sent_at)
+        limits.apply_answer("t1", None, sent_at)
+        assert limits.latest_limit("t1").rate == 2.0
 
         sent_at = clock.elapsed() + seconds(0.1)
         clock.advance(seconds(1))
-        limits.heard("t1", None, sent_at)
-        assert limits.known("t1").rate is None
+        limits.apply_answer("t1", None, sent_at)
+        assert limits.latest_limit("t1").rate is None
 
     def test_unreadable_limit_is_ignored(self, clock):
         limits = RateLimits(clock, Metrics())
-        limits.heard("t1", 2.0, clock.elapsed())
+        limits.apply_answer("t1", 2.0, clock.elapsed())
         clock.advance(seconds(1))
-        limits.heard("t1", UnreadableLimit("many"), clock.elapsed())
-        assert limits.known("t1").rate == 2.0
+        limits.apply_answer("t1", UnreadableLimit("many"), clock.elapsed())
+        assert limits.latest_limit("t1").rate == 2.0
 
 
 class TestPermitBucket:
@@ -117,21 +117,22 @@
     def test_burst_after_pause_is_bounded(self, rate):
         bucket = PermitBucket(rate, seconds(0))
         taken = sum(
-            bucket.ask(URGENT, rate, seconds(1000)) is None for _ in range(1000)
+            bucket.request_permit(URGENT, rate, seconds(1000)) is None
+            for _ in range(1000)
         )
-        assert taken <= most_permits(rate) <= 5 + rate
+        assert taken <= bucket_capacity(rate) <= 5 + rate
 
     def test_waits_increase_by_one_permit_interval(self):
         bucket = PermitBucket(2.0, seconds(0))
-        waits = [bucket.ask(URGENT, 2.0, seconds(0)) for _ in range(3)]
+        waits = [bucket.request_permit(URGENT, 2.0, seconds(0)) for _ in range(3)]
         assert waits == [seconds(0.5), seconds(1), seconds(1.5)]
 
     def test_urgent_request_gets_first_permit(self):
         bucket = PermitBucket(1.0, seconds(0))
         at = seconds(1.2)
-        assert bucket.ask(LATE, 1.0, at) is not None
-        assert bucket.ask(USUAL, 1.0, at) is not None
-        assert bucket.ask(URGENT, 1.0, at) is None
+        assert bucket.request_permit(LATE, 1.0, at) is not None
+        assert bucket.request_permit(USUAL, 1.0, at) is not None
+        assert bucket.request_permit(URGENT, 1.0, at) is None
 
     def test_two_allocators_for_one_second_stay_within_bound(self):
         """Nodes that disagree on which nodes are alive request from two allocators."""
@@ -144,7 +145,7 @@
             times += [
                 now
                 for allocator in allocators
-                if allocator.ask(URGENT, rate, now) is None
+                if allocator.request_permit(URGENT, rate, now) is None
             ]
         assert count_busiest_window(times) <= max_requests_in_window(rate)
 
@@ -152,8 +153,8 @@
     def test_permits_used_at_expiry_stay_within_bound(self, rate):
         """Worst case: a held burst is used just before it expires and sent late, while
         two allocators grant permits for one second."""
-        held = LimitedTarget(LimitSeen(rate, seconds(0)))
-        held.add(seconds(0))
+        held = LimitedTarget(ObservedLimit(rate, seconds(0)))
+        held.add_permit(seconds(0))
         sent_at = held.permits[0] + SENT_LATE
         first = PermitBucket(max(rate, TRIAL_RATE), seconds(-100))
         second = PermitBucket(max(rate, TRIAL_RATE), sent_at)
@@ -162,7 +163,7 @@
             now = seconds(step * 0.01)
             twice = sent_at <= now < sent_at + seconds(1)
             for allocator in (first, second) if twice else (first,):
-                while allocator.ask(URGENT, rate, now) is None:
+                while allocator.request_permit(URGENT, rate, now) is None:
                     times.append(max(now, sent_at))
         assert count_busiest_window(times) <= max_requests_in_window(rate)
 
@@ -171,7 +172,7 @@
         [(9, 0, 1.0), (5, 4, 1.0), (4, 5, 4 / 9), (3, 3, 0.5), (1, 8, 1 / 9)],
     )
     def test_rate_is_shared_between_network_partitions(self, alive, lost, share):
-        assert share_of_rate(alive, lost) == share
+        assert issued_rate_share(alive, lost) == share
 
 
 class TestOverload:
@@ -182,7 +183,9 @@
     def test_limit_is_respected_and_used(self, clock, count, rate):
         cluster = Cluster(clock, count)
         rng = random.Random(count)
-        next(iter(cluster.nodes.values())).limits.heard("t1", rate, clock.elapsed())
+        next(iter(cluster.nodes.values())).limits.apply_answer(
+            "t1", rate, clock.elapsed()
+        )
         cluster.messages = 0
         duration = seconds(max(20, 20 / rate))
 
@@ -196,7 +199,7 @@
         cluster = Cluster(clock, 9)
         rate = 4.0
         nodes = list(cluster.nodes.values())
-        nodes[0].limits.heard("t1", rate, clock.elapsed())
+        nodes[0].limits.apply_answer("t1", rate, clock.elapsed())
         for side in (nodes[:3], nodes[3:]):
             others = [node.vm for node in nodes if node not in side]
             for node in side:
@@ -208,7 +211,9 @@
 
     def test_urgent_requests_get_most_permits(self, clock):
         cluster = Cluster(clock, 9)
-        next(iter(cluster.nodes.values())).limits.heard("t1", 2.0, clock.elapsed())
+        next(iter(cluster.nodes.values())).limits.apply_answer(
+            "t1", 2.0, clock.elapsed()
+        )
         rng, sent = random.Random(1), {0: 0, 1: 0}
         for _ in range(400):
             priority = rng.choice([0, 1])
@@ -221,21 +226,21 @@
 
     def test_limit_is_published_to_all_nodes(self, clock):
         cluster = Cluster(clock, 9)
-        cluster.nodes["n0"].limits.heard("t1", 1.0, clock.elapsed())
-        assert {node.limits.known("t1").rate for node in cluster.nodes.values()} == {
-            1.0
-        }
+        cluster.nodes["n0"].limits.apply_answer("t1", 1.0, clock.elapsed())
+        assert {
+            node.limits.latest_limit("t1").rate for node in cluster.nodes.values()
+        } == {1.0}
 
         clock.advance(seconds(1))
-        cluster.nodes["n5"].limits.heard("t1", None, clock.elapsed())
-        assert {node.limits.known("t1").rate for node in cluster.nodes.values()} == {
-            None
-        }
+        cluster.nodes["n5"].limits.apply_answer("t1", None, clock.elapsed())
+        assert {
+            node.limits.latest_limit("t1").rate for node in cluster.nodes.values()
+        } == {None}
 
     def test_limits_are_part_of_state_for_new_node(self, clock):
         cluster = Cluster(clock, 3)
-        cluster.nodes["n0"].limits.heard("t1", 1.0, clock.elapsed())
-        (fact,) = cluster.nodes["n1"].exchange.state()
+        cluster.nodes["n0"].limits.apply_answer("t1", 1.0, clock.elapsed())
+        (fact,) = cluster.nodes["n1"].exchange.limit_facts()
         assert [(limit.target, limit.rate) for limit in fact.limits] == [("t1", 1.0)]
 
     def test_allocator_learns_limit_from_permit_request(self, clock):
@@ -243,22 +248,22 @@
         allocator = cluster.allocator()
         allocator.silent = True
         other = next(n for n in cluster.nodes.values() if n is not allocator)
-        other.limits.heard("t1", 1.0, clock.elapsed())
+        other.limits.apply_answer("t1", 1.0, clock.elapsed())
         allocator.silent = False
-        other.exchange.ask("t1", URGENT)
-        assert allocator.limits.known("t1").rate == 1.0
+        other.exchange.request_permit("t1", URGENT)
+        assert allocator.limits.latest_limit("t1").rate == 1.0
 
     def test_node_that_is_not_allocator_grants_no_permit(self, clock):
         cluster = Cluster(clock, 3)
         allocator = cluster.allocator()
         other = next(n for n in cluster.nodes.values() if n is not allocator)
-        other.limits.heard("t1", 100.0, clock.elapsed())
+        other.limits.apply_answer("t1", 100.0, clock.elapsed())
         clock.advance(seconds(10))
         sent_facts = []
         other.exchange._send = lambda address, fact: sent_facts.append(fact)
 
         asked = PermitAsked(URGENT, LimitOfTarget("t1", 100.0, 0))
-        other.exchange.take_in(asked, Member("x", "d", "x", 1, Standing.ALIVE))
+        other.exchange.handle_message(asked, Member("x", "d", "x", 1, Standing.ALIVE))
 
         assert sent_facts == [PermitAnswer("t1", URGENT, 200)]
 
@@ -266,21 +271,21 @@
         """A wait sent as 0 ms ends at once, and the permit request looks unanswered."""
         cluster = Cluster(clock, 3)
         allocator = cluster.allocator()
-        allocator.limits.heard("t1", 100.0, clock.elapsed())
+        allocator.limits.apply_answer("t1", 100.0, clock.elapsed())
         sent_facts = []
         allocator.exchange._send = lambda address, fact: sent_facts.append(fact)
         sender = Member("x", "d", "x", 1, Standing.ALIVE)
         asked = PermitAsked(URGENT, LimitOfTarget("t1", 100.0, 0))
-        allocator.exchange.take_in(asked, sender)
+        allocator.exchange.handle_message(asked, sender)
         clock.advance(seconds(0.0098))
 
-        allocator.exchange.take_in(asked, sender)
+        allocator.exchange.handle_message(asked, sender)
 
         assert all(fact.wait_ms >= 1 for fact in sent_facts)
 
     def test_request_without_permit_is_refused_at_once(self, clock):
         cluster = Cluster(clock, 9)
-        cluster.nodes["n0"].limits.heard("t1", 0.5, clock.elapsed())
+        cluster.nodes["n0"].limits.apply_answer("t1", 0.5, clock.elapsed())
 
         refusal = cluster.nodes["n3"].acquire(clock)
 
@@ -290,21 +295,21 @@
 
     def test_permit_of_unsent_request_is_returned(self, clock):
         limits = RateLimits(clock, Metrics())
-        limits.heard("t1", 1.0, clock.elapsed())
-        limits.granted("t1")
-        assert limits.take("t1", asked=False)
-        assert not limits.take("t1", asked=False)
-        limits.give_back("t1")
-        assert limits.take("t1", asked=False)
+        limits.apply_answer("t1", 1.0, clock.elapsed())
+        limits.record_granted("t1")
+        assert limits.use_permit("t1", has_requested=False)
+        assert not limits.use_permit("t1", has_requested=False)
+        limits.return_permit("t1")
+        assert limits.use_permit("t1", has_requested=False)
 
     def test_limit_of_unlisted_target_is_kept_for_a_while(self, clock):
         limits = RateLimits(clock, Metrics())
-        limits.told("t1", LimitSeen(1.0, clock.elapsed()))
-        limits.forget(lambda target: False)
+        limits.apply_report("t1", ObservedLimit(1.0, clock.elapsed()))
+        limits.remove_expired(lambda target: False)
         assert limits.rates() == {"t1": 1.0}
 
         clock.advance(seconds(20))
-        limits.forget(lambda target: False)
+        limits.remove_expired(lambda target: False)
         assert limits.rates() == {}
 
     @pytest.mark.parametrize(
@@ -312,10 +317,10 @@
     )
     def test_permit_expires(self, clock, rate, valid):
         limits = RateLimits(clock, Metrics())
-        limits.heard("t1", rate, clock.elapsed())
-        limits.granted("t1")
-        limits.granted("t1")
+        limits.apply_answer("t1", rate, clock.elapsed())
+        limits.record_granted("t1")
+        limits.record_granted("t1")
         clock.advance(seconds(valid - 0.01))
-        assert limits.take("t1", asked=True)
+        assert limits.use_permit("t1", has_requested=True)
         clock.advance(seconds(0.02))
-        assert not limits.take("t1", asked=True)
+        assert not limits.use_permit("t1", has_requested=True)
--- a/packages/runhatch-server/tests/test_residency_policy.py
+++ b/packages/runhatch-server/tests/test_residency_policy.py
@@ -5,13 +5,13 @@
 
 from runhatch_server.fleet import HeldModels, StoredCopies
 from runhatch_server.residency import (
+    ControlState,
     DemandBook,
+    DemandKey,
     DemandShare,
     FleetView,
-    Step,
     TargetControl,
     TargetReport,
-    Wanted,
     plan_adapters,
     plan_models,
 )
@@ -26,13 +26,13 @@
     held = HeldModels({model: frozenset(adapters) for model in models})
     copies = StoredCopies(on_disk=frozenset({*models, *on_disk}))
     report = TargetReport(0, held, False, frozenset(), copies, 0, 0)
-    target_control.reported(report, seconds(0))
+    target_control.apply_report(report, seconds(0))
     return target_control
 
 
 def add_requests(book, model, priority, requests, missed, adapter=""):
     """Add requests at ``NOW``, each with a prompt of 100 ms."""
-    wanted = Wanted("engine", model, adapter, priority, GOALS[priority])
+    wanted = DemandKey("engine", model, adapter, priority, GOALS[priority])
     book.add("n1", DemandShare(wanted, requests, missed, requests * 100.0), NOW)
 
 
@@ -44,12 +44,14 @@
     book = DemandBook()
     for model, priority, rate, missed, *rest in demands:
         adapter = rest[0] if rest else ""
-        wanted = Wanted("engine", model, adapter, priority, GOALS[priority])
+        wanted = DemandKey("engine", model, adapter, priority, GOALS[priority])
         for second in range(10):
             at = NOW - seconds(9 - second)
-            book.add("n1", DemandShare(wanted, rate, 0, rate * 100.0), at)
+            book.add_requests("n1", DemandShare(wanted, rate, 0, rate * 100.0), at)
         if missed:
-            book.add("n1", DemandShare(wanted, missed, missed, missed * 100.0), NOW)
+            book.add_requests(
+                "n1", DemandShare(wanted, missed, missed, missed * 100.0), NOW
+            )
     return book
 
 
@@ -59,7 +61,7 @@
 
 def planned_loads(controls, book, **limits):
     planned = plan_models(make_view(controls, book, **limits)).loads
-    return [(load.model, load.target, load.evict) for load in planned]
+    return [(load.model, load.target, load.evictions) for load in planned]
 
 
 class TestMissingModels:
@@ -97,11 +99,16 @@
     def test_other_free_holder_reduces_delayed_adapter_requests(self):
         first, second = make_control("t1", ["m0"]), make_control("t2", ["m0"])
         book = make_demand(("m0", 0, 3, 0, "a1"))
-        blocked_alone = make_view([first], book).blocked_by(first)
+        blocked_alone = make_view([first], book).delayed_adapter_rate(first)
 
-        assert make_view([first, second], book).blocked_by(first) < blocked_alone
-        second.step = Step.LOADING
-        assert make_view([first, second], book).blocked_by(first) == blocked_alone
+        assert (
+            make_view([first, second], book).delayed_adapter_rate(first) < blocked_alone
+        )
+        second.state = ControlState.LOADING
+        assert (
+            make_view([first, second], book).delayed_adapter_rate(first)
+            == blocked_alone
+        )
 
     def test_evicts_model_with_least_demand(self):
         controls = [make_control("t1", ["m0", "m1", "m2"], on_disk=["m5"])]
@@ -138,8 +145,8 @@
 
     def test_load_in_progress_is_not_repeated(self):
         first, second = make_control("t1", ["m0"]), make_control("t2", ["m1"])
-        first.loading = "m5"
-        first.ready_at = NOW + seconds(1)
+        first.loading_model = "m5"
+        first.load_ready_at = NOW + seconds(1)
 
         assert planned_loads([first, second], make_demand(("m5", 1, 0, 1))) == []
 
@@ -160,10 +167,10 @@
         """Return demand of the last ten seconds, from model, goal and rank of each."""
         book = DemandBook()
         for model, goal, priority in asked_for:
-            wanted = Wanted("engine", model, "", priority, seconds(goal))
+            wanted = DemandKey("engine", model, "", priority, seconds(goal))
             for second in range(10):
                 share = DemandShare(wanted, 1, 0, 20.0)
-                book.add("n1", share, NOW - seconds(9 - second))
+                book.add_requests("n1", share, NOW - seconds(9 - second))
         return book
 
     @pytest.mark.parametrize("priority", [0, 1, 2])
@@ -182,8 +189,8 @@
         """Demand moves without warning, and hurried requests cannot wait for a load."""
         controls = [make_control("t1", ["m0", "m1", "m2"], on_disk=["m5"])]
         book = self.book(("m2", 0.4, 0))
-        rare = Wanted("engine", "m1", "", 1, seconds(5))
-        book.add("n1", DemandShare(rare, 1, 0, 20.0), NOW - seconds(3))
+        rare = DemandKey("engine", "m1", "", 1, seconds(5))
+        book.add_requests("n1", DemandShare(rare, 1, 0, 20.0), NOW - seconds(3))
         for _ in range(4):
             add_requests(book, "m5", 0, 2, 2)
 
@@ -191,15 +198,15 @@
 
     def test_patient_miss_counts_for_longer(self):
         """The caller still waits when a load from the store ends."""
-        wanted = Wanted("engine", "m5", "", 1, seconds(5))
-        hurried = Wanted("engine", "m4", "", 0, seconds(0.4))
+        wanted = DemandKey("engine", "m5", "", 1, seconds(5))
+        hurried = DemandKey("engine", "m4", "", 0, seconds(0.4))
         book = DemandBook()
         for each in (wanted, hurried):
-            book.add("n1", DemandShare(each, 1, 1, 20.0), NOW)
+            book.add_requests("n1", DemandShare(each, 1, 1, 20.0), NOW)
         later = NOW + seconds(2)
 
-        assert book.model("engine", "m5", later).waiting(later) > 0
-        assert book.model("engine", "m4", later).waiting(later) == 0
+        assert book.model_demand("engine", "m5", later).waiting_requests(later) > 0
+        assert book.model_demand("engine", "m4", later).waiting_requests(later) == 0
 
 
 class TestDemandReportedAfterTakeover:
@@ -208,12 +215,12 @@
     @pytest.mark.parametrize("rate", [2, 4, 16])
     def test_estimates_rate_before_takeover(self, rate):
         """An estimate of zero would evict models in use, a burst would add replicas."""
-        wanted = Wanted("engine", "m0", "", 0, seconds(0.4))
+        wanted = DemandKey("engine", "m0", "", 0, seconds(0.4))
         book = DemandBook()
         share = DemandShare(wanted, rate * 3, 0, rate * 60.0)
-        book.add("n1", share, NOW - seconds(3))
+        book.add_requests("n1", share, NOW - seconds(3))
 
-        assert 0.5 * rate < book.model("engine", "m0", NOW).rate < 1.5 * rate
+        assert 0.5 * rate < book.model_demand("engine", "m0", NOW).rate < 1.5 * rate
 
 
 class TestReplicas:
@@ -301,11 +308,11 @@
 
         planned = plan_adapters(make_view([full], book)).loads
 
-        assert [load.evict for load in planned] == [("m0", "a3")]
+        assert [load.eviction for load in planned] == [("m0", "a3")]
 
     def test_none_is_loaded_while_target_loads_a_model(self):
         busy = make_control("t1", ["m0"])
-        busy.step = Step.LOADING
+        busy.state = ControlState.LOADING
 
         assert (
             plan_adapters(make_view([busy], make_demand(("m0", 0, 0, 1, "a1")))).loads
--- a/packages/runhatch-server/tests/test_sending.py
+++ b/packages/runhatch-server/tests/test_sending.py
@@ -9,7 +9,7 @@
 from runhatch_server.observability import Metrics
 from runhatch_server.residency import OrderTimes, TargetControl
 from runhatch_server.residency._calls import TargetCalls
-from runhatch_server.residency._handover import HANDOVER_SLACK, ORDER_ARRIVES
+from runhatch_server.residency._handover import HANDOVER_SLACK, MAX_ORDER_DELAY
 from runhatch_server.residency._sending import OrderSender
 from runhatch_server.targets import OrderKind, OrderOutcome
 
@@ -52,7 +52,7 @@
     resignations = []
 
     def held_epoch():
-        resignations.append(times.resignation(3, clock.elapsed()))
+        resignations.append(times.make_resignation(3, clock.elapsed()))
         return held
 
     sender = make_sender(clock, client, times, ended, held_epoch)
@@ -62,12 +62,12 @@
     assert ended.wait(ANSWER_WAIT)
     assert [list(resignation.waits) for resignation in resignations] == [["t1"]]
     assert len(client.given) == given
-    assert bool(times.resignation(3, clock.elapsed()).waits) is bool(given)
+    assert bool(times.make_resignation(3, clock.elapsed()).waits) is bool(given)
 
 
 @pytest.mark.parametrize(
     ("outcome", "delay"),
-    [(OrderOutcome.ACCEPTED, seconds(0)), (OrderOutcome.UNKNOWN, ORDER_ARRIVES)],
+    [(OrderOutcome.ACCEPTED, seconds(0)), (OrderOutcome.UNKNOWN, MAX_ORDER_DELAY)],
 )
 def test_order_without_answer_may_still_arrive(clock, outcome, delay):
     """A target that accepts connections late reads it after its sender's timeout."""
@@ -78,5 +78,5 @@
     sender.send(TargetControl(make_target("t1")), OrderKind.LOAD, "m1", "", EPOCH)
 
     assert ended.wait(ANSWER_WAIT)
-    wait = times.resignation(3, clock.elapsed()).waits["t1"]
+    wait = times.make_resignation(3, clock.elapsed()).waits["t1"]
     assert wait == seconds(3) + HANDOVER_SLACK + delay
--- a/packages/runhatch-server/tests/test_starvation.py
+++ b/packages/runhatch-server/tests/test_starvation.py
@@ -14,13 +14,13 @@
 from runhatch_server.fleet import HeldModels, StoredCopies
 from runhatch_server.residency import (
     OVERDUE,
+    ControlState,
     DemandBook,
+    DemandKey,
     DemandShare,
     FleetView,
-    Step,
     TargetControl,
     TargetReport,
-    Wanted,
     plan_models,
 )
 
@@ -65,34 +65,39 @@
     def _request(self, wanted):
         model = wanted.model
         held = any(control.holds(model) for control in self.controls)
-        self.book.add("n1", DemandShare(wanted, 1, 0 if held else 1, 100.0), self.now)
+        self.book.add_requests(
+            "n1", DemandShare(wanted, 1, 0 if held else 1, 100.0), self.now
+        )
         if held:
-            self.book.met("engine", model, ())
+            self.book.record_held("engine", model, ())
         self.requested[model] = self.requested.get(model, 0) + 1
         self.answered[model] = self.answered.get(model, 0) + held
         return held
 
     def _finish_loads(self):
         for control in self.controls:
-            if control.step is Step.LOADING and self.now >= control.ready_at:
-                held = {**control.held, control.loading: set()}
-                on_disk = control.copies_on_disk | {control.loading}
+            if (
+                control.state is ControlState.LOADING
+                and self.now >= control.load_ready_at
+            ):
+                held = {**control.held, control.loading_model: set()}
+                on_disk = control.copies_on_disk | {control.loading_model}
                 report_models(control, held, on_disk, self.now)
-                self.book.met("engine", control.loading, ())
+                self.book.record_held("engine", control.loading_model, ())
 
     def _begin_loads(self):
         view = FleetView("engine", ENGINE, self.controls, self.book, self.now)
         by_name = {c.target.incarnation: c for c in self.controls}
         for load in plan_models(view).loads:
             control = by_name[load.target]
-            for model in load.evict:
+            for model in load.evictions:
                 del control.held[model]
             duration = control.load_time(ENGINE.by_name[load.model])
-            control.loading, control.step = load.model, Step.LOADING
+            control.loading_model, control.state = load.model, ControlState.LOADING
             control.loading_reason = load.reason
-            control.ready_at = self.now + duration
+            control.load_ready_at = self.now + duration
         overdue = sum(
-            control.is_loading_from_store and control.loading_because == OVERDUE
+            control.is_loading_from_store and control.pending_load_reason == OVERDUE
             for control in self.controls
         )
         self.max_overdue = max(self.max_overdue, overdue)
@@ -114,7 +119,7 @@
 def periodic_requests(model, every, route=PATIENT_ROUTE, adapter="", start=0.0):
     """Return requests for ``model``, one every ``every`` seconds."""
     priority, goal = route
-    wanted = Wanted("engine", model, adapter, priority, goal)
+    wanted = DemandKey("engine", model, adapter, priority, goal)
     count = int((LENGTH.total_seconds() - start) / every)
     return [(seconds(start + i * every), wanted, True) for i in range(count)]
 
@@ -181,10 +186,12 @@
     def test_new_planner_uses_miss_times_reported_by_nodes(self, missed_for, planned):
         control = make_control("t1", "m0", "m1", "m2")
         simulation = Simulation([control], now=seconds(20))
-        wanted = Wanted("engine", "m6", "", *PATIENT_ROUTE)
+        wanted = DemandKey("engine", "m6", "", *PATIENT_ROUTE)
         reported_share = DemandShare(wanted, 0, 0, 0.0, seconds(missed_for))
-        simulation.book.missed_before(reported_share, simulation.now)
-        simulation.book.add("n1", DemandShare(wanted, 1, 1, 100.0), simulation.now)
+        simulation.book.record_missed_for(reported_share, simulation.now)
+        simulation.book.add_requests(
+            "n1", DemandShare(wanted, 1, 1, 100.0), simulation.now
+        )
 
         view = FleetView("engine", ENGINE, [control], simulation.book, simulation.now)
 
--- a/packages/runhatch-server/tests/test_suspect_exchange.py
+++ b/packages/runhatch-server/tests/test_suspect_exchange.py
@@ -4,8 +4,8 @@
 from gateway_cases import FakeTargets, seconds
 
 from runhatch_coordination import Standing
-from runhatch_server.crashes import CrashWatch, SuspectExchange
-from runhatch_server.decisions import EndedUnder
+from runhatch_server.crashes import CrashDetector, SuspectExchange
+from runhatch_server.decisions import ObservedEnd
 from runhatch_server.observability import Metrics
 from runhatch_server.peers import Member
 
@@ -18,7 +18,7 @@
         self.member = Member(name, "d1", name, 1, Standing.ALIVE)
         self.neighbours = []
         self.is_disconnected = False
-        self.watch = CrashWatch(clock, FakeTargets(), Metrics(), lambda: None)
+        self.watch = CrashDetector(clock, FakeTargets(), Metrics(), lambda: None)
         self.exchange = SuspectExchange(
             self.watch,
             clock,
@@ -39,14 +39,14 @@
             self.send(node.member.name, fact)
 
     def receive(self, fact, sender):
-        self.exchange.take_in(fact, sender.member)
+        self.exchange.handle_message(fact, sender.member)
 
     def record_end(self, target):
-        self.watch.told([EndedUnder("x", target, self.clock.elapsed())])
+        self.watch.receive_ends([ObservedEnd("x", target, self.clock.elapsed())])
 
     @property
     def known(self):
-        return {end.target for end in self.watch.known()}
+        return {end.target for end in self.watch.known_ends()}
 
 
 @pytest.fixture
--- a/packages/runhatch-server/tests/test_suspects.py
+++ b/packages/runhatch-server/tests/test_suspects.py
@@ -10,17 +10,17 @@
 import pytest
 from gateway_cases import seconds
 
-from runhatch_server.decisions import EndedUnder, Suspects
+from runhatch_server.decisions import ObservedEnd, Suspects
 from runhatch_server.decisions._suspects import (
-    END_FOUND_WITHIN,
-    ENDS_THAT_HOLD,
-    FIRST_HOLD,
-    LONG_HOLD,
-    LONGEST_HOLD,
-    MOST_SOUND,
-    MOST_SUSPECTS,
-    REMEMBERED,
-    SOUND_FOR,
+    CLEARANCE_DURATION,
+    END_DETECTION_WINDOW,
+    INITIAL_HOLD_DURATION,
+    MAX_CLEARED_REQUESTS,
+    MAX_HOLD_DURATION,
+    MAX_SUSPECTS,
+    MIN_ENDS_TO_HOLD,
+    REPEATED_HOLD_DURATION,
+    SUSPICION_RETENTION,
 )
 
 START = seconds(100)
@@ -28,7 +28,7 @@
 
 def record_ends(suspects, fingerprint, count, at=START):
     for number in range(count):
-        suspects.told([EndedUnder(fingerprint, f"t{number}", at)], at)
+        suspects.told([ObservedEnd(fingerprint, f"t{number}", at)], at)
 
 
 class TestHoldDuration:
@@ -39,42 +39,42 @@
         [
             (0, None),
             (1, None),
-            (2, FIRST_HOLD),
-            (3, LONG_HOLD),
-            (4, 2 * LONG_HOLD),
-            (5, 4 * LONG_HOLD),
-            (30, LONGEST_HOLD),
+            (2, INITIAL_HOLD_DURATION),
+            (3, REPEATED_HOLD_DURATION),
+            (4, 2 * REPEATED_HOLD_DURATION),
+            (5, 4 * REPEATED_HOLD_DURATION),
+            (30, MAX_HOLD_DURATION),
         ],
     )
     def test_grows_with_the_number_of_ended_targets(self, ended, held):
         suspects = Suspects()
         record_ends(suspects, "x", ended)
 
-        assert suspects.held_for("x", START) == held
+        assert suspects.remaining_hold("x", START) == held
 
     def test_duplicate_report_of_an_end_counts_once(self):
         suspects = Suspects()
-        end = EndedUnder("x", "t", START)
+        end = ObservedEnd("x", "t", START)
 
-        assert suspects.told([end, end], START) == [end]
-        assert suspects.told([end], START) == []
-        assert suspects.held_for("x", START) is None
+        assert suspects.record_ends([end, end], START) == [end]
+        assert suspects.record_ends([end], START) == []
+        assert suspects.remaining_hold("x", START) is None
 
     def test_hold_expires_and_another_end_extends_it(self):
         suspects = Suspects()
         record_ends(suspects, "x", 2)
-        later = START + FIRST_HOLD
+        later = START + INITIAL_HOLD_DURATION
 
-        assert suspects.held_for("x", later) is None
-        suspects.told([EndedUnder("x", "t9", later)], later)
-        assert suspects.held_for("x", later) == LONG_HOLD
+        assert suspects.remaining_hold("x", later) is None
+        suspects.record_ends([ObservedEnd("x", "t9", later)], later)
+        assert suspects.remaining_hold("x", later) == REPEATED_HOLD_DURATION
 
     def test_suspicion_expires(self):
         suspects = Suspects()
         record_ends(suspects, "x", 2)
-        suspects.expire(START + FIRST_HOLD + REMEMBERED)
+        suspects.remove_expired(START + INITIAL_HOLD_DURATION + SUSPICION_RETENTION)
 
-        assert suspects.ended_under("x") == ()
+        assert suspects.ended_targets("x") == ()
         assert suspects.digest == 0
 
 
@@ -83,14 +83,14 @@
 
     def test_all_requests_aborted_at_an_ended_target_are_suspects(self):
         suspects = Suspects()
-        suspects.cut_off("x", "t", START)
-        suspects.cut_off("y", "t", START)
-        suspects.cut_off("z", "other", START)
+        suspects.record_abort("x", "t", START)
+        suspects.record_abort("y", "t", START)
+        suspects.record_abort("z", "other", START)
 
-        ends = suspects.ended("t", START + seconds(3))
+        ends = suspects.record_end("t", START + seconds(3))
 
         assert {end.fingerprint for end in ends} == {"x", "y"}
-        assert suspects.unfinished_at() == {"other": START}
+        assert suspects.possibly_ended_targets() == {"other": START}
 
     @pytest.mark.parametrize(
         ("sent_at", "ends"), [(START, 0), (START + seconds(1), 0), (seconds(99), 1)]
@@ -98,43 +98,43 @@
     def test_answer_to_a_later_request_shows_that_the_target_runs(self, sent_at, ends):
         """An answer to a request sent before the abort may itself precede the end."""
         suspects = Suspects()
-        suspects.cut_off("x", "t", START)
-        suspects.lives("t", sent_at)
+        suspects.record_abort("x", "t", START)
+        suspects.record_running("t", sent_at)
 
-        assert len(suspects.ended("t", START + seconds(2))) == ends
+        assert len(suspects.record_end("t", START + seconds(2))) == ends
 
     def test_end_long_after_the_abort_is_not_attributed(self):
         suspects = Suspects()
-        suspects.cut_off("x", "t", START)
+        suspects.record_abort("x", "t", START)
 
-        assert suspects.ended("t", START + END_FOUND_WITHIN + seconds(1)) == []
+        assert suspects.record_end("t", START + END_DETECTION_WINDOW + seconds(1)) == []
 
     def test_old_aborts_expire(self):
         suspects = Suspects()
-        suspects.cut_off("x", "t", START)
-        suspects.expire(START + END_FOUND_WITHIN + seconds(1))
+        suspects.record_abort("x", "t", START)
+        suspects.remove_expired(START + END_DETECTION_WINDOW + seconds(1))
 
-        assert suspects.unfinished_at() == {}
+        assert suspects.possibly_ended_targets() == {}
 
     def test_answer_clears_a_request(self):
         suspects = Suspects()
         record_ends(suspects, "x", 2)
 
-        assert suspects.answered("x", START)
-        assert suspects.held_for("x", START) is None
-        assert not suspects.answered("x", START)
+        assert suspects.record_answer("x", START)
+        assert suspects.remaining_hold("x", START) is None
+        assert not suspects.record_answer("x", START)
 
     @pytest.mark.parametrize(
-        ("age", "held"), [(SOUND_FOR / 2, False), (SOUND_FOR, True)]
+        ("age", "held"), [(CLEARANCE_DURATION / 2, False), (CLEARANCE_DURATION, True)]
     )
     def test_answer_protects_a_request_for_a_limited_time(self, age, held):
         """Many callers may send the same request, which crashes that it did not
         cause then abort often."""
         suspects = Suspects()
-        suspects.answered("x", START - age)
-        record_ends(suspects, "x", ENDS_THAT_HOLD)
+        suspects.record_answer("x", START - age)
+        record_ends(suspects, "x", MIN_ENDS_TO_HOLD)
 
-        assert (suspects.held_for("x", START) is not None) == held
+        assert (suspects.remaining_hold("x", START) is not None) == held
 
 
 class TestMemory:
@@ -143,27 +143,27 @@
     def test_strongest_suspects_are_kept(self):
         suspects = Suspects()
         record_ends(suspects, "grave", 3)
-        for number in range(MOST_SUSPECTS * 2):
-            suspects.told([EndedUnder(f"x{number}", "t", START)], START)
+        for number in range(MAX_SUSPECTS * 2):
+            suspects.record_ends([ObservedEnd(f"x{number}", "t", START)], START)
 
-        assert suspects.held_for("grave", START)
-        assert len(suspects.known()) == MOST_SUSPECTS - 1 + 3
+        assert suspects.remaining_hold("grave", START)
+        assert len(suspects.known_ends()) == MAX_SUSPECTS - 1 + 3
 
     def test_number_of_cleared_requests_is_bounded(self):
         suspects = Suspects()
-        for number in range(MOST_SOUND + 10):
-            suspects.answered(f"x{number}", START)
+        for number in range(MAX_CLEARED_REQUESTS + 10):
+            suspects.record_answer(f"x{number}", START)
 
-        assert len(suspects._cleared_at) == MOST_SOUND
+        assert len(suspects._cleared_at) == MAX_CLEARED_REQUESTS
 
     def test_equal_ends_have_equal_digests_in_any_order(self):
-        ends = [EndedUnder(f"x{i % 7}", f"t{i}", START) for i in range(30)]
+        ends = [ObservedEnd(f"x{i % 7}", f"t{i}", START) for i in range(30)]
         first, second = Suspects(), Suspects()
-        first.told(ends, START)
-        second.told(reversed(ends), START)
+        first.record_ends(ends, START)
+        second.record_ends(reversed(ends), START)
 
         assert first.digest == second.digest != 0
-        first.answered("x3", START)
+        first.record_answer("x3", START)
         assert first.digest != second.digest
 
 
@@ -180,7 +180,9 @@
         pending = ["crashing"]
         for step in range(60):
             now = START + seconds(step / 2)
-            retried = [name for name in pending if suspects.held_for(name, now) is None]
+            retried = [
+                name for name in pending if suspects.remaining_hold(name, now) is None
+            ]
             harmless_held += len(set(pending) - set(retried) - {"crashing"})
             pending = ["crashing"]
             places = {name: random_source.randrange(8) for name in retried}
@@ -188,13 +190,13 @@
             crashed = places.get("crashing")
             for name, place in {**new, **places}.items():
                 if place != crashed:
-                    suspects.answered(name, now)
+                    suspects.record_answer(name, now)
                     continue
-                suspects.cut_off(name, f"t{step}", now)
+                suspects.record_abort(name, f"t{step}", now)
                 pending += [name] if name != "crashing" else []
             if crashed is not None:
                 ended += 1
-                suspects.ended(f"t{step}", now)
+                suspects.record_end(f"t{step}", now)
 
         # Two ends until it is held back, and one more at its retry.
         assert ended <= 3
--- a/packages/runhatch-server/tests/test_target_control.py
+++ b/packages/runhatch-server/tests/test_target_control.py
@@ -14,7 +14,7 @@
 
 from runhatch_server.fleet import HeldModels, StoredCopies
 from runhatch_server.residency import (
-    Step,
+    ControlState,
     TargetControl,
     TargetOrder,
     TargetReport,
@@ -37,7 +37,7 @@
 
 def make_reported_control(*models, orders=0):
     control = TargetControl(make_target(models=models))
-    control.reported(make_report(orders, models), seconds(0))
+    control.apply_report(make_report(orders, models), seconds(0))
     return control
 
 
@@ -49,16 +49,16 @@
 
     def test_loaded_model_is_held_once_reported(self):
         control = make_reported_control("m0")
-        control.ordered(
+        control.record_outcome(
             make_order(OrderKind.LOAD, "m1", 0),
             OrderOutcome.ACCEPTED,
             LOAD_TIME,
             seconds(1),
         )
-        assert control.step is Step.LOADING
+        assert control.state is ControlState.LOADING
         assert not control.holds("m1")
 
-        control.reported(make_report(1, ["m0", "m1"]), seconds(4))
+        control.apply_report(make_report(1, ["m0", "m1"]), seconds(4))
 
         assert control.is_free
         assert control.holds("m1")
@@ -66,7 +66,7 @@
     def test_unloaded_model_is_not_held_but_keeps_its_memory_until_reported(self):
         control = make_reported_control("m0", "m1", "m2")
         used_before = control.used_mb(ENGINE)
-        control.ordered(
+        control.record_outcome(
             make_order(OrderKind.UNLOAD, "m1", 0),
             OrderOutcome.ACCEPTED,
             LOAD_TIME,
@@ -75,7 +75,7 @@
 
         assert not control.holds("m1")
         assert control.used_mb(ENGINE) == used_before
-        control.reported(make_report(1, ["m0", "m2"]), seconds(2))
+        control.apply_report(make_report(1, ["m0", "m2"]), seconds(2))
         assert control.used_mb(ENGINE) < used_before
 
     @pytest.mark.parametrize(
@@ -91,34 +91,34 @@
     )
     def test_other_outcomes_wait_for_a_report(self, outcome):
         control = make_reported_control("m0")
-        control.ordered(
+        control.record_outcome(
             make_order(OrderKind.LOAD, "m1", 0), outcome, LOAD_TIME, seconds(1)
         )
 
-        assert control.step is Step.DOUBT
-        control.reported(make_report(0, ["m0"]), seconds(2))
+        assert control.state is ControlState.UNCERTAIN
+        control.apply_report(make_report(0, ["m0"]), seconds(2))
         assert control.is_free
 
     def test_old_report_is_ignored(self):
         control = make_reported_control("m0", orders=3)
 
-        control.reported(make_report(2, ["m0", "m1"]), seconds(2))
+        control.apply_report(make_report(2, ["m0", "m1"]), seconds(2))
 
         assert not control.holds("m1")
 
     def test_adapter_is_visible_once_loaded(self):
         control = make_reported_control("m0")
-        control.ordered(
+        control.record_outcome(
             make_order(OrderKind.LOAD, "m0", 0, "a1"),
             OrderOutcome.ACCEPTED,
             LOAD_TIME,
             seconds(1),
         )
-        assert not control.view().holds("m0", "a1")
+        assert not control.held_models().holds("m0", "a1")
 
-        control.arrive(seconds(1.2))
+        control.mark_adapters_loaded(seconds(1.2))
 
-        assert control.view().holds("m0", "a1")
+        assert control.held_models().holds("m0", "a1")
         assert control.is_free
 
 
@@ -138,7 +138,7 @@
 
     @initialize()
     def first_report(self):
-        self.control.reported(self.make_report(), seconds(self.now))
+        self.control.apply_report(self.make_report(), seconds(self.now))
 
     def make_report(self):
         return make_report(self.orders, sorted(self.models))
@@ -159,7 +159,7 @@
             outcome = OrderOutcome.UNKNOWN
         else:
             outcome = self.execute(sent_order)
-        self.control.ordered(sent_order, outcome, LOAD_TIME, seconds(self.now))
+        self.control.record_outcome(sent_order, outcome, LOAD_TIME, seconds(self.now))
 
     @precondition(lambda self: self.control.is_free)
     @rule(number=st.integers(0, 7), lost=st.booleans())
@@ -168,19 +168,24 @@
         used = self.control.used_mb(ENGINE)
         fits = used + model.memory_mb <= ENGINE.memory_mb
         if model.name not in self.control.held and fits:
-            self.send(make_order(OrderKind.LOAD, model.name, self.control.orders), lost)
+            self.send(
+                make_order(OrderKind.LOAD, model.name, self.control.accepted_orders),
+                lost,
+            )
 
     @precondition(lambda self: self.control.is_free and self.control.held)
     @rule(lost=st.booleans())
     def unload(self, lost):
         model = min(self.control.held)
-        self.send(make_order(OrderKind.UNLOAD, model, self.control.orders), lost)
+        self.send(
+            make_order(OrderKind.UNLOAD, model, self.control.accepted_orders), lost
+        )
 
-    @precondition(lambda self: self.control.step is not Step.IDLE)
+    @precondition(lambda self: self.control.step is not ControlState.IDLE)
     @rule()
     def request_report(self):
         self.now += 1
-        self.control.reported(self.make_report(), seconds(self.now))
+        self.control.apply_report(self.make_report(), seconds(self.now))
 
     @precondition(lambda self: bool(self.late))
     @rule()
@@ -201,7 +206,7 @@
     """A target that has restarted under the same name."""
 
     def make_report(self, born):
-        started = make_target(born=born).started_at
+        started = make_target(started_at_seconds=born).started_at
         held = HeldModels({"m1": frozenset()})
         copies = StoredCopies()
         return TargetReport(
@@ -209,14 +214,14 @@
         )
 
     def test_holds_no_previous_models_and_is_not_free(self):
-        control = TargetControl(make_target(models=["m0"], born=100))
-        control.reported(self.make_report(100), seconds(0))
+        control = TargetControl(make_target(models=["m0"], started_at_seconds=100))
+        control.apply_report(self.make_report(100), seconds(0))
         assert control.holds("m1")
 
-        control.reported(self.make_report(200), seconds(1))
+        control.apply_report(self.make_report(200), seconds(1))
 
         assert control.held == {}
-        assert control.changed
+        assert control.needs_publishing
         assert not control.is_free
 
     @pytest.mark.parametrize(
@@ -226,9 +231,11 @@
     def test_report_of_same_or_unknown_incarnation_is_applied(
         self, listed_at, reported_at
     ):
-        control = TargetControl(make_target(models=["m0"], born=listed_at))
+        control = TargetControl(
+            make_target(models=["m0"], started_at_seconds=listed_at)
+        )
 
-        control.reported(self.make_report(reported_at), seconds(0))
+        control.apply_report(self.make_report(reported_at), seconds(0))
 
         assert control.holds("m1")
         assert control.is_free
--- a/packages/runhatch-server/tests/test_window_budget.py
+++ b/packages/runhatch-server/tests/test_window_budget.py
@@ -9,7 +9,7 @@
 
 from runhatch_coordination.testing import ManualClock
 from runhatch_server.gateway import RetryBounds
-from runhatch_server.gateway._budget import WindowBudget
+from runhatch_server.gateway._budget import WindowedRetryBudget
 
 BOUNDS = RetryBounds(share=0.2, reserve=52, window=seconds(10))
 
@@ -28,14 +28,14 @@
     def test_allows_fractions_of_requests_and_reserve(
         self, clock, requests, nodes, most
     ):
-        budget = WindowBudget(BOUNDS, clock)
+        budget = WindowedRetryBudget(BOUNDS, clock)
         for _ in range(requests):
-            budget.request()
+            budget.record_request()
 
         assert count_allowed(budget, nodes, 100) == most
 
     def test_budget_is_restored_after_the_window(self, clock):
-        budget = WindowBudget(BOUNDS, clock)
+        budget = WindowedRetryBudget(BOUNDS, clock)
         first = count_allowed(budget, 6, 100)
 
         clock.advance(seconds(9))
@@ -54,7 +54,7 @@
         the reserve and not simulated here.
         """
         clock = ManualClock()
-        budgets = [WindowBudget(BOUNDS, clock) for _ in range(nodes)]
+        budgets = [WindowedRetryBudget(BOUNDS, clock) for _ in range(nodes)]
         requests, retries = [], []
         for node, is_request, pause in events:
             clock.advance(timedelta(milliseconds=pause))
--- a/standins/src/runhatch_standins/_peer_group.py
+++ b/standins/src/runhatch_standins/_peer_group.py
@@ -11,12 +11,12 @@
 from runhatch_coordination import Membership, RevisionFeed, Standing, Vm
 from runhatch_coordination.testing import ManualClock
 from runhatch_server._peer_service import PeerService
-from runhatch_server.crashes import CrashWatch
+from runhatch_server.crashes import CrashDetector
 from runhatch_server.observability import Metrics
 from runhatch_server.peers import Envelope, Fact, LinkClosed
 from runhatch_server.peers._links import ENCODER
 from runhatch_server.peers._messages import VERSION
-from runhatch_server.serving import Picture, TargetLives
+from runhatch_server.serving import Picture, TargetIncarnations
 
 ROUND = timedelta(seconds=1)
 HOP = timedelta(milliseconds=20)
@@ -48,7 +48,9 @@
             lambda _: None,
             lambda _: False,
             list,
-            CrashWatch(group.clock, TargetLives(vm.name), group.metrics, _ignore_crash),
+            CrashDetector(
+                group.clock, TargetIncarnations(vm.name), group.metrics, _ignore_crash
+            ),
             group.clock,
             seed=group.seed,
         )
--- a/tests/adapter/test_platform_decoding.py
+++ b/tests/adapter/test_platform_decoding.py
@@ -13,7 +13,7 @@
 )
 from runhatch_server import SettingsError
 from runhatch_server.fleet import Target, TargetState
-from runhatch_server.gateway import GatewayRequest, HeaderFault
+from runhatch_server.gateway import GatewayRequest, InvalidHeader
 from runhatch_server.routing import RequestKind, RouteSpec
 
 MS = timedelta(milliseconds=1)
@@ -76,7 +76,7 @@
 
         assert route.kind is RequestKind.STREAM
         assert (route.goal, route.timeout) == (800 * MS, 5_000 * MS)
-        assert route.may_repeat
+        assert route.may_retry
         assert route.patience == 3_200 * MS
 
     @pytest.mark.parametrize(
@@ -153,7 +153,7 @@
 
         assert target.held.holds("m", "a1")
         assert target.copies.on_disk == {"m", "n"}
-        assert target.leaves_in == timedelta(seconds=2)
+        assert target.drains_in == timedelta(seconds=2)
 
     def test_restart_creates_a_new_incarnation_of_the_same_name(self):
         first = decode_target("i-1", encode_entry(born=1_790_867_255_463))
@@ -294,11 +294,14 @@
     }
 
     def test_model_prompt_output_and_deadline_are_decoded(self):
-        caller = PlatformHeaders().read_caller(self.HEADERS)
+        caller = PlatformHeaders().decode_caller(self.HEADERS)
 
         assert (caller.work.model, caller.work.adapter) == ("m", "a3")
         assert [part.tokens for part in caller.work.prompt] == [800, 410]
-        assert (caller.work.most_output, caller.work.expected_output) == (80, 33)
+        assert (caller.work.max_output_tokens, caller.work.expected_output_tokens) == (
+            80,
+            33,
+        )
         assert caller.time_left == 5_000 * MS
 
     @pytest.mark.parametrize(
@@ -313,13 +316,13 @@
         ],
     )
     def test_headers_reserved_for_the_system_are_not_forwarded(self, name):
-        caller = PlatformHeaders().read_caller({**self.HEADERS, name: "x"})
+        caller = PlatformHeaders().decode_caller({**self.HEADERS, name: "x"})
 
-        assert name not in dict(caller.passed)
+        assert name not in dict(caller.forwarded)
 
     def test_other_headers_are_forwarded(self):
-        caller = PlatformHeaders().read_caller({**self.HEADERS, "x-own": "1"})
-        passed = dict(caller.passed)
+        caller = PlatformHeaders().decode_caller({**self.HEADERS, "x-own": "1"})
+        passed = dict(caller.forwarded)
 
         assert passed["x-runhatch-model"] == "m/a3"
         assert passed["x-own"] == "1"
@@ -334,9 +337,9 @@
         ],
     )
     def test_invalid_header_is_a_fault(self, name, value):
-        found = PlatformHeaders().read_caller({**self.HEADERS, name: value})
+        found = PlatformHeaders().decode_caller({**self.HEADERS, name: value})
 
-        assert isinstance(found, HeaderFault)
+        assert isinstance(found, InvalidHeader)
 
 
 class TestTargetHeaders:
@@ -344,7 +347,9 @@
 
     def test_request_names_the_expected_target_and_the_time_left(self):
         headers = dict(
-            PlatformHeaders().for_target(create_request(), TARGET, 1_234.7 * MS, tier=3)
+            PlatformHeaders().encode_request(
+                create_request(), TARGET, 1_234.7 * MS, tier=3
+            )
         )
 
         assert headers["X-Runhatch-Expect-Instance"] == "i-1"
@@ -352,8 +357,10 @@
 
     def test_resumed_request_names_only_the_latest_event(self):
         codec = PlatformHeaders()
-        first = codec.for_target(create_request(last_event="3"), TARGET, 1_000 * MS, 0)
-        resumed = codec.resumed_after(first, "9")
+        first = codec.encode_request(
+            create_request(last_event="3"), TARGET, 1_000 * MS, 0
+        )
+        resumed = codec.add_resume_after(first, "9")
 
         assert [value for name, value in resumed if name == "Last-Event-Id"] == ["9"]
 
@@ -372,9 +379,9 @@
     def test_not_run_and_idle_time_of_a_response(
         self, status, headers, closes, not_run, idle
     ):
-        head = PlatformHeaders().read_answer(status, "", headers, closes)
+        head = PlatformHeaders().decode_answer(status, "", headers, closes)
 
-        assert (head.not_run, head.idle) == (not_run, idle)
+        assert (head.not_run, head.idle_timeout) == (not_run, idle)
 
     @pytest.mark.parametrize(
         ("value", "load"),
@@ -382,6 +389,6 @@
     )
     def test_reported_load(self, value, load):
         headers = {"x-runhatch-server-load": value}
-        found = PlatformHeaders().read_answer(200, "", headers, False).load
+        found = PlatformHeaders().decode_answer(200, "", headers, False).load
 
         assert (found and (found.running, found.waiting)) == load
--- a/tests/adapter/test_platform_wishes.py
+++ b/tests/adapter/test_platform_wishes.py
@@ -28,7 +28,7 @@
     )
     def test_retry_after_is_decoded_only_for_status_503(self, status, value, rest):
         headers = {} if value is None else {"retry-after": value}
-        found = PlatformHeaders().read_answer(status, "", headers, False).rest
+        found = PlatformHeaders().decode_answer(status, "", headers, False).backoff
 
         assert found == (None if rest is None else timedelta(seconds=rest))
 
@@ -41,9 +41,9 @@
         ],
     )
     def test_only_the_value_1_means_that_the_target_drains(self, headers, leaving):
-        head = PlatformHeaders().read_answer(200, "", headers, False)
+        head = PlatformHeaders().decode_answer(200, "", headers, False)
 
-        assert head.leaving is leaving
+        assert head.draining is leaving
 
     @pytest.mark.parametrize(
         ("headers", "limit"),
@@ -56,6 +56,6 @@
     )
     @pytest.mark.parametrize("status", [200, 421, 503])
     def test_rate_limit_is_decoded_for_any_status(self, status, headers, limit):
-        head = PlatformHeaders().read_answer(status, "", headers, False)
+        head = PlatformHeaders().decode_answer(status, "", headers, False)
 
         assert head.rate_limit == limit
