--- a/benchmarks/bench_claims.py
+++ b/benchmarks/bench_claims.py
@@ -6,11 +6,11 @@
 from _reporting import Report
 
 from runhatch_coordination import (
+    ClaimAcquired,
     Claims,
     Committer,
     GroupCommitter,
     SystemClock,
-    Taken,
     commit,
 )
 from runhatch_coordination.testing import MemoryTable
@@ -21,9 +21,9 @@
 THREADS = 32
 CLAIMS = 1_500
 NODES = (1, 3, 9, 27)
-KEYED = 600
+KEYED_REQUESTS = 600
 CREATED = 201
-IDLE_WRITES_A_SECOND = 0.42
+IDLE_WRITES_PER_SECOND = 0.42
 
 
 class SlowTable(MemoryTable):
@@ -44,7 +44,7 @@
         return commit(self._table, writes)
 
 
-def run(nodes: int, grouped: bool) -> tuple[float, float]:
+def run_claims(nodes: int, grouped: bool) -> tuple[float, float]:
     """Return the claims per second and the table calls per claim."""
     table = SlowTable()
     committers: list[Committer] = [
@@ -56,18 +56,18 @@
 
     def claim(index: int) -> None:
         node = claims[index % nodes]
-        taken = node.take(f"key-{index}", "digest")
-        assert isinstance(taken, Taken)
+        taken = node.acquire(f"key-{index}", "digest")
+        assert isinstance(taken, ClaimAcquired)
         node.finish(taken, "answer")
 
     started = time.perf_counter()
     with ThreadPoolExecutor(THREADS) as pool:
         list(pool.map(claim, range(CLAIMS)))
     elapsed = time.perf_counter() - started
-    return CLAIMS / elapsed, table.writes / CLAIMS
+    return CLAIMS / elapsed, table.transaction_count / CLAIMS
 
 
-def count_store_writes(inline_bytes: int, at_once: int) -> dict[str, float]:
+def count_store_writes(inline_bytes: int, concurrency: int) -> dict[str, float]:
     """Return the store writes and latency of a keyed request in a real cluster."""
     serving = {"inline_answer_bytes": inline_bytes}
     cluster = start_cluster(Sizes(models=1, adapters=0), {"serving": serving})
@@ -76,24 +76,26 @@
         urls = [cluster.caller_url(name) for name in cluster.nodes]
         before = call(cluster.platform.url, "GET", "/stats")
         started = time.perf_counter()
-        with ThreadPoolExecutor(at_once) as pool:
-            wanted = [Wanted(f"b{i}", Shape.BOOKING, "") for i in range(KEYED)]
+        with ThreadPoolExecutor(concurrency) as pool:
+            wanted = [Wanted(f"b{i}", Shape.BOOKING, "") for i in range(KEYED_REQUESTS)]
             times = sorted(
-                pool.map(lambda i: _request_ms(urls[i % 3], wanted[i]), range(KEYED))
+                pool.map(
+                    lambda i: _request_ms(urls[i % 3], wanted[i]), range(KEYED_REQUESTS)
+                )
             )
         elapsed = time.perf_counter() - started
         after = call(cluster.platform.url, "GET", "/stats")
     finally:
         cluster.close()
-    idle = IDLE_WRITES_A_SECOND * elapsed
-    rows = (after["writes"] - before["writes"] - idle) / KEYED
-    objects = (after["object_puts"] - before["object_puts"]) / KEYED
+    idle = IDLE_WRITES_PER_SECOND * elapsed
+    rows = (after["writes"] - before["writes"] - idle) / KEYED_REQUESTS
+    objects = (after["object_puts"] - before["object_puts"]) / KEYED_REQUESTS
     return {
         "table_writes": round(rows, 2),
         "object_writes": round(objects, 2),
         "store_writes": round(rows + objects, 2),
-        "p50_ms": round(times[KEYED // 2], 1),
-        "p95_ms": round(times[KEYED * 95 // 100], 1),
+        "p50_ms": round(times[KEYED_REQUESTS // 2], 1),
+        "p95_ms": round(times[KEYED_REQUESTS * 95 // 100], 1),
     }
 
 
@@ -106,7 +108,7 @@
     return (time.perf_counter() - started) * 1_000
 
 
-def store_rows() -> None:
+def report_store_writes() -> None:
     """Report the store writes saved by storing small answers in claim rows."""
     report = Report("kept", "Store writes of a keyed request", "make bench-claims")
     for inline_bytes in (0, 8_192):
@@ -117,19 +119,20 @@
                 **count_store_writes(inline_bytes, at_once),
             )
     report.add_note(
-        f"{KEYED} bookings through three nodes to one plain service, 20 ms each; "
-        f"without the {IDLE_WRITES_A_SECOND:g} writes a second of an idle system."
+        f"{KEYED_REQUESTS} bookings through three nodes to one "
+        f"plain service, 20 ms each; "
+        f"without the {IDLE_WRITES_PER_SECOND:g} writes a second of an idle system."
     )
     report.write()
 
 
 def main() -> None:
     """Run the benchmark and write its report."""
-    store_rows()
+    report_store_writes()
     report = Report("claims", "Claims and group commit", "make bench-claims")
     for nodes in NODES:
         for grouped in (False, True):
-            rate, calls = run(nodes, grouped)
+            rate, calls = run_claims(nodes, grouped)
             report.add(
                 nodes=nodes,
                 grouped=grouped,
--- a/benchmarks/bench_control.py
+++ b/benchmarks/bench_control.py
@@ -12,11 +12,11 @@
 IDLE_SECONDS = 10.0
 Counts = dict[str, Any]
 CHANGES = 12
-LONGEST_SECONDS = 30.0
+TIMEOUT_SECONDS = 30.0
 POOL = "reader"
 
 
-def spread_times(cluster: Cluster) -> list[float]:
+def measure_spread(cluster: Cluster) -> list[float]:
     """Apply changes; return the seconds until all nodes had applied each."""
     urls = [cluster.operator_url(name) for name in cluster.nodes]
     times = []
@@ -28,13 +28,13 @@
         started = time.monotonic()
         revision = call(urls[0], "PUT", "/v1/configuration", change)["revision"]
         outdated = set(urls)
-        while outdated and time.monotonic() - started < LONGEST_SECONDS:
+        while outdated and time.monotonic() - started < TIMEOUT_SECONDS:
             outdated = {url for url in outdated if _revision(url) < revision}
         times.append(time.monotonic() - started)
     return times
 
 
-def takeover_time(cluster: Cluster) -> float:
+def measure_takeover(cluster: Cluster) -> float:
     """Kill the holder of the pool's lease; return the seconds until its takeover."""
     name = next(iter(cluster.nodes))
     records = cluster.query(name, {"noun": "leases"})
@@ -42,7 +42,7 @@
     cluster.nodes[holder].kill()
     started = time.monotonic()
     watcher = next(n for n in cluster.nodes if n != holder)
-    while time.monotonic() - started < LONGEST_SECONDS:
+    while time.monotonic() - started < TIMEOUT_SECONDS:
         records = cluster.query(watcher, {"noun": "leases"})
         if records[0]["epoch"] > epoch and records[0]["holder"] != holder:
             break
@@ -86,12 +86,12 @@
             time.sleep(2)
             before = call(cluster.platform.url, "GET", "/stats")
             started = time.monotonic()
-            times = spread_times(cluster)
+            times = measure_spread(cluster)
             change_seconds = time.monotonic() - started
             after = call(cluster.platform.url, "GET", "/stats")
             time.sleep(IDLE_SECONDS)
             idle = call(cluster.platform.url, "GET", "/stats")
-            takeover = takeover_time(cluster)
+            takeover = measure_takeover(cluster)
         finally:
             cluster.close()
         report.add(
--- a/benchmarks/bench_logs.py
+++ b/benchmarks/bench_logs.py
@@ -38,7 +38,7 @@
     return record
 
 
-def trial(log: Log, destination: Destination | None) -> tuple[float, float]:
+def run_trial(log: Log, destination: Destination | None) -> tuple[float, float]:
     """Return the processor time and the delay of a request, in microseconds."""
     clock = SystemClock()
     recorder = RequestRecorder(Metrics(), clock)
@@ -60,7 +60,7 @@
     return cpu_seconds / REQUESTS * 1e6, waited / REQUESTS * 1e6
 
 
-def no_log(message_type: str, **fields: object) -> None:
+def discard_log(message_type: str, **fields: object) -> None:
     """Discard the message."""
 
 
@@ -77,14 +77,14 @@
 
         queue = LogQueue(stream, LogLevel.REQUEST)
         methods: dict[str, tuple[Log, Destination | None]] = {
-            "none": (no_log, None),
+            "none": (discard_log, None),
             "by the queue": (log_change, queue),
             "written at once": (log_change, write),
         }
         results: dict[str, list[tuple[float, float]]] = {name: [] for name in methods}
         for _ in range(TRIALS):
             for name, (log, destination) in methods.items():
-                results[name].append(trial(log, destination))
+                results[name].append(run_trial(log, destination))
     for name, trials in results.items():
         report.add(
             logs=name,
--- a/benchmarks/bench_membership.py
+++ b/benchmarks/bench_membership.py
@@ -7,32 +7,32 @@
 from runhatch_standins._peer_group import PeerGroup, group_of, region
 
 SIZES = (9, 32, 100, 390)
-SETTLED = 6
-PATIENCE = 120
-PAUSE = 20
-PARTED = 120
+WARM_UP_ROUNDS = 6
+MAX_ROUNDS = 120
+PAUSE_ROUNDS = 20
+PARTITION_ROUNDS = 120
 
 
 def rounds_until(group: PeerGroup, done: Callable[[], bool]) -> int:
-    """Run rounds until ``done``, at most ``PATIENCE``; return their number."""
-    for rounds in range(PATIENCE):
+    """Run rounds until ``done``, at most ``MAX_ROUNDS``; return their number."""
+    for rounds in range(MAX_ROUNDS):
         if done():
             return rounds
         group.run(1)
-    return PATIENCE
+    return MAX_ROUNDS
 
 
-def quiet(group: PeerGroup) -> None:
+def no_failure(group: PeerGroup) -> None:
     """Let a healthy group run."""
-    group.run(PAUSE)
+    group.run(PAUSE_ROUNDS)
 
 
-def death(group: PeerGroup) -> None:
+def kill_node(group: PeerGroup) -> None:
     """Kill one node."""
     group.dead.add("n001")
 
 
-def domain_gone(group: PeerGroup) -> None:
+def kill_domain(group: PeerGroup) -> None:
     """Kill a whole failure domain."""
     domain = group.nodes["n001"].vm.failure_domain
     group.dead |= {
@@ -40,36 +40,43 @@
     }
 
 
-def pause(group: PeerGroup) -> None:
+def pause_node(group: PeerGroup) -> None:
     """Stop one node for a while and let it go on."""
     group.stopped.add("n001")
-    group.run(PAUSE)
+    group.run(PAUSE_ROUNDS)
     group.stopped.clear()
 
 
-def one_way_cut(group: PeerGroup) -> None:
+def cut_one_way(group: PeerGroup) -> None:
     """Lose what one failure domain sends to another, for a while."""
     first = group.nodes["n000"].vm.failure_domain
     second = group.nodes["n001"].vm.failure_domain
     group.cut = lambda a, b: (a.failure_domain, b.failure_domain) == (first, second)
-    group.run(PAUSE)
+    group.run(PAUSE_ROUNDS)
     group.cut = lambda a, b: False
 
 
-def parted(group: PeerGroup) -> None:
+def partition_region(group: PeerGroup) -> None:
     """Part one region from the others, for a while."""
     group.cut = lambda a, b: (region(a) == "r0") != (region(b) == "r0")
-    group.run(PARTED)
+    group.run(PARTITION_ROUNDS)
     group.cut = lambda a, b: False
 
 
-FAILURES = (quiet, death, domain_gone, pause, one_way_cut, parted)
+FAILURES = (
+    no_failure,
+    kill_node,
+    kill_domain,
+    pause_node,
+    cut_one_way,
+    partition_region,
+)
 
 
 def measure(report: Report, size: int, failure: Callable[[PeerGroup], None]) -> None:
     """Add a row for one failure in a group of ``size`` nodes."""
     group = group_of(size)
-    group.run(SETTLED)
+    group.run(WARM_UP_ROUNDS)
     messages, bytes_before, started = group.messages, group.bytes, group.clock.elapsed()
     failure(group)
     expected_suspicions = len(group.running()) * len(group.dead)
@@ -100,8 +107,10 @@
             measure(report, size, failure)
     report.add_note(
         "Real memberships and peer services over an in-memory network and a manual "
-        f"clock, one round a second. The pause and the one-way cut last {PAUSE} s, "
-        f"the partition {PARTED} s. Wrongly suspected: share of all pairs of a node "
+        f"clock, one round a second. The pause and the one-way cut last "
+        f"{PAUSE_ROUNDS} s, "
+        f"the partition {PARTITION_ROUNDS} s. Wrongly suspected: share of "
+        f"all pairs of a node "
         "and another live node when the failure ends (for deaths, when they happen). "
         "Settled: seconds from then until every node has the correct states. "
         "Messages and bytes are those sent per node and second until it has settled."
--- a/benchmarks/bench_orders.py
+++ b/benchmarks/bench_orders.py
@@ -24,7 +24,7 @@
 HELD_EACH, COPIES_EACH = 3, 6
 """Models in memory and models with a copy on disk, per target."""
 ADAPTERS = 2
-MISSED_SHARE = 0.5
+REQUESTED_SHARE = 0.5
 """Share of the unloaded models that are requested, as after a shift of demand."""
 GOALS = (timedelta(seconds=0.8), timedelta(seconds=0.8), timedelta(seconds=8))
 NOW = timedelta(seconds=100)
@@ -62,7 +62,7 @@
     book = DemandBook()
     for index in range(models):
         name = f"m{index}"
-        missed = name not in held and rng.random() < MISSED_SHARE
+        missed = name not in held and rng.random() < REQUESTED_SHARE
         for request_index in range(4):
             priority = rng.randrange(len(GOALS))
             adapter = (
@@ -76,7 +76,7 @@
     return book
 
 
-def round_ms(targets: int, models: int) -> tuple[int, float]:
+def measure_round(targets: int, models: int) -> tuple[int, float]:
     """Return the number of missing models and the milliseconds of a round."""
     rng = random.Random(targets)
     engine = _engine(models)
@@ -97,7 +97,7 @@
     """Write one row per size."""
     report = Report("orders", "One round of planning", "make bench-orders")
     for targets, models in SIZES:
-        missed, milliseconds = round_ms(targets, models)
+        missed, milliseconds = measure_round(targets, models)
         report.add(targets=targets, models=models, missed=missed, round_ms=milliseconds)
     report.write()
 
--- a/benchmarks/bench_permits.py
+++ b/benchmarks/bench_permits.py
@@ -11,12 +11,12 @@
     Standing,
     SystemClock,
     Vm,
-    rank,
+    rank_names,
 )
 from runhatch_server.gateway._permits import PermitExchange
 from runhatch_server.gateway._rate_limits import RateLimits
 from runhatch_server.observability import Metrics
-from runhatch_server.peers import Fact, LimitOfTarget, Member, PermitAsked
+from runhatch_server.peers import Fact, LimitOfTarget, Member, PermitRequest
 
 NODES = (9, 91, 195, 390)
 PERMITS = 2_000
@@ -34,7 +34,7 @@
 
     clock = SystemClock()
     membership = Membership(own, clock)
-    membership.learn(MemberFact(vm, Standing.ALIVE) for vm in vms)
+    membership.merge_facts(MemberFact(vm, Standing.ALIVE) for vm in vms)
     limits = RateLimits(clock, Metrics())
     exchange = PermitExchange(
         limits, membership, clock, discard, lambda fact: None, lambda: None
@@ -43,15 +43,15 @@
     return exchange
 
 
-def trial(count: int) -> tuple[float, float]:
+def run_trial(count: int) -> tuple[float, float]:
     """Return the microseconds to request a permit and to grant one."""
     vms = [Vm(f"n{i}", f"d{i % 3}", f"10.0.0.{i}:1", 1) for i in range(count)]
-    ranked = rank("t", [vm.name for vm in vms])
+    ranked = rank_names("t", [vm.name for vm in vms])
     by_name = {vm.name: vm for vm in vms}
     allocator = make_exchange(by_name[ranked[0]], vms)
     requester = make_exchange(by_name[ranked[1]], vms)
     sender = Member(ranked[1], "d0", by_name[ranked[1]].address, 1, Standing.ALIVE)
-    fact = PermitAsked(0, LimitOfTarget("t", RATE, 0))
+    fact = PermitRequest(0, LimitOfTarget("t", RATE, 0))
     started = time.process_time()
     for _ in range(PERMITS):
         requester.request_permit("t", 0)
@@ -66,7 +66,7 @@
     """Run the benchmark and write its report."""
     report = Report("permits", "Permits for limited targets", "make bench-permits")
     for count in NODES:
-        trials = [trial(count) for _ in range(TRIALS)]
+        trials = [run_trial(count) for _ in range(TRIALS)]
         report.add(
             nodes=count,
             ask_us=round(statistics.median(request_us for request_us, _ in trials), 1),
--- a/benchmarks/bench_relay.py
+++ b/benchmarks/bench_relay.py
@@ -10,16 +10,18 @@
 
 from runhatch_standins._cluster import Sizes, start_cluster
 
-SPREAD = 2.0
-CASES = [(n, SPREAD) for n in (1, 20, 100, 300)] + [(n, 0.0) for n in (20, 100, 300)]
+ARRIVAL_SPREAD_SECONDS = 2.0
+CASES = [(n, ARRIVAL_SPREAD_SECONDS) for n in (1, 20, 100, 300)] + [
+    (n, 0.0) for n in (20, 100, 300)
+]
 TOKENS = 60
-PER_TOKEN = 0.04
+SECONDS_PER_TOKEN = 0.04
 CALLER_PROCESSES = 3
 SEED = 5
 
 
-def load(
-    url: str, models: list[str], at_once: int, seed: int, spread: float
+def run_load(
+    url: str, models: list[str], concurrency: int, seed: int, spread: float
 ) -> tuple[list[float], list[float], int, int]:
     """Run callers in several processes.
 
@@ -27,7 +29,7 @@
     and the number of incomplete streams.
     """
     shares = [
-        len(chunk) for chunk in np.array_split(np.arange(at_once), CALLER_PROCESSES)
+        len(chunk) for chunk in np.array_split(np.arange(concurrency), CALLER_PROCESSES)
     ]
     shares = [share for share in shares if share]
     with ProcessPoolExecutor(len(shares)) as pool:
@@ -67,7 +69,7 @@
         adapters=0,
         slots=400,
         queue=400,
-        per_token=PER_TOKEN,
+        per_token=SECONDS_PER_TOKEN,
     )
     settings = {"serving": {"threads": 400, "queue_limit": 400}}
     cluster = start_cluster(sizes, settings)
@@ -82,9 +84,9 @@
         direct = [f"{name}@1" for name, target in hosted.items() if target == "e2"]
         pid = cluster.nodes["n1"].process.pid
         for at_once, spread in CASES:
-            first, _, _, _ = load(engine.url, direct, at_once, SEED, spread)
+            first, _, _, _ = run_load(engine.url, direct, at_once, SEED, spread)
             before = cpu_seconds(pid)
-            through, gaps, tokens, incomplete = load(
+            through, gaps, tokens, incomplete = run_load(
                 cluster.caller_url("n1"), [*hosted], at_once, SEED, spread
             )
             used_seconds = cpu_seconds(pid) - before
@@ -104,7 +106,8 @@
     finally:
         cluster.close()
     report.add_note(
-        f"Each stream has {TOKENS} tokens {PER_TOKEN * 1000:g} ms apart. Callers, node "
+        f"Each stream has {TOKENS} tokens {SECONDS_PER_TOKEN * 1000:g} ms apart. "
+        f"Callers, node "
         "and engines share one machine. Direct: one engine. Through: one node in "
         "front of three engines."
     )
--- a/benchmarks/bench_routing.py
+++ b/benchmarks/bench_routing.py
@@ -10,10 +10,10 @@
 SEEDS = (1, 2, 3, 4, 5)
 FAULT_AT, FAULT_UNTIL = 60.0, 100.0
 FAULTY = "w0"
-SLOWED = 10.0
-NOTICED_SHARE = 0.5
+SLOWDOWN_FACTOR = 10.0
+DETECTION_SHARE = 0.5
 """A fault counts as detected below this share of an even share of requests."""
-WINDOW = 2.0
+WINDOW_SECONDS = 2.0
 AFFINITIES = {
     "off": RoutingSize(affinity=False),
     "own answers": RoutingSize(),
@@ -24,7 +24,7 @@
 }
 
 
-def affinity_rows() -> None:
+def report_affinity() -> None:
     """Report prefix hits and first tokens by source of cache knowledge."""
     report = Report("affinity", "Prefix affinity", "make bench-routing")
     for load, rate in (("half", 40.0), ("nearly full", 75.0)):
@@ -53,7 +53,7 @@
     report.write()
 
 
-def fault_rows() -> None:
+def report_faults() -> None:
     """Report the cost of a target's fault and its detection time."""
     report = Report("faults", "A target slowed or gone", "make bench-routing")
     for fault in ("none", "slowed tenfold", "gone"):
@@ -89,7 +89,7 @@
     engine = replay.engines[FAULTY]
 
     def begin() -> None:
-        engine.slowdown = SLOWED if fault == "slowed tenfold" else 1.0
+        engine.slowdown = SLOWDOWN_FACTOR if fault == "slowed tenfold" else 1.0
         engine.crashed = fault == "gone"
 
     def end() -> None:
@@ -103,7 +103,9 @@
 
 def _relative_share(result: RoutingResult, start: float) -> float:
     """Return the faulty target's requests in a window, relative to an even share."""
-    window = [w for at, w in result.arrivals_by_worker if start <= at < start + WINDOW]
+    window = [
+        w for at, w in result.arrivals_by_worker if start <= at < start + WINDOW_SECONDS
+    ]
     return 9 * window.count(FAULTY) / max(1, len(window))
 
 
@@ -116,14 +118,14 @@
 
 
 def _detection_seconds(result: RoutingResult) -> float:
-    seconds = np.arange(FAULT_AT, FAULT_UNTIL, WINDOW)
-    matches = [s for s in seconds if _relative_share(result, s) < NOTICED_SHARE]
+    seconds = np.arange(FAULT_AT, FAULT_UNTIL, WINDOW_SECONDS)
+    matches = [s for s in seconds if _relative_share(result, s) < DETECTION_SHARE]
     return float(matches[0] - FAULT_AT) if matches else float("nan")
 
 
 def _recovery_seconds(result: RoutingResult) -> float:
-    seconds = np.arange(FAULT_UNTIL, 140.0, WINDOW)
-    matches = [s for s in seconds if _relative_share(result, s) >= NOTICED_SHARE]
+    seconds = np.arange(FAULT_UNTIL, 140.0, WINDOW_SECONDS)
+    matches = [s for s in seconds if _relative_share(result, s) >= DETECTION_SHARE]
     return float(matches[0] - FAULT_UNTIL) if matches else float("nan")
 
 
@@ -136,5 +138,5 @@
 
 
 if __name__ == "__main__":
-    affinity_rows()
-    fault_rows()
+    report_affinity()
+    report_faults()
--- a/benchmarks/bench_slopes.py
+++ b/benchmarks/bench_slopes.py
@@ -21,12 +21,12 @@
     LedgerRow,
     LoadUnit,
     PoolState,
-    hosting_of,
+    hosting_from_row,
     plan,
 )
 from runhatch_server.placement._state import pool_models
 from runhatch_server.placement._store import VersionedRow
-from runhatch_server.serving import Hosting, Picture
+from runhatch_server.serving import Hosting, PlacementCache
 from runhatch_server.targets import EngineClient
 from runhatch_standins import launch
 from runhatch_standins._cluster import Sizes, call, start_cluster
@@ -37,13 +37,13 @@
 TARGET_NODES = 390
 WATCH_SECONDS = 12.0
 READ_ENGINES = 4
-POOL_WORKERS = 60
+WORKERS_PER_POOL = 60
 """Workers per pool at the target size of ten pools."""
 
 
-def document(models: int, workers: int) -> bytes:
+def make_document(models: int, workers: int) -> bytes:
     """Return a configuration with two adapters per model, encoded as JSON."""
-    pools = max(1, workers // POOL_WORKERS)
+    pools = max(1, workers // WORKERS_PER_POOL)
     by_pool: list[list[dict[str, object]]] = [[] for _ in range(pools)]
     for index in range(workers):
         target = {
@@ -82,7 +82,7 @@
     ).encode()
 
 
-def hostings(deployment: Deployment) -> list[Hosting]:
+def make_hostings(deployment: Deployment) -> list[Hosting]:
     """Return a placement with each model on about three workers of its pool."""
     results = []
     for pool in deployment.pools:
@@ -91,7 +91,7 @@
             units = []
             for offset in range(max(1, 3 * len(models) // len(pool.targets))):
                 model = models[(index * 4 + offset) % len(models)]
-                units += [model.unit]
+                units += [model.unit_name]
                 units += [a.unit for a in deployment.adapters_of(model.name)]
             results.append(Hosting(target.name, 1, tuple(units)))
     return results
@@ -105,15 +105,15 @@
     import pynng  # noqa: F401
     import waitress  # noqa: F401
 
-    body = document(*size)
+    body = make_document(*size)
     gc.collect()
     before = resident_mb(os.getpid())
     deployment = parse_deployment(body)
-    picture = Picture()
-    picture.configure(deployment)
-    placement = hostings(deployment)
+    picture = PlacementCache()
+    picture.set_deployment(deployment)
+    placement = make_hostings(deployment)
     for hosting in placement:
-        picture.learn(hosting)
+        picture.apply_hosting(hosting)
     gc.collect()
     after = resident_mb(os.getpid())
     version = [1]
@@ -122,7 +122,7 @@
         version[0] += 1
         hosting = placement[version[0] % len(placement)]
         units = hosting.units[version[0] % 2 :]
-        picture.learn(replace(hosting, version=version[0], units=units))
+        picture.apply_hosting(replace(hosting, version=version[0], units=units))
 
     return {
         "body_kb": len(body) / 1024,
@@ -133,9 +133,9 @@
     }
 
 
-def pool_state(models: int, workers: int) -> PoolState:
+def make_pool_state(models: int, workers: int) -> PoolState:
     """Return the state of a fully loaded pool with evenly distributed work."""
-    deployment = parse_deployment(document(models, workers))
+    deployment = parse_deployment(make_document(models, workers))
     pool = deployment.pools[0]
     rows = {t.name: LedgerRow(t.name, t.memory_mb) for t in pool.targets}
     state = PoolState(
@@ -144,7 +144,7 @@
     while loads := [a for a in plan(state) if isinstance(a, LoadUnit)]:
         for load in loads:
             row = rows[load.target]
-            charge: Charge = replace(load.charge(), state=ChargeState.SERVING)
+            charge: Charge = replace(load.new_charge(), state=ChargeState.SERVING)
             rows[load.target] = row.with_charge(charge)
     work = {model.name: 8.0 for model in deployment.models}
     return replace(state, work=work)
@@ -152,11 +152,12 @@
 
 def measure_plan(size: tuple[int, int]) -> dict[str, float]:
     """Return the processor time of planning a pool of ``size`` once."""
-    state = pool_state(*size)
+    state = make_pool_state(*size)
     rows = [VersionedRow(row, 1) for row in state.rows.values()]
     return {
         "plan_ms": time_call(lambda: plan(state)) * 1000,
-        "hostings_ms": time_call(lambda: [hosting_of(row) for row in rows]) * 1000,
+        "hostings_ms": time_call(lambda: [hosting_from_row(row) for row in rows])
+        * 1000,
     }
 
 
@@ -313,7 +314,7 @@
 
 
 def _read_report(client: EngineClient) -> object:
-    return client.report()
+    return client.fetch_report()
 
 
 REPORTS = {
--- a/benchmarks/platform_compare.py
+++ b/benchmarks/platform_compare.py
@@ -15,15 +15,15 @@
 from pathlib import Path
 from typing import Any
 
-AT_ONCE = 7
+MAX_CONCURRENT_DAYS = 7
 """Days run concurrently; leaves one core to the rest of the machine."""
 DAYS = ("quiet-1", "trouble-1", "scale-1", "trouble-2", "scale-2", "trouble-3", "mix")
 SEEDS = (101, 202, 303, 404)
-LEAST_TOLD = 0.0003
+MIN_PRINTED_CHANGE = 0.0003
 """Changes of prices below this share of a day's worth are not printed."""
 
 
-def play(bench: str, site: str, out: str, days: list[str], why: str) -> None:
+def run_days(bench: str, site: str, out: str, days: list[str], why: str) -> None:
     """Run ``days``, each given as DAY:SEED, several at a time."""
     folder = Path(out)
     folder.mkdir(parents=True, exist_ok=True)
@@ -42,13 +42,13 @@
             else f"{day} wrote no report: {process.stderr[-300:]}"
         )
 
-    with ThreadPoolExecutor(AT_ONCE) as executor:
+    with ThreadPoolExecutor(MAX_CONCURRENT_DAYS) as executor:
         for result in executor.map(play_one, names):
             if "no report" in result:
                 print(result)
 
 
-def figures(report: Mapping[str, Any]) -> Iterator[tuple[str, float]]:
+def read_figures(report: Mapping[str, Any]) -> Iterator[tuple[str, float]]:
     """Yield the names and values of one day's figures."""
     yield "worth", report["G"]
     for name in ("served", "refused", "failed"):
@@ -62,17 +62,17 @@
     yield "rules broken", float(len(report["breaks"]))
 
 
-def reports(folder: str) -> dict[str, dict[str, float]]:
+def read_reports(folder: str) -> dict[str, dict[str, float]]:
     """Return the figures of each day in ``folder`` by name."""
     return {
-        path.stem: dict(figures(json.loads(path.read_text())))
+        path.stem: dict(read_figures(json.loads(path.read_text())))
         for path in sorted(Path(folder).glob("*.json"))
     }
 
 
-def compare(old: str, new: str) -> None:
+def compare_folders(old: str, new: str) -> None:
     """Print the differences between two folders over the days that both have."""
-    before, after = reports(old), reports(new)
+    before, after = read_reports(old), read_reports(new)
     days = sorted(before.keys() & after.keys())
     print(f"{len(days)} days in both")
     for day in days:
@@ -83,7 +83,7 @@
         pairs = [(before[d].get(name, 0.0), after[d].get(name, 0.0)) for d in days]
         differences = [second - first for first, second in pairs]
         mean = statistics.mean(differences)
-        if name.startswith("price") and abs(mean) < LEAST_TOLD:
+        if name.startswith("price") and abs(mean) < MIN_PRINTED_CHANGE:
             continue
         first = statistics.mean(first for first, _ in pairs)
         error = statistics.stdev(differences) / len(days) ** 0.5 if len(days) > 1 else 0
@@ -94,9 +94,9 @@
     """Run the command given in the arguments."""
     match sys.argv[1:]:
         case ["play", bench, site, out, why, *days]:
-            play(bench, site, out, days, why)
+            run_days(bench, site, out, days, why)
         case ["compare", old, new]:
-            compare(old, new)
+            compare_folders(old, new)
         case _:
             print(__doc__)
 
--- a/benchmarks/platform_kinds.py
+++ b/benchmarks/platform_kinds.py
@@ -67,12 +67,14 @@
 )
 
 
-def shown(value: object) -> str:
+def format_toml(value: object) -> str:
     """Return ``value`` formatted as TOML."""
     if isinstance(value, dict):
-        return "{ " + ", ".join(f"{k} = {shown(v)}" for k, v in value.items()) + " }"
+        return (
+            "{ " + ", ".join(f"{k} = {format_toml(v)}" for k, v in value.items()) + " }"
+        )
     if isinstance(value, list):
-        return "[" + ", ".join(shown(item) for item in value) + "]"
+        return "[" + ", ".join(format_toml(item) for item in value) + "]"
     if isinstance(value, bool):
         return str(value).lower()
     return f'"{value}"' if isinstance(value, str) else str(value)
@@ -89,11 +91,11 @@
     day = {**base, "name": name, "plan": plan, "faults": faults}
     for mark in ("one", "zero", "goal", "floor_classes", "floor_zones", "closing"):
         day.pop(mark, None)
-    lines = [f"{key} = {shown(value)}" for key, value in day.items()]
+    lines = [f"{key} = {format_toml(value)}" for key, value in day.items()]
     (folder / f"{name}.toml").write_text("\n".join(lines) + "\n")
 
 
-def twice(trouble: dict[str, Any]) -> list[dict[str, Any]]:
+def schedule_twice(trouble: dict[str, Any]) -> list[dict[str, Any]]:
     """Return ``trouble`` scheduled early and late in the day."""
     return [{"at": at, **trouble} for at in (EARLY, LATE)]
 
@@ -104,12 +106,16 @@
     target.mkdir(parents=True, exist_ok=True)
     base = tomllib.loads(site.read_text())["day"][0]
     for i, trouble in enumerate(PLAN):
-        write_day(target, f"plan{i}-{trouble['kind']}", base, twice(trouble), [])
+        write_day(
+            target, f"plan{i}-{trouble['kind']}", base, schedule_twice(trouble), []
+        )
     for i, trouble in enumerate(FAULTS):
-        write_day(target, f"fault{i}-{trouble['kind']}", base, [], twice(trouble))
+        write_day(
+            target, f"fault{i}-{trouble['kind']}", base, [], schedule_twice(trouble)
+        )
     by_kind = {trouble["kind"]: trouble for trouble in FAULTS}
     for first, second in PAIRS:
-        both = [*twice(by_kind[first]), *twice(by_kind[second])]
+        both = [*schedule_twice(by_kind[first]), *schedule_twice(by_kind[second])]
         write_day(target, f"pair-{first}-{second}", base, [], both)
 
 
--- a/benchmarks/platform_losses.py
+++ b/benchmarks/platform_losses.py
@@ -15,11 +15,11 @@
 from typing import Any
 
 WINDOW_SECONDS = 2
-MOST_ROWS = 12
+MAX_ROWS = 12
 
 
 @dataclass(frozen=True, slots=True)
-class Lost:
+class LostRequest:
     """One request that was not answered in time."""
 
     reason: str
@@ -29,7 +29,7 @@
     window: int
 
 
-def lines(paths: Iterable[str], *types: str) -> Iterator[dict[str, Any]]:
+def read_messages(paths: Iterable[str], *types: str) -> Iterator[dict[str, Any]]:
     """Yield log messages of these types, ignoring prefixes added by a log collector."""
     patterns = tuple(f'"message_type": "{each}"' for each in types)
     for path in paths:
@@ -43,7 +43,7 @@
                 continue
 
 
-def reason(line: dict[str, Any]) -> str:
+def loss_reason(line: dict[str, Any]) -> str:
     """Return why a request was not answered in time."""
     if line["outcome"] != "answered":
         return str(line["outcome"])
@@ -53,7 +53,7 @@
     return "paused too long" if began is not None and began <= goal else "began late"
 
 
-def lost(messages: list[dict[str, Any]]) -> Iterator[Lost]:
+def find_lost_requests(messages: list[dict[str, Any]]) -> Iterator[LostRequest]:
     """Yield the requests for models that were not answered in time."""
     first = min((line["timestamp"] for line in messages), default=0.0)
     for line in messages:
@@ -62,13 +62,15 @@
         began = line["timestamp"] - line["took_ms"] / 1000 - first
         window = max(0, int(began // WINDOW_SECONDS) * WINDOW_SECONDS)
         target = line["attempts"][-1].partition(":")[0] if line["attempts"] else "none"
-        yield Lost(reason(line), line["route"], line["model"], target, window)
+        yield LostRequest(
+            loss_reason(line), line["route"], line["model"], target, window
+        )
 
 
-def show(title: str, counts: Counter[tuple[str, ...]]) -> None:
+def print_table(title: str, counts: Counter[tuple[str, ...]]) -> None:
     """Print one table by descending count; the last row sums up the remainder."""
     print(f"\n{title}: {counts.total()} lost")
-    rows = counts.most_common(MOST_ROWS)
+    rows = counts.most_common(MAX_ROWS)
     for names, count in rows:
         print(f"{count:7} {'  '.join(names)}")
     rest = counts.total() - sum(count for _, count in rows)
@@ -78,18 +80,20 @@
 
 def main() -> None:
     """Print the tables for the logs given as arguments."""
-    messages = list(lines(sys.argv[1:], "request"))
+    messages = list(read_messages(sys.argv[1:], "request"))
     if not messages:
         print(__doc__)
         return
-    losses = list(lost(messages))
+    losses = list(find_lost_requests(messages))
     model_requests = sum(bool(line["model"]) for line in messages)
     print(f"{model_requests} requests for models, {len(losses)} not answered in time")
-    show("by reason and route", Counter((each.reason, each.route) for each in losses))
-    show("by reason", Counter((each.reason,) for each in losses))
-    show("by seconds", Counter((f"{each.window:3} s",) for each in losses))
-    show("by model", Counter((each.model, each.reason) for each in losses))
-    show("by target", Counter((each.target, each.reason) for each in losses))
+    print_table(
+        "by reason and route", Counter((each.reason, each.route) for each in losses)
+    )
+    print_table("by reason", Counter((each.reason,) for each in losses))
+    print_table("by seconds", Counter((f"{each.window:3} s",) for each in losses))
+    print_table("by model", Counter((each.model, each.reason) for each in losses))
+    print_table("by target", Counter((each.target, each.reason) for each in losses))
 
 
 if __name__ == "__main__":
--- a/benchmarks/platform_unserved.py
+++ b/benchmarks/platform_unserved.py
@@ -11,44 +11,44 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from platform_losses import lines
+from platform_losses import read_messages
 
-LEAST_ASKED = 4
+MIN_REQUESTS = 4
 """Minimum number of requests for a model to be reported."""
-LEAST_SECONDS = 8.0
+MIN_SECONDS = 8.0
 """Minimum seconds between the first and the last request."""
 
 
 @dataclass(slots=True)
-class Asked:
+class RequestSummary:
     """Requests for one model or adapter; ``times`` are timestamps of log lines."""
 
     times: list[float] = field(default_factory=list)
     outcomes: Counter[str] = field(default_factory=Counter)
     answered: int = 0
-    left: Counter[str] = field(default_factory=Counter)
+    deferral_reasons: Counter[str] = field(default_factory=Counter)
 
-    def take(self, line: dict[str, Any]) -> None:
+    def add_request(self, line: dict[str, Any]) -> None:
         """Count the request of one log line."""
         self.times.append(line["timestamp"])
         self.outcomes[str(line["outcome"])] += 1
         self.answered += line["status"] == 200
 
     @property
-    def counts(self) -> bool:
+    def is_significant(self) -> bool:
         """Whether there were enough requests over a long enough time."""
-        long_enough = self.times and max(self.times) - min(self.times) >= LEAST_SECONDS
-        return len(self.times) >= LEAST_ASKED and bool(long_enough)
+        long_enough = self.times and max(self.times) - min(self.times) >= MIN_SECONDS
+        return len(self.times) >= MIN_REQUESTS and bool(long_enough)
 
 
-def read(path: str) -> dict[tuple[str, str], Asked]:
+def read_log(path: str) -> dict[tuple[str, str], RequestSummary]:
     """Return the requests in one log by model and adapter."""
-    asked: defaultdict[tuple[str, str], Asked] = defaultdict(Asked)
-    for line in lines([path], "request", "load_left"):
+    asked: defaultdict[tuple[str, str], RequestSummary] = defaultdict(RequestSummary)
+    for line in read_messages([path], "request", "load_left"):
         if line["message_type"] == "load_left":
-            asked[line["model"], ""].left[str(line["because"])] += 1
+            asked[line["model"], ""].deferral_reasons[str(line["because"])] += 1
         elif line["model"]:
-            asked[line["model"], line["adapter"]].take(line)
+            asked[line["model"], line["adapter"]].add_request(line)
     return asked
 
 
@@ -56,7 +56,9 @@
     """Print the table of each log given as an argument."""
     for path in sys.argv[1:]:
         asked = {
-            name: requests for name, requests in read(path).items() if requests.counts
+            name: requests
+            for name, requests in read_log(path).items()
+            if requests.is_significant
         }
         unserved = {
             name: requests for name, requests in asked.items() if not requests.answered
@@ -68,7 +70,9 @@
                 f"  {model}/{adapter}" if adapter else f"  {model}",
                 f"{len(requests.times)} times in {last_at - first_at:.1f} s,",
                 ", ".join(f"{n} {outcome}" for outcome, n in requests.outcomes.items()),
-                f"; left as {dict(requests.left)}" if requests.left else "",
+                f"; left as {dict(requests.deferral_reasons)}"
+                if requests.deferral_reasons
+                else "",
             )
 
 
--- a/benchmarks/replay/_placements.py
+++ b/benchmarks/replay/_placements.py
@@ -46,8 +46,8 @@
         self, now: timedelta, counts: dict[str, int], rows: Rows, ages: Ages
     ) -> list[Action]:
         """Return the plan that the lease holder would make."""
-        self._demand.add(counts)
-        self._demand.tick(now)
+        self._demand.add_counts(counts)
+        self._demand.update_rates(now)
         state = PoolState(
             self._deployment.pools[0],
             self._deployment.models,
@@ -123,10 +123,12 @@
         for model in self._deployment.models:
             serving = _hosts(model, planned_rows, ChargeState.SERVING)
             for host in serving[replicas[model.name] :]:
-                charge = planned_rows[host].find(model.unit)
+                charge = planned_rows[host].find_charge(model.unit_name)
                 assert charge is not None
-                planned_rows[host] = planned_rows[host].with_charge(charge.unloading())
-                actions.append(RetireUnit(host, model.unit, "less demand"))
+                planned_rows[host] = planned_rows[host].with_charge(
+                    charge.as_unloading()
+                )
+                actions.append(RetireUnit(host, model.unit_name, "less demand"))
         busiest = sorted(
             self._deployment.models,
             key=lambda model: self._counts.get(model.name, 0),
@@ -159,7 +161,7 @@
 def _hosts(model: ModelSpec, rows: Rows, *states: ChargeState) -> list[str]:
     host_names = []
     for name, row in rows.items():
-        charge = row.find(model.unit)
+        charge = row.find_charge(model.unit_name)
         if charge is not None and charge.state in states:
             host_names.append(name)
     return host_names
@@ -173,14 +175,19 @@
     free = [
         (row.free_mb, name)
         for name, row in rows.items()
-        if row.find(model.unit) is None
+        if row.find_charge(model.unit_name) is None
         and row.free_mb >= memory + model.loading_peak_mb
     ]
     if not free:
         return None
     target = max(free)[1]
     load = LoadUnit(
-        target, model.unit, memory, model.loading_peak_mb, Urgency.VALUE, "baseline"
+        target,
+        model.unit_name,
+        memory,
+        model.loading_peak_mb,
+        Urgency.VALUE,
+        "baseline",
     )
-    rows[target] = rows[target].with_charge(load.charge())
+    rows[target] = rows[target].with_charge(load.new_charge())
     return load
--- a/benchmarks/replay/_routing.py
+++ b/benchmarks/replay/_routing.py
@@ -20,12 +20,12 @@
 from runhatch_server.observability import Metrics
 from runhatch_server.refusals import Refusal
 from runhatch_server.serving import (
-    CacheIntake,
+    CacheEventReader,
     CallerRequest,
     Dispatcher,
     Grant,
     Hosting,
-    Picture,
+    PlacementCache,
     Route,
     RouteKind,
     Waiter,
@@ -84,7 +84,7 @@
     def record_outcome(self, request: CallerRequest, in_time: bool) -> None:
         """Record whether a request was answered in time."""
         self.in_time += in_time
-        self.outcomes.append((request.received.total_seconds(), in_time))
+        self.outcomes.append((request.received_at.total_seconds(), in_time))
 
 
 class SimulatedEngine(Slots):
@@ -113,7 +113,7 @@
             self._publish(dropped, False)
         return cached
 
-    def cache_events(self, after: int, limit: int) -> CacheEvents:
+    def fetch_cache_events(self, after: int, limit: int) -> CacheEvents:
         """Return cache events after a sequence number, delayed and with gaps."""
         seen = self.now() - self._settings.event_lag
         start = max(0, after + 1 - self._events[0][1].sequence) if self._events else 0
@@ -143,11 +143,11 @@
         self._events: list[tuple[float, int, Work]] = []
         self._event_numbers = itertools.count()
         deployment = parse_deployment(json.dumps(_document(size.workers)).encode())
-        picture = Picture()
-        picture.configure(deployment)
+        picture = PlacementCache()
+        picture.set_deployment(deployment)
         names = [f"w{i}" for i in range(size.workers)]
         for name in names:
-            picture.learn(Hosting(name, 1, ("m@1",)))
+            picture.apply_hosting(Hosting(name, 1, ("m@1",)))
         self.engines = {name: SimulatedEngine(size) for name in names}
         for engine in self.engines.values():
             engine.now = lambda: self.now
@@ -185,10 +185,10 @@
             work()
         return self.result
 
-    def _schedule_intakes(self, picture: Picture) -> None:
+    def _schedule_intakes(self, picture: PlacementCache) -> None:
         urls = {url: self.engines[name] for name, url in picture.target_urls().items()}
         for node in self._nodes:
-            intake = CacheIntake(node, picture, Metrics(), 4, urls.__getitem__)
+            intake = CacheEventReader(node, picture, Metrics(), 4, urls.__getitem__)
             for second in range(1, int(self.size.seconds)):
                 self.schedule(second, intake.read_round)
 
@@ -198,14 +198,14 @@
         text = f"{group:08d}" * (self.size.blocks * 256 // 8)
         request = CallerRequest(
             "", "caller", ROUTE, "POST", "/", 3, now, now + DEADLINE, True, None, b"",
-            prefix=prefix_blocks("m", text),
+            prefix_blocks=prefix_blocks("m", text),
         )  # fmt: skip
         self._enter_node(request, node, frozenset())
 
     def _enter_node(
         self, request: CallerRequest, node: int, avoided: frozenset[str]
     ) -> None:
-        admission = self._nodes[node].enter(request, avoided)
+        admission = self._nodes[node].try_acquire(request, avoided)
         if isinstance(admission, Waiter):
             wait_until = self.now + max(0.0, admission.patience.total_seconds())
             self._poll(admission, request, node, avoided, wait_until)
@@ -221,7 +221,9 @@
         wait_until: float,
     ) -> None:
         if waiter.settled.is_set() or self.now >= wait_until - POLL_SECONDS / 100:
-            self._apply_grant(self._nodes[node].leave(waiter), request, node, avoided)
+            self._apply_grant(
+                self._nodes[node].finish_waiting(waiter), request, node, avoided
+            )
             return
         next_poll = min(wait_until, self.now + POLL_SECONDS)
         self.schedule(
@@ -254,8 +256,8 @@
         self, grant: Grant, request: CallerRequest, node: int, avoided: frozenset[str]
     ) -> None:
         self.result.failed_attempts += 1
-        self._nodes[node].failed(grant, NotSent(AttemptReason.CONNECT_FAILED))
-        if self._budgets[node].withdraw():
+        self._nodes[node].release_failed(grant, NotSent(AttemptReason.CONNECT_FAILED))
+        if self._budgets[node].try_acquire_retry():
             self._enter_node(request, node, avoided | {grant.host.target})
         else:
             self._record_refusal(request)
@@ -272,12 +274,14 @@
         engine: SimulatedEngine,
         sent: float,
     ) -> None:
-        cached = engine.prefill(request.prefix)
-        self.result.requested_blocks += len(request.prefix)
+        cached = engine.prefill(request.prefix_blocks)
+        self.result.requested_blocks += len(request.prefix_blocks)
         self.result.cached_blocks += cached
-        prefill = PREFILL_PER_BLOCK * (len(request.prefix) - cached) * engine.slowdown
+        prefill = (
+            PREFILL_PER_BLOCK * (len(request.prefix_blocks) - cached) * engine.slowdown
+        )
         first = self.now + prefill
-        received = request.received.total_seconds()
+        received = request.received_at.total_seconds()
         self.result.first_tokens.append(first - received)
         end = first + TOKENS_SECONDS * engine.slowdown
         deadline = request.deadline.total_seconds()
@@ -286,13 +290,13 @@
         def complete() -> None:
             load = ReportedLoad(engine.running, len(engine.queue))
             first_byte = timedelta(seconds=first - sent)
-            self._nodes[node].completed(grant, first_byte, load)
-            self._budgets[node].deposit()
+            self._nodes[node].release_completed(grant, first_byte, load)
+            self._budgets[node].record_success()
             self.result.record_outcome(request, in_time=True)
 
         def time_out() -> None:
             outcome = UnknownResult(AttemptReason.TIMED_OUT)
-            self._nodes[node].failed(grant, outcome)
+            self._nodes[node].release_failed(grant, outcome)
             self.result.record_outcome(request, in_time=False)
 
         self.schedule(min(end, deadline), complete if end <= deadline else time_out)
--- a/benchmarks/replay/_run.py
+++ b/benchmarks/replay/_run.py
@@ -12,14 +12,14 @@
 from replay._slots import Slots
 from replay._workload import DEADLINE_SECONDS, SLOTS, Arrival, Workload
 from runhatch_coordination.testing import ManualClock
-from runhatch_server.placement import ChargeState, LedgerRow, LoadUnit, hosting_of
+from runhatch_server.placement import ChargeState, LedgerRow, LoadUnit, hosting_from_row
 from runhatch_server.placement._store import VersionedRow
 from runhatch_server.refusals import Refusal
 from runhatch_server.serving import (
     CallerRequest,
     Dispatcher,
     Grant,
-    Picture,
+    PlacementCache,
     Route,
     RouteKind,
     Waiter,
@@ -78,8 +78,8 @@
         self._rows = {t.name: LedgerRow(t.name, t.memory_mb) for t in targets}
         self._versions: Counter[str] = Counter()
         self._state_changed_at: dict[tuple[str, str], timedelta] = {}
-        self._picture = Picture()
-        self._picture.configure(workload.deployment)
+        self._picture = PlacementCache()
+        self._picture.set_deployment(workload.deployment)
         self._nodes = [
             Dispatcher(self._picture, self._clock, f"d{i % 3}", 64, 1.0, seed + i)
             for i in range(ENTRY_NODES)
@@ -115,7 +115,9 @@
             actions = self._placement.step(timedelta(), {}, self._rows, {})
             loads = [action for action in actions if isinstance(action, LoadUnit)]
             for load in loads:
-                row = self._rows[load.target].with_charge(load.charge().serving())
+                row = self._rows[load.target].with_charge(
+                    load.new_charge().as_serving()
+                )
                 self._write_row(row)
             if not loads:
                 break
@@ -149,7 +151,7 @@
         if self._baseline is not Baseline.RUNHATCH:
             self._send_unadmitted(arrival, request)
             return
-        admission = node.enter(request)
+        admission = node.try_acquire(request)
         if isinstance(admission, Waiter):
             wait_until = self._now + max(0.0, admission.patience.total_seconds())
             self._poll(admission, arrival, node, request, wait_until)
@@ -187,7 +189,7 @@
     ) -> None:
         """Check every 20 ms whether the waiter is settled."""
         if waiter.settled.is_set() or self._now >= wait_until - ROUNDING_SECONDS:
-            self._run_granted(node.leave(waiter), arrival, node, request)
+            self._run_granted(node.finish_waiting(waiter), arrival, node, request)
             return
         next_poll = min(wait_until, self._now + 0.02)
         self._schedule(
@@ -213,7 +215,7 @@
             elapsed = self._clock.elapsed() - sent
             # The first token follows the wait in the engine's queue and the prefill.
             queued = elapsed - timedelta(seconds=arrival.service)
-            node.completed(grant, queued + PREFILL_DURATION, load)
+            node.release_completed(grant, queued + PREFILL_DURATION, load)
             self._record_answer(request)
 
         engine.begin(lambda: self._schedule(self._now + arrival.service, end))
@@ -226,13 +228,13 @@
         for action in self._placement.step(now, counts, self._rows, ages):
             row = self._rows[action.target]
             if isinstance(action, LoadUnit):
-                self._write_row(row.with_charge(action.charge()))
+                self._write_row(row.with_charge(action.new_charge()))
                 self._pending_loads.append((action.target, action.unit))
                 self.result.moves += 1
                 continue
-            charge = row.find(action.unit)
+            charge = row.find_charge(action.unit)
             assert charge is not None
-            self._write_row(row.with_charge(charge.unloading()))
+            self._write_row(row.with_charge(charge.as_unloading()))
             self.result.moves += 1
             target, unit = action.target, action.unit
             self._schedule(
@@ -261,25 +263,27 @@
 
     def _finish_load(self, target: str, unit: str) -> None:
         self._loads_in_progress -= 1
-        charge = self._rows[target].find(unit)
+        charge = self._rows[target].find_charge(unit)
         if charge is not None and charge.state is ChargeState.LOADING:
-            self._write_row(self._rows[target].with_charge(charge.serving()))
+            self._write_row(self._rows[target].with_charge(charge.as_serving()))
 
     def _remove_unit(self, target: str, unit: str) -> None:
-        self._write_row(self._rows[target].without([unit]))
+        self._write_row(self._rows[target].without_units([unit]))
         self._state_changed_at.pop((target, unit), None)
 
     def _write_row(self, row: LedgerRow) -> None:
-        row.check()
+        row.check_charges()
         for charge in row.charges:
-            previous = self._rows[row.target].find(charge.unit)
+            previous = self._rows[row.target].find_charge(charge.unit)
             if previous is None or previous.state is not charge.state:
                 self._state_changed_at[row.target, charge.unit] = self._clock.elapsed()
         self._rows[row.target] = row
         self._versions[row.target] += 1
-        self._picture.learn(hosting_of(VersionedRow(row, self._versions[row.target])))
+        self._picture.apply_hosting(
+            hosting_from_row(VersionedRow(row, self._versions[row.target]))
+        )
         for node in self._nodes:
-            node.picture_changed()
+            node.grant_free_slots()
 
 
 def replay(
--- a/packages/runhatch-cli/src/runhatch_cli/__main__.py
+++ b/packages/runhatch-cli/src/runhatch_cli/__main__.py
@@ -6,12 +6,12 @@
 
 import typer
 
-from runhatch_cli._apply import apply_document, read_document, wait_in_force
+from runhatch_cli._apply import apply_document, read_document, wait_until_in_force
 from runhatch_cli._client import DEFAULT_NODE, NODE_VARIABLE, NodeClient
 from runhatch_cli._errors import CommandError
 from runhatch_cli._explain import explain_request
 from runhatch_cli._language import Sentence, SentenceKind, parse
-from runhatch_cli._render import Output, show_document, show_records
+from runhatch_cli._render import OutputFormat, show_document, show_records
 
 app = typer.Typer(
     help="Query and control a runhatch system.",
@@ -25,14 +25,14 @@
     str,
     typer.Option("--node", envvar=NODE_VARIABLE, help="Operator address of any node."),
 ]
-OutputOption = Annotated[Output, typer.Option("--output", help="Output format.")]
+OutputOption = Annotated[OutputFormat, typer.Option("--output", help="Output format.")]
 
 
 @app.command()
 def query(
     sentence: Annotated[list[str], typer.Argument(help="A query or command.")],
     node: NodeOption = DEFAULT_NODE,
-    output: OutputOption = Output.TABLE,
+    output: OutputOption = OutputFormat.TABLE,
 ) -> None:
     """Run a query or command written in the query language.
 
@@ -67,7 +67,7 @@
     client = NodeClient(node)
     revision = apply_document(client, read_document(file), base, note)
     if wait:
-        took = wait_in_force([NodeClient(url) for url in wait], revision, seconds)
+        took = wait_until_in_force([NodeClient(url) for url in wait], revision, seconds)
         print(f"revision {revision} in force on {len(wait)} nodes after {took:.1f} s")
     else:
         print(f"revision {revision} accepted")
@@ -75,7 +75,7 @@
 
 @app.command()
 def status(
-    node: NodeOption = DEFAULT_NODE, output: OutputOption = Output.TABLE
+    node: NodeOption = DEFAULT_NODE, output: OutputOption = OutputFormat.TABLE
 ) -> None:
     """Show a summary of the system as a node sees it.
 
@@ -83,7 +83,7 @@
     """
     client = NodeClient(node)
     for noun in ("configuration", "nodes", "leases", "targets"):
-        if output is Output.TABLE:
+        if output is OutputFormat.TABLE:
             print(f"\n{noun}")
         records = client.post("/v1/query", {"noun": noun})["records"]
         show_records(records, output)
@@ -101,8 +101,8 @@
     explanation = explain_request(request_id, logs)
     for line in explanation.lines:
         print(line)
-    if explanation.torn:
-        print(f"{explanation.torn} incomplete lines were skipped")
+    if explanation.incomplete_lines:
+        print(f"{explanation.incomplete_lines} incomplete lines were skipped")
     print(f"cause: {explanation.cause}")
 
 
@@ -118,12 +118,12 @@
     Example: runhatch config show --revision 12
     """
     answer = NodeClient(node).get("/v1/configuration", revision=str(revision))
-    show_document(answer, Output.JSON)
+    show_document(answer, OutputFormat.JSON)
 
 
 @config.command("history")
 def config_history(
-    node: NodeOption = DEFAULT_NODE, output: OutputOption = Output.TABLE
+    node: NodeOption = DEFAULT_NODE, output: OutputOption = OutputFormat.TABLE
 ) -> None:
     """Show all revisions with author and time.
 
@@ -159,7 +159,7 @@
         sys.exit(error.exit_code)
 
 
-def _run_sentence(node: NodeClient, sentence: Sentence, output: Output) -> None:
+def _run_sentence(node: NodeClient, sentence: Sentence, output: OutputFormat) -> None:
     match sentence.kind:
         case SentenceKind.QUERY:
             answer = node.post("/v1/query", sentence.document)
--- a/packages/runhatch-cli/src/runhatch_cli/_apply.py
+++ b/packages/runhatch-cli/src/runhatch_cli/_apply.py
@@ -15,7 +15,7 @@
     RefusedError,
 )
 
-LOOK_EVERY_SECONDS = 0.2
+POLL_INTERVAL_SECONDS = 0.2
 Document = dict[str, Any]
 
 
@@ -60,22 +60,24 @@
     return int(records[0]["revision"]) if records else 0
 
 
-def wait_in_force(nodes: list[NodeClient], revision: int, seconds: float) -> float:
+def wait_until_in_force(
+    nodes: list[NodeClient], revision: int, timeout_seconds: float
+) -> float:
     """Wait until all ``nodes`` have ``revision``; return the seconds it took.
 
     Raises :class:`NotInForceError`, which names the nodes that do not have it after
-    ``seconds``.
+    ``timeout_seconds``.
     """
     started = time.monotonic()
     pending = list(nodes)
     while pending:
         pending = [node for node in pending if not _has_revision(node, revision)]
         waited = time.monotonic() - started
-        if pending and waited > seconds:
+        if pending and waited > timeout_seconds:
             names = ", ".join(node.url for node in pending)
             raise NotInForceError(f"revision {revision} is not in force on {names}")
         if pending:
-            time.sleep(LOOK_EVERY_SECONDS)
+            time.sleep(POLL_INTERVAL_SECONDS)
     return time.monotonic() - started
 
 
--- a/packages/runhatch-cli/src/runhatch_cli/_client.py
+++ b/packages/runhatch-cli/src/runhatch_cli/_client.py
@@ -13,7 +13,7 @@
 NODE_VARIABLE = "RUNHATCH_NODE"
 DEFAULT_NODE = "http://127.0.0.1:7402"
 TIMEOUT_SECONDS = 10.0
-CONFLICT = 409
+HTTP_CONFLICT = 409
 
 Document = dict[str, Any]
 
@@ -62,7 +62,7 @@
             raise UnreachableError(f"{self.url}: {error}") from None
         finally:
             connection.close()
-        if response.status == CONFLICT:
+        if response.status == HTTP_CONFLICT:
             raise ConflictError(answer["detail"])
         if response.status >= 500:
             raise UnreachableError(f"{self.url}: {answer['detail']}")
--- a/packages/runhatch-cli/src/runhatch_cli/_explain.py
+++ b/packages/runhatch-cli/src/runhatch_cli/_explain.py
@@ -12,26 +12,26 @@
 
 from runhatch_cli._errors import CommandError
 
-AROUND_SECONDS = 10.0
+RELATED_EVENT_WINDOW_SECONDS = 10.0
 """Time before a request's end in which related events are shown."""
-ABOUT_MODELS = ("load_planned", "order", "target_settled")
-ABOUT_TARGETS = (
+MODEL_MESSAGE_TYPES = ("load_planned", "order", "target_settled")
+TARGET_MESSAGE_TYPES = (
     "target_learned",
     "target_draining",
     "target_gone",
     "rate_limit_unreadable",
     "permit_unanswered",
 )
-ABOUT_REQUESTS = ("request", "target_ended", "request_held", "request_cleared")
-ABOUT_NODES = (
+REQUEST_MESSAGE_TYPES = ("request", "target_ended", "request_held", "request_cleared")
+NODE_MESSAGE_TYPES = (
     "lease",
     "configuration",
     "targets_unreachable",
     "targets_reachable",
     "log_lines_dropped",
 )
-NOISE = ("level", "task_uuid", "task_level", "timestamp", "message_type")
-CAUSES = {
+HIDDEN_FIELDS = ("level", "task_uuid", "task_level", "timestamp", "message_type")
+CAUSES_BY_OUTCOME = {
     "answered": "It was answered.",
     "no_replica": "No target had its model loaded, and none would have in time.",
     "no_target": "No target of its service accepted requests.",
@@ -69,24 +69,25 @@
     fields: dict[str, Any]
 
     @property
-    def kind(self) -> str:
+    def message_type(self) -> str:
         """Message type of the line."""
         return str(self.fields.get("message_type", ""))
 
     @property
-    def at(self) -> float:
+    def timestamp(self) -> float:
         """Time of the line, in seconds since the epoch."""
         return float(self.fields.get("timestamp", 0.0))
 
-    def show(self, base: float) -> str:
-        """Return the line as text, with its time relative to ``base``, in seconds."""
+    def format(self, relative_to: float) -> str:
+        """Return the line as text, its time in seconds since ``relative_to``."""
         parts = [
             f"{name}={value}"
             for name, value in self.fields.items()
-            if name not in NOISE and value not in (None, "", [])
+            if name not in HIDDEN_FIELDS and value not in (None, "", [])
         ]
         return (
-            f"{self.at - base:+9.3f} s  {self.source}  {self.kind}  {' '.join(parts)}"
+            f"{self.timestamp - relative_to:+9.3f} s  {self.source}  "
+            f"{self.message_type}  {' '.join(parts)}"
         )
 
 
@@ -96,7 +97,7 @@
 
     lines: tuple[str, ...]
     cause: str
-    torn: int
+    incomplete_lines: int
 
 
 def explain_request(request_id: str, paths: Iterable[Path]) -> Explanation:
@@ -109,11 +110,11 @@
     if not own:
         searched = f"{len(lines)} lines searched, {torn} incomplete"
         raise UnknownRequestError(f"no line of request {request_id} ({searched})")
-    end = max(line.at for line in own)
+    end = max(line.timestamp for line in own)
     related = [line for line in lines if _is_related(line, own, end)]
-    related.sort(key=lambda line: line.at)
+    related.sort(key=lambda line: line.timestamp)
     cause = _cause(own[-1], related)
-    return Explanation(tuple(line.show(end) for line in related), cause, torn)
+    return Explanation(tuple(line.format(end) for line in related), cause, torn)
 
 
 def _read_logs(paths: Iterable[Path]) -> tuple[list[LogLine], int]:
@@ -142,25 +143,25 @@
     """Return whether ``line`` is of the request or helps to explain its outcome."""
     if line in own or _is_of_repeat(line, own):
         return True
-    if line.kind == "rate_limit" and line.at <= end + 1:
+    if line.message_type == "rate_limit" and line.timestamp <= end + 1:
         # Logged only when a limit changes, so an old line may still be in force.
         return line.fields.get("target") in _request_targets(own)
-    if not end - AROUND_SECONDS <= line.at <= end + 1:
+    if not end - RELATED_EVENT_WINDOW_SECONDS <= line.timestamp <= end + 1:
         return False
-    if line.kind in ABOUT_NODES:
+    if line.message_type in NODE_MESSAGE_TYPES:
         return True
     model = own[-1].fields.get("model")
-    if line.kind in ABOUT_MODELS and model:
+    if line.message_type in MODEL_MESSAGE_TYPES and model:
         return model in _line_models(line)
-    return line.kind in ABOUT_TARGETS and line.fields.get("target") in _request_targets(
-        own
-    )
+    return line.message_type in TARGET_MESSAGE_TYPES and line.fields.get(
+        "target"
+    ) in _request_targets(own)
 
 
 def _is_of_repeat(line: LogLine, own: list[LogLine]) -> bool:
     """Return whether ``line`` concerns a repeat of the same request."""
     fingerprint = own[-1].fields.get("fingerprint")
-    if not fingerprint or line.kind not in ABOUT_REQUESTS:
+    if not fingerprint or line.message_type not in REQUEST_MESSAGE_TYPES:
         return False
     fingerprints = line.fields.get("requests", [line.fields.get("fingerprint")])
     return fingerprint in fingerprints
@@ -180,9 +181,9 @@
 
 def _cause(last: LogLine, related: list[LogLine]) -> str:
     outcome = str(last.fields.get("outcome", ""))
-    cause = CAUSES.get(outcome, f"It ended as {outcome or 'unknown'}.")
+    cause = CAUSES_BY_OUTCOME.get(outcome, f"It ended as {outcome or 'unknown'}.")
     if outcome == "targets_limited":
-        limits = [line for line in related if line.kind == "rate_limit"]
+        limits = [line for line in related if line.message_type == "rate_limit"]
         rates = {line.fields["target"]: line.fields.get("rate") for line in limits}
         limits_text = ", ".join(
             f"{name} {rate} a second" for name, rate in rates.items()
@@ -198,10 +199,13 @@
     planned = [
         line
         for line in related
-        if line.kind == "load_planned" and line.fields.get("model") == model
+        if line.message_type == "load_planned" and line.fields.get("model") == model
     ]
     if planned:
         return f"{cause} A load of it was planned but did not complete in time."
     if evicted:
         return f"{cause} It had been evicted for {evicted[-1].fields['model']}."
-    return f"{cause} No load of it was planned in the {AROUND_SECONDS:.0f} s before."
+    return (
+        f"{cause} No load of it was planned in the "
+        f"{RELATED_EVENT_WINDOW_SECONDS:.0f} s before."
+    )
--- a/packages/runhatch-cli/src/runhatch_cli/_language.py
+++ b/packages/runhatch-cli/src/runhatch_cli/_language.py
@@ -10,8 +10,8 @@
 
 from runhatch_cli._errors import LanguageError
 
-GRAMMAR = "language.lark"
-END = "$END"
+GRAMMAR_FILE = "language.lark"
+END_TOKEN_TYPE = "$END"
 Document = dict[str, Any]
 
 
@@ -57,12 +57,12 @@
 
 @cache
 def _parser() -> Lark:
-    grammar = files("runhatch_cli").joinpath(GRAMMAR).read_text()
+    grammar = files("runhatch_cli").joinpath(GRAMMAR_FILE).read_text()
     return Lark(grammar, parser="lalr")
 
 
 def _format_error(text: str, error: UnexpectedInput) -> str:
-    at_end = isinstance(error, UnexpectedToken) and error.token.type == END
+    at_end = isinstance(error, UnexpectedToken) and error.token.type == END_TOKEN_TYPE
     column = len(text) + 1 if at_end else error.column
     found = text[column - 1 :].split(maxsplit=1)[:1]
     shown = repr(found[0]) if found else "the end"
--- a/packages/runhatch-cli/src/runhatch_cli/_render.py
+++ b/packages/runhatch-cli/src/runhatch_cli/_render.py
@@ -10,16 +10,16 @@
 Record = dict[str, Any]
 
 
-class Output(Enum):
+class OutputFormat(Enum):
     """Output format of responses."""
 
     TABLE = "table"
     JSON = "json"
 
 
-def show_records(records: list[Record], output: Output) -> None:
+def show_records(records: list[Record], output: OutputFormat) -> None:
     """Print ``records``, one per row."""
-    if output is Output.JSON:
+    if output is OutputFormat.JSON:
         print(json.dumps(records, indent=2))
         return
     if not records:
@@ -33,9 +33,9 @@
     Console(soft_wrap=False).print(table)
 
 
-def show_document(document: Record, output: Output) -> None:
+def show_document(document: Record, output: OutputFormat) -> None:
     """Print ``document`` as JSON, or only its lines if it has any."""
-    if output is Output.JSON:
+    if output is OutputFormat.JSON:
         print(json.dumps(document, indent=2))
         return
     lines = document.get("lines")
--- a/packages/runhatch-cli/tests/test_explain.py
+++ b/packages/runhatch-cli/tests/test_explain.py
@@ -108,7 +108,7 @@
             make_request("answered"), '{"message_type": "req', "not json at all"
         )
 
-        assert explain_request("r1", [path]).torn == 1
+        assert explain_request("r1", [path]).incomplete_lines == 1
 
     def test_source_is_last_word_of_prefix(self, write_log):
         """The prefix that a log collector adds gives the source of a line."""
--- a/packages/runhatch-coordination/src/runhatch_coordination/__init__.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/__init__.py
@@ -7,16 +7,16 @@
 from runhatch_coordination._budget import RetryBudget
 from runhatch_coordination._claims import (
     CLAIM_PARTITION,
+    ClaimAcquired,
+    ClaimDone,
     ClaimOutcome,
+    ClaimPending,
     ClaimRecord,
     Claims,
     ClaimState,
     Committer,
-    Done,
-    Mismatch,
-    Pending,
-    Taken,
-    stored_claim,
+    DigestMismatch,
+    decode_claim,
 )
 from runhatch_coordination._clock import Clock, SystemClock
 from runhatch_coordination._commit import commit
@@ -29,7 +29,7 @@
     HistoryLost,
     Listing,
     TableWatcher,
-    WaitEnded,
+    WaitInterrupted,
 )
 from runhatch_coordination._group import GroupCommitter
 from runhatch_coordination._history import (
@@ -50,25 +50,25 @@
 from runhatch_coordination._leases import LEASE_PARTITION, Lease
 from runhatch_coordination._members import MemberFact, Membership, Standing
 from runhatch_coordination._peers import (
-    FULL_MESH,
+    MAX_FULL_MESH_NODES,
     Role,
     Vm,
     choose_peers,
     choose_readers,
-    rank,
-    role_of,
-    weight,
+    choose_role,
+    compute_weight,
+    rank_names,
 )
 from runhatch_coordination._permits import PermitRecord, SharedPermits
-from runhatch_coordination._replica import Offer, TableChanges, TableReplica
+from runhatch_coordination._replica import OfferOutcome, TableChanges, TableReplica
 from runhatch_coordination._revisions import (
     ObjectStore,
-    Overtaken,
     PublishOutcome,
     Revision,
     RevisionEntry,
     RevisionFeed,
     RevisionLog,
+    StaleBaseRevision,
     digest_of,
 )
 from runhatch_coordination._shared import (
@@ -98,7 +98,7 @@
 )
 
 __all__ = [
-    "WaitEnded",
+    "WaitInterrupted",
     "TableWatcher",
     "Listing",
     "HistoryLost",
@@ -121,7 +121,7 @@
     "Conflict",
     "CoordinationError",
     "Delete",
-    "Done",
+    "ClaimDone",
     "Epoch",
     "GetOutcome",
     "GroupCommitter",
@@ -132,11 +132,11 @@
     "LeaseRecord",
     "MemberFact",
     "Membership",
-    "Mismatch",
+    "DigestMismatch",
     "Missing",
     "ObjectStore",
-    "Overtaken",
-    "Pending",
+    "StaleBaseRevision",
+    "ClaimPending",
     "PermitRecord",
     "PublishOutcome",
     "Put",
@@ -144,7 +144,7 @@
     "RetryBudget",
     "Revision",
     "RevisionEntry",
-    "Offer",
+    "OfferOutcome",
     "RevisionFeed",
     "RevisionLog",
     "Row",
@@ -160,14 +160,14 @@
     "TableChanges",
     "TablePeers",
     "TableReplica",
-    "Taken",
+    "ClaimAcquired",
     "TransactOutcome",
     "Unavailable",
     "Unknown",
     "Vacancy",
     "Vm",
     "Write",
-    "FULL_MESH",
+    "MAX_FULL_MESH_NODES",
     "ORIGIN",
     "StoreVersion",
     "era_of",
@@ -178,9 +178,9 @@
     "choose_readers",
     "commit",
     "digest_of",
-    "rank",
-    "role_of",
+    "rank_names",
+    "choose_role",
     "require",
-    "stored_claim",
-    "weight",
+    "decode_claim",
+    "compute_weight",
 ]
--- a/packages/runhatch-coordination/src/runhatch_coordination/_budget.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/_budget.py
@@ -14,10 +14,10 @@
     is attempted only once.
 
     >>> budget = RetryBudget(share=0.5, reserve=1)
-    >>> [budget.withdraw(), budget.withdraw()]
+    >>> [budget.try_acquire_retry(), budget.try_acquire_retry()]
     [True, False]
-    >>> budget.deposit(); budget.deposit()
-    >>> budget.withdraw()
+    >>> budget.record_success(); budget.record_success()
+    >>> budget.try_acquire_retry()
     True
 
     .. versionadded:: 0.1
@@ -31,13 +31,13 @@
         self._balance = reserve
         self._lock = threading.Lock()
 
-    def deposit(self) -> None:
+    def record_success(self) -> None:
         """Record one success, which adds ``share`` tokens."""
         with self._lock:
             limit = 10 * self._reserve
             self._balance = min(limit, self._balance + self._share)
 
-    def withdraw(self) -> bool:
+    def try_acquire_retry(self) -> bool:
         """Take the token for one retry; return false if the retry must not be made."""
         with self._lock:
             if self._balance < 1:
--- a/packages/runhatch-coordination/src/runhatch_coordination/_claims.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/_claims.py
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
+class ClaimAcquired:
     """The caller holds the claim and may run the action once."""
 
     key: str
@@ -62,14 +62,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Done:
+class ClaimDone:
     """The action has already run; ``result`` is the value passed to ``finish``."""
 
     result: str
 
 
 @dataclass(frozen=True, slots=True)
-class Pending:
+class ClaimPending:
     """Another attempt, on ``node``, holds the claim; its action may have run."""
 
     node: str
@@ -77,11 +77,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Mismatch:
+class DigestMismatch:
     """The key was already used for a different request."""
 
 
-ClaimOutcome = Taken | Done | Pending | Mismatch | Unavailable
+ClaimOutcome = ClaimAcquired | ClaimDone | ClaimPending | DigestMismatch | Unavailable
 
 
 class Committer(Protocol):
@@ -113,7 +113,7 @@
         self._lock = threading.Lock()
         self._unused_attempts: set[str] = set()
 
-    def take(self, key: str, digest: str) -> ClaimOutcome:
+    def acquire(self, key: str, digest: str) -> ClaimOutcome:
         """Try to claim ``key`` for a request with ``digest``.
 
         If the outcome of the insertion stays unknown, return ``Unavailable`` and
@@ -124,7 +124,7 @@
         insertion = self._make_put(key, record, ABSENT)
         outcome = self._committer.commit([insertion])
         if isinstance(outcome, Committed):
-            return Taken(key, record)
+            return ClaimAcquired(key, record)
         if isinstance(outcome, Conflict):
             return self.read(key, digest)
         if isinstance(outcome, Unknown):
@@ -141,43 +141,43 @@
             return Unavailable("the claim was released concurrently")
         record = msgspec.json.decode(found.body, type=ClaimRecord)
         if record.digest != digest:
-            return Mismatch()
+            return DigestMismatch()
         if record.state is ClaimState.DONE:
-            return Done(record.result)
+            return ClaimDone(record.result)
         with self._lock:
             is_unused = record.attempt in self._unused_attempts
             self._unused_attempts.discard(record.attempt)
         if is_unused:
-            return Taken(key, record)
-        return Pending(record.node, record.attempt)
+            return ClaimAcquired(key, record)
+        return ClaimPending(record.node, record.attempt)
 
-    def finish(self, taken: Taken, result: str) -> TransactOutcome:
+    def finish(self, claim: ClaimAcquired, result: str) -> TransactOutcome:
         """Record that the action ran; ``result`` holds or locates its answer."""
         finished = ClaimRecord(
-            taken.record.attempt,
+            claim.record.attempt,
             self._node,
-            taken.record.digest,
+            claim.record.digest,
             ClaimState.DONE,
             result,
         )
         return self._update_claim(
-            taken, lambda expect: self._make_put(taken.key, finished, expect)
+            claim, lambda expect: self._make_put(claim.key, finished, expect)
         )
 
-    def release(self, taken: Taken) -> None:
+    def release(self, claim: ClaimAcquired) -> None:
         """Release a claim whose action has certainly not run.
 
         If the table is unreachable, record the attempt as unused instead, so that a
         repeated request on this node can take the claim.
         """
-        key = Key(CLAIM_PARTITION, taken.key)
-        outcome = self._update_claim(taken, lambda expect: Delete(key, expect))
+        key = Key(CLAIM_PARTITION, claim.key)
+        outcome = self._update_claim(claim, lambda expect: Delete(key, expect))
         if isinstance(outcome, Unavailable | Unknown):
             with self._lock:
-                self._unused_attempts.add(taken.record.attempt)
+                self._unused_attempts.add(claim.record.attempt)
 
     def _update_claim(
-        self, taken: Taken, write: Callable[[int], Put | Delete]
+        self, taken: ClaimAcquired, write: Callable[[int], Put | Delete]
     ) -> TransactOutcome:
         """Update the claim row, also after the table was restored from a copy.
 
@@ -187,7 +187,7 @@
         if not isinstance(outcome, Conflict):
             return outcome
         found = self._table.get(Key(CLAIM_PARTITION, taken.key))
-        if not isinstance(found, Row) or stored_claim(found) != taken.record:
+        if not isinstance(found, Row) or decode_claim(found) != taken.record:
             return outcome
         return self._committer.commit([write(found.version)])
 
@@ -197,6 +197,6 @@
         return Put(Key(CLAIM_PARTITION, key), body, expect, expires)
 
 
-def stored_claim(row: Row) -> ClaimRecord:
+def decode_claim(row: Row) -> ClaimRecord:
     """Decode a claim row, for operator tools and consistency checks."""
     return msgspec.json.decode(row.body, type=ClaimRecord)
--- a/packages/runhatch-coordination/src/runhatch_coordination/_commit.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/_commit.py
@@ -14,12 +14,12 @@
     Write,
 )
 
-RESUBMISSIONS = 2
+MAX_RESUBMISSIONS = 2
 """Number of times that a transaction with a lost answer is sent again."""
 
 
 def commit(
-    table: Table, writes: Sequence[Write], lost: bool = False
+    table: Table, writes: Sequence[Write], is_answer_lost: bool = False
 ) -> TransactOutcome:
     """Apply ``writes``, and resolve a lost answer by resending and reading back.
 
@@ -28,18 +28,19 @@
     returns.  Resending the transaction is safe because its conditions hold at most
     once.
 
-    ``lost`` means that a previous attempt to send ``writes`` already lost its answer.
+    ``is_answer_lost`` means that a previous attempt to send ``writes`` already lost its
+    answer.
 
     Return ``Unknown`` only if the table stays unreachable or the row of the first
     ``Put`` has been overwritten or deleted.
     """
     outcome = table.transact(writes)
-    for _ in range(RESUBMISSIONS):
+    for _ in range(MAX_RESUBMISSIONS):
         if not isinstance(outcome, Unknown):
             break
-        lost = True
+        is_answer_lost = True
         outcome = table.transact(writes)
-    if not lost or isinstance(outcome, Committed):
+    if not is_answer_lost or isinstance(outcome, Committed):
         return outcome
     if isinstance(outcome, Conflict):
         return _read_back(table, writes, outcome)
@@ -53,7 +54,7 @@
     found = table.get(first_put.key)
     if not isinstance(found, Row):
         return Unknown("the row of the first put cannot be read back")
-    writes_since = _writes_between(first_put.expect, found.version)
+    writes_since = _writes_between(first_put.expected_version, found.version)
     if writes_since == 1:
         return Committed() if found.body == first_put.body else conflict
     if writes_since <= 0:
--- a/packages/runhatch-coordination/src/runhatch_coordination/_errors.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/_errors.py
@@ -15,8 +15,8 @@
     """An invariant of the system is violated; the process must exit."""
 
 
-def require(holds: bool, promise: str) -> None:
-    """Raise :class:`InvariantError` with the message ``promise`` unless ``holds``.
+def require(condition: bool, invariant: str) -> None:
+    """Raise :class:`InvariantError` naming ``invariant`` unless ``condition`` holds.
 
     Unlike ``assert``, the check also runs under ``python -O``.
 
@@ -25,5 +25,5 @@
     Traceback (most recent call last):
     runhatch_coordination._errors.InvariantError: sum of charges <= capacity
     """
-    if not holds:
-        raise InvariantError(promise)
+    if not condition:
+        raise InvariantError(invariant)
--- a/packages/runhatch-coordination/src/runhatch_coordination/_feed.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/_feed.py
@@ -19,20 +19,20 @@
 ValueT_co = TypeVar("ValueT_co", covariant=True)
 ValueT_contra = TypeVar("ValueT_contra", contravariant=True)
 
-LONGEST_WAIT = timedelta(seconds=8)
+MAX_CALL_WAIT = timedelta(seconds=8)
 """How long the store may hold a call that waits for a change. A wait that ends without
 a change costs a call; one whose answer is lost delays the reader by this duration,
 unless a notice arrives earlier."""
-OVERDUE = timedelta(milliseconds=900)
+OVERDUE_TIMEOUT = timedelta(milliseconds=900)
 """Minimum time that a reader waits for a change after a notice of it from another node.
 The timeout also exceeds the coalescing pause, so that the pause does not trigger it."""
-OVERDUE_SLACK = timedelta(milliseconds=200)
+OVERDUE_MARGIN = timedelta(milliseconds=200)
 """Time added to the coalescing pause before a change counts as overdue."""
-COALESCE = timedelta(milliseconds=150)
+COALESCING_PAUSE = timedelta(milliseconds=150)
 """Pause between a change and the next call. Changes come in bursts and each call is
 paid for; readers receive a change at most this much later."""
-FIRST_RETRY = timedelta(milliseconds=200)
-LONGEST_RETRY = timedelta(seconds=1)
+MIN_RETRY_PAUSE = timedelta(milliseconds=200)
+MAX_RETRY_PAUSE = timedelta(seconds=1)
 """Longest pause between failing calls, so that calls resume within a second after an
 outage."""
 
@@ -67,7 +67,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WaitEnded:
+class WaitInterrupted:
     """The caller interrupted the wait; the store may be reachable or not."""
 
 
@@ -77,15 +77,15 @@
     def read(self) -> Listing[ValueT_co] | Unavailable:
         """Return the whole table."""
 
-    def changes(
+    def read_changes(
         self, after: StoreVersion, wait: timedelta
-    ) -> Changes[ValueT_co] | HistoryLost | WaitEnded | Unavailable:
+    ) -> Changes[ValueT_co] | HistoryLost | WaitInterrupted | Unavailable:
         """Return the changes after version ``after``.
 
         If there are none, wait up to ``wait`` for the first.
         """
 
-    def hurry(self) -> None:
+    def interrupt_wait(self) -> None:
         """Interrupt a call that waits for changes; the caller repeats it.
 
         A call whose answer is already arriving is not interrupted.
@@ -95,22 +95,23 @@
 class FeedListener(Protocol[ValueT_contra]):
     """Receives the contents of a watched table, from one thread and in order."""
 
-    def listed(self, entries: tuple[Entry[ValueT_contra], ...]) -> None:
+    def replace_entries(self, entries: tuple[Entry[ValueT_contra], ...]) -> None:
         """Replace the contents of the table by ``entries``."""
 
-    def changed(self, entries: tuple[Entry[ValueT_contra], ...]) -> None:
+    def apply_entries(self, entries: tuple[Entry[ValueT_contra], ...]) -> None:
         """Apply the changed and removed rows in ``entries``."""
 
-    def restored(self) -> None:
+    def handle_restoration(self) -> None:
         """Handle the restoration of the table from an older copy.
 
-        Rows written after that copy are lost. A call of :meth:`listed` follows.
+        Rows written after that copy are lost. A call of :meth:`replace_entries`
+        follows.
         """
 
-    def unreachable(self, reason: str) -> None:
+    def handle_outage(self, reason: str) -> None:
         """Handle the loss of the table; its known contents may become stale."""
 
-    def reachable(self) -> None:
+    def handle_recovery(self) -> None:
         """Handle that the table can be read again."""
 
 
@@ -127,10 +128,10 @@
         clock: Clock,
         stopping: threading.Event,
         on_failure: Callable[[Exception], None],
-        coalesce: timedelta = COALESCE,
+        coalescing_pause: timedelta = COALESCING_PAUSE,
     ) -> None:
-        self._coalesce_pause = coalesce
-        self._overdue_after = max(OVERDUE, coalesce + OVERDUE_SLACK)
+        self._coalesce_pause = coalescing_pause
+        self._overdue_after = max(OVERDUE_TIMEOUT, coalescing_pause + OVERDUE_MARGIN)
         self._feed = feed
         self._listener = listener
         self._clock = clock
@@ -147,27 +148,27 @@
         return self._delivered_version
 
     @property
-    def failing(self) -> bool:
+    def is_failing(self) -> bool:
         """Whether the last call failed."""
         return self._consecutive_failures > 0
 
     @property
-    def lists_next(self) -> bool:
+    def needs_listing(self) -> bool:
         """Whether the next call reads the whole table."""
         return self._version is None
 
-    def seek(self, version: StoreVersion) -> None:
+    def advance_to(self, version: StoreVersion) -> None:
         """Continue after ``version``, which another source has delivered."""
         if version > self._delivered_version:
             self._version = version
             self._delivered_version = version
 
-    def noticed(self, version: StoreVersion) -> None:
+    def record_version(self, version: StoreVersion) -> None:
         """Record a notice from another node that the table has reached ``version``."""
         if version > self._delivered_version and self._pending_notice is None:
             self._pending_notice = (version, self._clock.elapsed())
 
-    def check(self) -> bool:
+    def interrupt_if_overdue(self) -> bool:
         """Interrupt the wait if a change that another node announced is overdue.
 
         Returns whether it was.
@@ -180,7 +181,7 @@
             self._pending_notice = None
         elif self._clock.elapsed() - noticed_at >= self._overdue_after:
             self._pending_notice = None
-            self._feed.hurry()
+            self._feed.interrupt_wait()
             return True
         return False
 
@@ -191,18 +192,18 @@
                 pause = self.step()
             except Exception as error:
                 self._on_failure(error)
-                pause = LONGEST_RETRY
+                pause = MAX_RETRY_PAUSE
             self._stopping.wait(pause.total_seconds())
 
-    def step(self, wait: timedelta = LONGEST_WAIT) -> timedelta:
+    def step(self, wait: timedelta = MAX_CALL_WAIT) -> timedelta:
         """Make one call to the store and return the pause before the next one.
 
         The store holds the call for up to ``wait`` if nothing has changed.
         """
         if self._version is None:
             return self._read_whole_table()
-        outcome = self._feed.changes(self._version, wait)
-        if isinstance(outcome, WaitEnded):
+        outcome = self._feed.read_changes(self._version, wait)
+        if isinstance(outcome, WaitInterrupted):
             return timedelta()
         if isinstance(outcome, Unavailable):
             return self._record_failure(outcome)
@@ -218,7 +219,7 @@
         self._delivered_version = self._version
         if not outcome.entries:
             return timedelta()
-        self._listener.changed(outcome.entries)
+        self._listener.apply_entries(outcome.entries)
         return self._coalesce_pause
 
     def _read_whole_table(self) -> timedelta:
@@ -228,17 +229,17 @@
         self._record_success()
         if outcome.version < self._delivered_version:
             # A late answer: delivering it would undo changes already delivered.
-            return FIRST_RETRY
+            return MIN_RETRY_PAUSE
         self._version = outcome.version
         self._delivered_version = outcome.version
-        self._listener.listed(outcome.entries)
+        self._listener.replace_entries(outcome.entries)
         return timedelta()
 
     def _record_failure(self, outcome: Unavailable) -> timedelta:
         if not self._consecutive_failures:
-            self._listener.unreachable(outcome.reason)
+            self._listener.handle_outage(outcome.reason)
         pause = min(
-            LONGEST_RETRY, FIRST_RETRY * (1 << min(self._consecutive_failures, 4))
+            MAX_RETRY_PAUSE, MIN_RETRY_PAUSE * (1 << min(self._consecutive_failures, 4))
         )
         self._consecutive_failures += 1
         return pause
@@ -246,4 +247,4 @@
     def _record_success(self) -> None:
         if self._consecutive_failures:
             self._consecutive_failures = 0
-            self._listener.reachable()
+            self._listener.handle_recovery()
--- a/packages/runhatch-coordination/src/runhatch_coordination/_group.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/_group.py
@@ -17,7 +17,7 @@
     Write,
 )
 
-MAX_GROUP = 50
+MAX_GROUP_SIZE = 50
 """Transactions in one call; with two writes each, a call has at most 100 items."""
 
 
@@ -42,7 +42,7 @@
         self._table = table
         self._pending: queue.SimpleQueue[_Submission | None] = queue.SimpleQueue()
         self._thread = threading.Thread(target=self._run, name="group", daemon=True)
-        self.calls = 0
+        self.call_count = 0
         """Number of group calls made to the table."""
         self._thread.start()
 
@@ -71,7 +71,7 @@
             keys = _row_keys(submission)
             deferred: list[_Submission] = []
             with contextlib.suppress(queue.Empty):
-                while len(group) < MAX_GROUP:
+                while len(group) < MAX_GROUP_SIZE:
                     member = self._pending.get_nowait()
                     if member is None:
                         closing = True
@@ -89,7 +89,7 @@
     def _commit_group(self, group: list[_Submission]) -> None:
         while group:
             writes = [write for member in group for write in member.writes]
-            self.calls += 1
+            self.call_count += 1
             if len(group) == 1:
                 group[0].future.set_result(commit(self._table, writes))
                 return
@@ -100,7 +100,9 @@
             if isinstance(outcome, Unknown):
                 # Resolve the lost answer of each transaction separately.
                 for member in group:
-                    member_outcome = commit(self._table, member.writes, lost=True)
+                    member_outcome = commit(
+                        self._table, member.writes, is_answer_lost=True
+                    )
                     member.future.set_result(member_outcome)
                 return
             for member in group:
--- a/packages/runhatch-coordination/src/runhatch_coordination/_lease_records.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/_lease_records.py
@@ -35,13 +35,13 @@
     """Why a lease was free to be acquired."""
 
     NEVER_HELD = "never held"
-    GIVEN_UP = "given up"
-    OWN = "held by an earlier process of this node"
+    RELEASED = "given up"
+    OWN_PREVIOUS_PROCESS = "held by an earlier process of this node"
     RESIGNED = "resigned"
     LAPSED = "lapsed"
     RESTORED = "lapsed since the table came back"
     """The last holder is unknown because the row may come from an older copy."""
-    KEPT = "held by this process last"
+    OWN_PROCESS = "held by this process last"
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,14 +61,14 @@
     era: int | None
 
     @property
-    def is_from_another(self) -> bool:
+    def is_from_other_node(self) -> bool:
         """Whether another node may have held the lease since this process did."""
-        return self.vacancy is not Vacancy.KEPT and self.free_since is not None
+        return self.vacancy is not Vacancy.OWN_PROCESS and self.free_since is not None
 
     @property
-    def predecessor(self) -> int:
+    def previous_epoch(self) -> int:
         """Epoch of the previous holder, 0 if there was none or it is unknown."""
-        is_holder_unknown = self.vacancy in (Vacancy.RESTORED, Vacancy.KEPT)
+        is_holder_unknown = self.vacancy in (Vacancy.RESTORED, Vacancy.OWN_PROCESS)
         return 0 if is_holder_unknown else self.epoch
 
 
@@ -79,5 +79,5 @@
     ACQUIRED = "acquired"
     LOST = "lost"
     STORE_DOWN = "store_down"
-    BEHIND = "behind"
+    TABLE_BEHIND = "behind"
     """Not acquired: an observed epoch is newer than those stored in the table."""
--- a/packages/runhatch-coordination/src/runhatch_coordination/_leases.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/_leases.py
@@ -46,22 +46,22 @@
 
 LEASE_PARTITION = "lease"
 EPOCH_PARTITION = "epoch"
-RENEW_SHARE = 3
+RENEWALS_PER_TTL = 3
 """A holder renews after one Nth of the time to live."""
 CHALLENGE_FACTOR = 1.2
 """Multiple of the time to live that a challenger waits; it exceeds 1 by more than the
 drift between the clocks of two VMs, which is far below a tenth."""
 MILLISECOND = timedelta(milliseconds=1)
-ERAS_A_STEP = 3
+MAX_ATTEMPTS_PER_STEP = 3
 """Maximum number of attempts in one step when answers reveal a new era."""
 
 
 class Lease:
     """One lease as seen by one node; a single thread calls :meth:`step`.
 
-    :meth:`held` may be called from any thread.  Nodes that pass ``eager`` challenge a
-    free lease at once, others after one time to live, so that the preferred node
-    acquires it without contention.
+    :meth:`held_epoch` may be called from any thread.  Nodes that pass ``eager``
+    challenge a free lease at once, others after one time to live, so that the preferred
+    node acquires it without contention.
 
     .. versionadded:: 0.1
     """
@@ -118,12 +118,12 @@
     def _free_since(self) -> timedelta | None:
         return None if self._takeover is None else self._takeover.free_since
 
-    def left(self) -> timedelta:
+    def remaining_validity(self) -> timedelta:
         """Return the time until this node's lease expires unless it is renewed."""
         with self._lock:
             return self._remaining()
 
-    def held(self) -> Epoch | None:
+    def held_epoch(self) -> Epoch | None:
         """Return the current epoch if this node holds the lease, otherwise ``None``."""
         with self._lock:
             if self._remaining() == timedelta():
@@ -136,7 +136,7 @@
             return timedelta()
         return max(timedelta(), self._valid_until - self._clock.elapsed())
 
-    def observe(self, epoch: int, renewal: int) -> None:
+    def observe_renewal(self, epoch: int, renewal: int) -> None:
         """Record a renewal of the lease that its holder reported.
 
         A challenger that receives such reports need not poll the table: it measures
@@ -149,7 +149,7 @@
         if last_observed is None or last_observed[:2] < (epoch, renewal):
             self._last_observed = (epoch, renewal, self._clock.elapsed())
 
-    def observe_resigned(self, epoch: int) -> None:
+    def observe_resignation(self, epoch: int) -> None:
         """Record that the holder of ``epoch`` reported that it no longer acts."""
         self._resigned_epoch = max(self._resigned_epoch, epoch)
 
@@ -157,7 +157,7 @@
         """Renew or acquire the lease if that is due, and return what changed."""
         was_held = self._epoch != 0
         change = LeaseChange.NONE
-        for _ in range(ERAS_A_STEP):
+        for _ in range(MAX_ATTEMPTS_PER_STEP):
             if self._has_era_changed():
                 self._reset_for_new_era()
             change = self._step(eager)
@@ -173,7 +173,7 @@
     def _reset_for_new_era(self) -> None:
         """Discard what was read in the table's previous era."""
         valid_until = self._previous_valid_until
-        if self.held() is not None:
+        if self.held_epoch() is not None:
             valid_until = self._valid_until
         self._clear_hold()
         self._previous_valid_until = valid_until
@@ -182,7 +182,7 @@
         self._version = ABSENT
 
     def _step(self, eager: bool) -> LeaseChange:
-        if self._epoch and self.held() is None:
+        if self._epoch and self.held_epoch() is None:
             self._clear_hold()
             return LeaseChange.LOST
         if self._epoch:
@@ -195,7 +195,7 @@
 
     def release(self) -> None:
         """Release the lease in the table, so that another node can acquire it."""
-        if self.held() is not None and self._record is not None:
+        if self.held_epoch() is not None and self._record is not None:
             released = LeaseRecord("", self._epoch, self._next_renewal())
             self._write_record(released)
         self._clear_hold()
@@ -284,22 +284,24 @@
         record = self._record
         if self._may_predate_restore(record):
             was_held_here = now < self._previous_valid_until
-            return Vacancy.KEPT if was_held_here else Vacancy.RESTORED
+            return Vacancy.OWN_PROCESS if was_held_here else Vacancy.RESTORED
         if record is None:
             return Vacancy.NEVER_HELD
         if record.holder == self._holder:
             was_held_here = record.epoch == self._last_held_epoch
-            return Vacancy.KEPT if was_held_here else Vacancy.OWN
+            return (
+                Vacancy.OWN_PROCESS if was_held_here else Vacancy.OWN_PREVIOUS_PROCESS
+            )
         if record.epoch <= self._resigned_epoch:
             return Vacancy.RESIGNED
-        return Vacancy.LAPSED if record.holder else Vacancy.GIVEN_UP
+        return Vacancy.LAPSED if record.holder else Vacancy.RELEASED
 
     def _required_wait(self, vacancy: Vacancy, eager: bool) -> timedelta:
         """Return how long the row must be unchanged before this node acquires."""
         match vacancy:
-            case Vacancy.KEPT | Vacancy.OWN | Vacancy.RESIGNED:
+            case Vacancy.OWN_PROCESS | Vacancy.OWN_PREVIOUS_PROCESS | Vacancy.RESIGNED:
                 return timedelta()
-            case Vacancy.NEVER_HELD | Vacancy.GIVEN_UP:
+            case Vacancy.NEVER_HELD | Vacancy.RELEASED:
                 return timedelta() if eager else self._ttl
         return self._ttl * CHALLENGE_FACTOR
 
@@ -311,12 +313,12 @@
         match vacancy:
             case Vacancy.NEVER_HELD:
                 return None
-            case Vacancy.KEPT:
+            case Vacancy.OWN_PROCESS:
                 return self._free_since
-            case Vacancy.OWN:
+            case Vacancy.OWN_PREVIOUS_PROCESS:
                 free_ms = None if self._record is None else self._record.free_ms
                 return None if free_ms is None else now - MILLISECOND * free_ms
-            case Vacancy.GIVEN_UP:
+            case Vacancy.RELEASED:
                 return unchanged_since
             case Vacancy.RESIGNED:
                 return now
@@ -333,7 +335,7 @@
         epoch = fence_of(self._era, number_of(StoreVersion(epoch_version)) + 1)
         if epoch <= self._newest_epoch:
             self._unchanged_since = None
-            return LeaseChange.BEHIND
+            return LeaseChange.TABLE_BEHIND
         free_since = self._compute_free_since(vacancy, started)
         acquired = self._make_record(epoch, free_since)
         epoch_put = Put(self._epoch_key, self._holder.encode(), epoch_version)
@@ -367,7 +369,7 @@
     def _extend_validity(self, started: timedelta) -> None:
         with self._lock:
             self._valid_until = started + self._ttl
-            self._renew_at = started + self._ttl / RENEW_SHARE
+            self._renew_at = started + self._ttl / RENEWALS_PER_TTL
 
     def _clear_hold(self) -> None:
         self._previous_valid_until = timedelta()
--- a/packages/runhatch-coordination/src/runhatch_coordination/_members.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/_members.py
@@ -23,7 +23,7 @@
 
 SUSPECT_AFTER = timedelta(seconds=3)
 """Time without a heartbeat after which a linked peer is suspected: three are lost."""
-STALLED_SHARE = 0.7
+MAX_CHECK_INTERVAL_SHARE = 0.7
 """Share of the suspicion timeout; a node that checks less often was itself paused."""
 LISTED_INCARNATION = 0
 """Incarnation of a VM that is known only from the platform's list."""
@@ -34,7 +34,7 @@
 
     ALIVE = "alive"
     SUSPECT = "suspect"
-    LEAVING = "leaving"
+    DRAINING = "leaving"
 
 
 @dataclass(frozen=True, slots=True)
@@ -87,7 +87,7 @@
         """Return the VMs believed alive, including this one."""
         return [fact.vm for fact in self.facts() if fact.standing is Standing.ALIVE]
 
-    def listed(self, vms: Iterable[Vm], leaving: frozenset[str]) -> None:
+    def apply_list(self, vms: Iterable[Vm], draining: frozenset[str]) -> None:
         """Apply the platform's list of VMs and of those that are leaving.
 
         The list lags, so it neither clears a suspicion nor removes a VM whose
@@ -103,14 +103,14 @@
                 known = self._facts.get(name)
                 if known is None:
                     self._facts[name] = MemberFact(vm, Standing.ALIVE)
-                elif name in leaving and known.standing is Standing.ALIVE:
-                    self._store_and_queue(replace(known, standing=Standing.LEAVING))
+                elif name in draining and known.standing is Standing.ALIVE:
+                    self._store_and_queue(replace(known, standing=Standing.DRAINING))
 
     def suspects(self) -> list[Vm]:
         """Return the VMs currently suspected, sorted by name."""
         return [fact.vm for fact in self.facts() if fact.standing is Standing.SUSPECT]
 
-    def lost_within(self, period: timedelta) -> int:
+    def count_suspected_within(self, period: timedelta) -> int:
         """Return the number of VMs that became suspect within ``period``."""
         cutoff = self._clock.elapsed() - period
         with self._lock:
@@ -120,7 +120,9 @@
             facts = [self._facts[name] for name in names if name in self._facts]
         return sum(fact.standing is Standing.SUSPECT for fact in facts)
 
-    def heartbeat(self, fact: MemberFact, linked: bool = True) -> MemberFact | None:
+    def record_heartbeat(
+        self, fact: MemberFact, linked: bool = True
+    ) -> MemberFact | None:
         """Record a VM's report of itself; ``linked`` if more heartbeats will follow.
 
         Return the fact believed so far if it contradicts the report: the caller
@@ -148,7 +150,7 @@
             is_from_previous = known.vm.incarnation > fact.vm.incarnation
             return known if is_from_previous else None
 
-    def learn(self, facts: Iterable[MemberFact]) -> bool:
+    def merge_facts(self, facts: Iterable[MemberFact]) -> bool:
         """Merge facts received from a peer; the higher incarnation wins.
 
         Return whether one of them contradicts this node's own state.  The caller
@@ -163,12 +165,12 @@
                     self._merge_fact(fact)
         return is_denied
 
-    def suspect_silent(self) -> list[str]:
+    def suspect_silent_peers(self) -> list[str]:
         """Suspect peers whose heartbeats stopped, and return the new suspects.
 
-        Must be called at shorter intervals than ``STALLED_SHARE`` of the suspicion
-        timeout.  After a longer interval this node itself was paused, so it restarts
-        its timers and suspects no peer.
+        Must be called at shorter intervals than ``MAX_CHECK_INTERVAL_SHARE`` of the
+        suspicion timeout.  After a longer interval this node itself was paused, so it
+        restarts its timers and suspects no peer.
         """
         now = self._clock.elapsed()
         suspected = []
@@ -184,17 +186,17 @@
                     suspected.append(name)
         return suspected
 
-    def forget(self, name: str) -> None:
+    def stop_timing(self, name: str) -> None:
         """Stop timing the heartbeats of a VM whose link was closed."""
         with self._lock:
             self._last_heartbeats.pop(name, None)
 
-    def leave(self) -> None:
+    def announce_draining(self) -> None:
         """Mark this node as leaving and queue the fact for its peers."""
         with self._lock:
-            self._store_and_queue(MemberFact(self._own, Standing.LEAVING))
+            self._store_and_queue(MemberFact(self._own, Standing.DRAINING))
 
-    def take_news(self) -> list[MemberFact]:
+    def take_pending_facts(self) -> list[MemberFact]:
         """Return and clear the facts not yet sent to peers."""
         with self._lock:
             pending = list(self._pending_facts.values())
@@ -206,7 +208,7 @@
         previous, self._last_check = self._last_check, now
         return (
             previous is not None
-            and now - previous > STALLED_SHARE * self._suspect_after
+            and now - previous > MAX_CHECK_INTERVAL_SHARE * self._suspect_after
         )
 
     def _has_recent_heartbeat(self, name: str) -> bool:
@@ -259,7 +261,7 @@
         """Refute a wrong fact about this node; return whether it was wrong."""
         current = self._facts[self._own.name]
         is_previous_process = fact.vm.incarnation > self._own.incarnation
-        is_leaving = fact.standing is Standing.LEAVING and not is_previous_process
+        is_leaving = fact.standing is Standing.DRAINING and not is_previous_process
         if fact.standing is current.standing or is_leaving:
             return False
         if fact.vm.incarnation >= self._own.incarnation:
--- a/packages/runhatch-coordination/src/runhatch_coordination/_peers.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/_peers.py
@@ -7,14 +7,14 @@
 from enum import Enum
 from functools import lru_cache
 
-FULL_MESH = 9
+MAX_FULL_MESH_NODES = 9
 """Largest number of nodes that are linked in a full mesh."""
-MIN_DEGREE = 6
+OPENED_LINKS = 6
 """Links opened by each node of a larger system; about as many are incoming."""
-WEIGHTS_KEPT = 8_192
+WEIGHT_CACHE_SIZE = 8_192
 """Number of cached weights: a node ranks all others several times a second, and each
 weight takes 1.5 microseconds to compute."""
-READERS = "readers"
+READER_SUBJECT = "readers"
 READERS_PER_DOMAIN = 2
 """Nodes of a failure domain that read the store for the others.  Each node receives
 updates from both, so that updates are not delayed if one of them exits, freezes or is
@@ -53,26 +53,26 @@
     broadcast_port: int = 0
 
 
-@lru_cache(WEIGHTS_KEPT)
-def weight(subject: str, name: str) -> int:
+@lru_cache(WEIGHT_CACHE_SIZE)
+def compute_weight(subject: str, name: str) -> int:
     """Return the rendezvous weight of ``name`` for ``subject``.
 
-    >>> weight("shard", "a") == weight("shard", "a")
+    >>> compute_weight("shard", "a") == compute_weight("shard", "a")
     True
     """
     digest = hashlib.blake2b(f"{subject}\0{name}".encode(), digest_size=8).digest()
     return int.from_bytes(digest)
 
 
-def rank(subject: str, names: Iterable[str]) -> list[str]:
+def rank_names(subject: str, names: Iterable[str]) -> list[str]:
     """Return ``names`` ordered from the most to the least preferred for ``subject``.
 
     Removing a name does not change the order of the others.
     """
-    return sorted(names, key=lambda name: weight(subject, name), reverse=True)
+    return sorted(names, key=lambda name: compute_weight(subject, name), reverse=True)
 
 
-def choose_peers(own: Vm, vms: Iterable[Vm], degree: int = MIN_DEGREE) -> list[Vm]:
+def choose_peers(own: Vm, vms: Iterable[Vm], degree: int = OPENED_LINKS) -> list[Vm]:
     """Return the VMs that ``own`` opens links to.
 
     Small systems form a full mesh.  In larger ones, one link goes to the next VM in
@@ -84,7 +84,7 @@
     ['n1', 'n2', 'n3']
     """
     others = sorted(vm for vm in vms if vm.name != own.name)
-    if len(others) < FULL_MESH:
+    if len(others) < MAX_FULL_MESH_NODES:
         return others
     following = [vm for vm in others if vm.name > own.name]
     chosen = [following[0] if following else others[0]]
@@ -102,9 +102,9 @@
 def _group_by_domain(own: Vm, vms: list[Vm]) -> dict[str, list[Vm]]:
     by_name = {vm.name: vm for vm in vms}
     queues: dict[str, list[Vm]] = defaultdict(list)
-    for name in rank(own.name, by_name):
+    for name in rank_names(own.name, by_name):
         queues[by_name[name].failure_domain].append(by_name[name])
-    order = rank(own.name, queues)
+    order = rank_names(own.name, queues)
     return {domain: queues[domain] for domain in order}
 
 
@@ -118,7 +118,7 @@
     return _rank_reader_candidates(domain, vms)[:READERS_PER_DOMAIN]
 
 
-def role_of(own: Vm, vms: Iterable[Vm]) -> Role:
+def choose_role(own: Vm, vms: Iterable[Vm]) -> Role:
     """Return the role of ``own`` in reading watched tables among ``vms``."""
     known = list(vms)
     ranked = [vm.name for vm in _rank_reader_candidates(own.failure_domain, known)]
@@ -138,4 +138,4 @@
 
 def _rank_reader_candidates(domain: str, vms: Iterable[Vm]) -> list[Vm]:
     names = {vm.name: vm for vm in vms if vm.failure_domain == domain}
-    return [names[name] for name in rank(READERS, names)]
+    return [names[name] for name in rank_names(READER_SUBJECT, names)]
--- a/packages/runhatch-coordination/src/runhatch_coordination/_permits.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/_permits.py
@@ -25,7 +25,7 @@
 )
 
 PERMIT_PARTITION = "permit"
-BURST = timedelta(seconds=1)
+BURST_WINDOW = timedelta(seconds=1)
 """Period over which unused permits accumulate."""
 
 
@@ -38,7 +38,8 @@
 
 
 class SharedPermits:
-    """Limits permits to ``at_once`` in use and ``per_second`` granted over all nodes.
+    """Limits permits to ``max_in_use`` in use and ``per_second`` granted over all
+    nodes.
 
     .. versionadded:: 0.1
     """
@@ -49,13 +50,13 @@
         clock: Clock,
         name: str,
         per_second: float,
-        at_once: int,
+        max_in_use: int,
     ) -> None:
         self._table = table
         self._clock = clock
         self._key = Key(PERMIT_PARTITION, name)
         self._interval = timedelta(seconds=1 / per_second)
-        self._max_in_use = at_once
+        self._max_in_use = max_in_use
         self._granted_version: StoreVersion | None = None
         """Number of permits granted, with the era in which the row was read."""
         self._changed_at = timedelta()
@@ -64,7 +65,7 @@
         """Acquire permits for ``users``, in order, as far as permits are available.
 
         Return the users that hold a permit now, including those that already held
-        one.  Permits unused for up to ``BURST`` may be acquired together.
+        one.  Permits unused for up to ``BURST_WINDOW`` may be acquired together.
         """
         loaded = self._load_record()
         if loaded is None:
@@ -100,7 +101,7 @@
     def _count_available(self, record: PermitRecord) -> int:
         """Return the number of permits that may be granted now."""
         accrued = (self._clock.elapsed() - self._changed_at) // self._interval
-        burst = max(1, BURST // self._interval)
+        burst = max(1, BURST_WINDOW // self._interval)
         return max(0, min(accrued, burst, self._max_in_use - len(record.in_use)))
 
     def _load_record(self) -> tuple[int, PermitRecord] | None:
--- a/packages/runhatch-coordination/src/runhatch_coordination/_replica.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/_replica.py
@@ -12,10 +12,10 @@
 from runhatch_coordination._feed import Entry, FeedListener
 from runhatch_coordination._history import ORIGIN, StoreVersion, era_of
 
-MOST_REMOVED = 500
+MAX_REMOVED_ROWS = 500
 """Removed rows that are remembered. A node whose version is older receives the whole
 table, some 400 bytes a row."""
-MOST_BLIND = 8
+MAX_UNTRACKED_SPANS = 8
 """Number of remembered replacements by a whole table. More of them occur only if the
 store repeatedly drops its history; nodes with older versions then receive the whole
 table."""
@@ -25,18 +25,18 @@
 
 @dataclass(frozen=True, slots=True)
 class TableChanges:
-    """The rows changed after version ``after`` up to ``version``, all if ``whole``."""
+    """Rows changed after version ``after`` up to ``version``, all if ``is_whole``."""
 
     after: StoreVersion
     version: StoreVersion
     entries: Rows
-    whole: bool = False
+    is_whole: bool = False
 
 
-class Offer(Enum):
+class OfferOutcome(Enum):
     """The outcome of offering changes to a copy."""
 
-    TAKEN = "taken"
+    APPLIED = "taken"
     KNOWN = "known"
     GAP = "gap"
     """Earlier changes are missing in the copy, so these were not applied."""
@@ -77,27 +77,27 @@
         return self._version
 
     @property
-    def unchanged(self) -> TableChanges | None:
+    def empty_changes(self) -> TableChanges | None:
         """Empty changes since the last change, ``None`` if no version is known."""
         with self._lock:
             if self._version is None:
                 return None
             return TableChanges(self._last_change_version, self._version, ())
 
-    def offer(self, changes: TableChanges) -> Offer:
+    def offer(self, changes: TableChanges) -> OfferOutcome:
         """Apply ``changes`` unless they are known or earlier ones are missing."""
         with self._lock:
             if self._version is not None and changes.version <= self._version:
-                return Offer.KNOWN
-            if changes.whole:
+                return OfferOutcome.KNOWN
+            if changes.is_whole:
                 self._replace_rows(changes)
             elif self._version is None or changes.after > self._version:
-                return Offer.GAP
+                return OfferOutcome.GAP
             else:
                 self._apply_changes(changes)
-            return Offer.TAKEN
+            return OfferOutcome.APPLIED
 
-    def since(self, version: StoreVersion | None) -> TableChanges | None:
+    def changes_since(self, version: StoreVersion | None) -> TableChanges | None:
         """Return the changes since ``version``, ``None`` if no version is known.
 
         These are the whole table if ``version`` is ``None`` or too old.
@@ -107,7 +107,7 @@
                 return None
             if version is None or not self._tracks_changes_since(version):
                 rows = tuple(Entry(key, row.value) for key, row in self._rows.items())
-                return TableChanges(ORIGIN, self._version, rows, whole=True)
+                return TableChanges(ORIGIN, self._version, rows, is_whole=True)
             changed: list[Entry[bytes]] = [
                 Entry(key, row.value)
                 for key, row in self._rows.items()
@@ -133,7 +133,7 @@
             era_of(changes.version) > era_of(self._version)
         )
         if restored:
-            self._listener.restored()
+            self._listener.handle_restoration()
         listed = {
             entry.key: entry.value
             for entry in changes.entries
@@ -152,10 +152,10 @@
             self._untracked_spans.clear()
         else:
             self._untracked_spans.append((self._version, changes.version))
-        if len(self._untracked_spans) > MOST_BLIND:
+        if len(self._untracked_spans) > MAX_UNTRACKED_SPANS:
             _, self._oldest_tracked_version = self._untracked_spans.pop(0)
         self._version = self._last_change_version = changes.version
-        self._listener.listed(changes.entries)
+        self._listener.replace_entries(changes.entries)
 
     def _apply_changes(self, changes: TableChanges) -> None:
         for entry in changes.entries:
@@ -166,7 +166,7 @@
         self._version = changes.version
         if changes.entries:
             self._last_change_version = changes.version
-            self._listener.changed(changes.entries)
+            self._listener.apply_entries(changes.entries)
 
     def _put_row(self, key: str, value: bytes, version: StoreVersion) -> None:
         self._removed_rows.pop(key, None)
@@ -178,7 +178,7 @@
         self._rows.pop(key, None)
         self._removed_rows.pop(key, None)
         self._removed_rows[key] = version
-        if len(self._removed_rows) > MOST_REMOVED:
+        if len(self._removed_rows) > MAX_REMOVED_ROWS:
             oldest = next(iter(self._removed_rows))
             self._oldest_tracked_version = max(
                 self._oldest_tracked_version, self._removed_rows.pop(oldest)
--- a/packages/runhatch-coordination/src/runhatch_coordination/_revisions.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/_revisions.py
@@ -30,7 +30,7 @@
     Unknown,
 )
 
-HEAD_SORT = "head"
+HEAD_SORT_KEY = "head"
 HISTORY_SUFFIX = "/history"
 
 
@@ -72,13 +72,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Overtaken:
+class StaleBaseRevision:
     """Another revision was published first; ``head`` is the newest number."""
 
     head: int
 
 
-PublishOutcome = Revision | Overtaken | Unavailable | Unknown
+PublishOutcome = Revision | StaleBaseRevision | Unavailable | Unknown
 
 
 class RevisionLog:
@@ -91,16 +91,16 @@
         self._table = table
         self._objects = objects
         self._name = name
-        self._head_key = Key(name, HEAD_SORT)
+        self._head_key = Key(name, HEAD_SORT_KEY)
 
-    def head(self) -> int | Unavailable:
+    def read_head_number(self) -> int | Unavailable:
         """Return the number of the newest revision, 0 if there is none."""
-        found = self.newest()
+        found = self.read_newest_entry()
         if isinstance(found, Missing):
             return ABSENT
         return found if isinstance(found, Unavailable) else found.number
 
-    def newest(self) -> RevisionEntry | Missing | Unavailable:
+    def read_newest_entry(self) -> RevisionEntry | Missing | Unavailable:
         """Return the entry of the newest revision, with one read of the table."""
         return self._read_entry(self._head_key)
 
@@ -122,7 +122,7 @@
             ABSENT if isinstance(head, Missing) else _decode_entry(head).number
         )
         if head_number != base:
-            return Overtaken(head_number)
+            return StaleBaseRevision(head_number)
         version = ABSENT if isinstance(head, Missing) else head.version
         operation = uuid.uuid4().hex
         number = base + 1
@@ -143,17 +143,19 @@
         if isinstance(outcome, Committed):
             return Revision(entry, body)
         if isinstance(outcome, Conflict):
-            newest = self.head()
-            return newest if isinstance(newest, Unavailable) else Overtaken(newest)
+            newest = self.read_head_number()
+            return (
+                newest if isinstance(newest, Unavailable) else StaleBaseRevision(newest)
+            )
         return outcome
 
-    def entry(self, number: int) -> RevisionEntry | Missing | Unavailable:
+    def read_entry(self, number: int) -> RevisionEntry | Missing | Unavailable:
         """Return the history entry of ``number``."""
         return self._read_entry(self._history_key(number))
 
-    def read(self, number: int) -> Revision | Missing | Unavailable:
+    def read_revision(self, number: int) -> Revision | Missing | Unavailable:
         """Return revision ``number`` with its body."""
-        entry = self.entry(number)
+        entry = self.read_entry(number)
         if not isinstance(entry, RevisionEntry):
             return entry
         return self.read_body(entry)
@@ -171,7 +173,7 @@
         )
         return Revision(entry, body)
 
-    def history(self) -> tuple[RevisionEntry, ...] | Unavailable:
+    def read_history(self) -> tuple[RevisionEntry, ...] | Unavailable:
         """Return all entries, oldest first."""
         rows = self._table.query(self._name + HISTORY_SUFFIX)
         if isinstance(rows, Unavailable):
--- a/packages/runhatch-coordination/src/runhatch_coordination/_shared.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/_shared.py
@@ -27,8 +27,8 @@
 
 from runhatch_coordination._clock import Clock
 from runhatch_coordination._feed import (
-    LONGEST_RETRY,
-    LONGEST_WAIT,
+    MAX_CALL_WAIT,
+    MAX_RETRY_PAUSE,
     Entry,
     Feed,
     FeedListener,
@@ -36,23 +36,27 @@
 )
 from runhatch_coordination._history import ORIGIN, StoreVersion
 from runhatch_coordination._peers import Role
-from runhatch_coordination._replica import Offer, TableChanges, TableReplica
-from runhatch_coordination._sources import READ_ONCE, READING, Source
+from runhatch_coordination._replica import OfferOutcome, TableChanges, TableReplica
+from runhatch_coordination._sources import (
+    CONTINUOUS_SOURCES,
+    SINGLE_READ_SOURCES,
+    Source,
+)
 
-START_PATIENCE = timedelta(seconds=1.2)
+START_REQUEST_WINDOW = timedelta(seconds=1.2)
 """How long a starting node requests the table from other nodes before it reads the
 store. Nodes that start together would otherwise all read it, two calls a table each."""
-ASK_EVERY = timedelta(milliseconds=400)
+REQUEST_TIMEOUT = timedelta(milliseconds=400)
 """How long to wait for an answer before requesting from another node or reading the
 store. An answer takes some 5 ms, a whole table of 20 KB 20 ms at 10 Mbit/s."""
 START_GRACE = timedelta(seconds=2.5)
 """How long a node that has received the table waits, after its start, for its readers
 and before it becomes a reader itself: it first discovers the other nodes."""
-LONG_WAIT = timedelta(seconds=24)
+MAX_READER_CALL_WAIT = timedelta(seconds=24)
 """How long the store may hold a reader's call while another reader is active, which
 publishes a change whose answer is lost. The store allows 30 s. Each wait that ends
 without a change costs a call."""
-SHORT_WAIT = timedelta(milliseconds=200)
+SINGLE_READ_WAIT = timedelta(milliseconds=200)
 """How long the store may hold the call of a node that reads once."""
 SILENCE_JITTER = 0.3
 """Maximum share by which a node extends the silence timeout of its readers, so that the
@@ -63,12 +67,13 @@
 class SharedTableBounds:
     """Bounds on the delay of changes.
 
-    Changes within ``coalesce`` are read in one call. A reader from which nothing was
-    received for ``silent`` counts as failed; readers publish several times as often.
+    Changes within ``coalescing_pause`` are read in one call. A reader from which
+    nothing was received for ``silence_timeout`` counts as failed; readers publish
+    several times as often.
     """
 
-    coalesce: timedelta
-    silent: timedelta
+    coalescing_pause: timedelta
+    silence_timeout: timedelta
 
 
 class TablePeers(Protocol):
@@ -81,7 +86,7 @@
         """Request the changes since ``version`` from another node.
 
         Returns whether there is such a node. Its answer, if any, is passed to
-        :meth:`SharedTable.told`.
+        :meth:`SharedTable.apply_changes`.
         """
 
     def publish(self, table: str, changes: TableChanges, reachable: bool) -> None:
@@ -94,10 +99,10 @@
         """Record that this node now receives the table from ``source``."""
 
 
-class Tellers(Enum):
+class ReaderState(Enum):
     """The state of the readers of this node's failure domain."""
 
-    FRESH = "fresh"
+    ACTIVE = "fresh"
     CUT_OFF = "cut off"
     """They are active but report that they cannot reach the store."""
     SILENT = "silent"
@@ -137,10 +142,15 @@
         self._on_failure = on_failure
         self._replica = TableReplica(listener)
         self._watcher: TableWatcher[bytes] = TableWatcher(
-            feed, _ReadForwarder(self), clock, stopping, on_failure, bounds.coalesce
+            feed,
+            _ReadForwarder(self),
+            clock,
+            stopping,
+            on_failure,
+            bounds.coalescing_pause,
         )
         jitter = random.uniform(0, SILENCE_JITTER) if jitter is None else jitter
-        self._silence_timeout = bounds.silent * (1 + jitter)
+        self._silence_timeout = bounds.silence_timeout * (1 + jitter)
         self._started_at = clock.elapsed()
         self._position = ORIGIN
         self._reader_reports: dict[str, _ReaderReport] = {}
@@ -148,7 +158,7 @@
         self._gap_since: timedelta | None = None
         self._must_read_once = False
         self._must_request_gap = False
-        self._source = Source.TOLD
+        self._source = Source.UPDATES
         self._wake_event = threading.Event()
         self._reachability_lock = threading.Lock()
         self._own_reachability: bool | None = None
@@ -160,7 +170,7 @@
         return self._replica.version
 
     @property
-    def position(self) -> StoreVersion:
+    def last_request_version(self) -> StoreVersion:
         """The version after which changes were last requested from the store."""
         return self._position
 
@@ -170,7 +180,7 @@
         return self._watcher.version
 
     @property
-    def reachable(self) -> bool:
+    def reaches_store(self) -> bool:
         """Whether this node itself reaches the store, as far as it knows.
 
         Reports of other nodes do not count: two readers that are both cut off would
@@ -179,46 +189,50 @@
         return self._own_reachability is not False
 
     @property
-    def unchanged(self) -> TableChanges | None:
+    def empty_changes(self) -> TableChanges | None:
         """Empty changes since the last change, ``None`` if no version is known."""
-        return self._replica.unchanged
+        return self._replica.empty_changes
 
-    def since(self, version: StoreVersion | None) -> TableChanges | None:
+    def changes_since(self, version: StoreVersion | None) -> TableChanges | None:
         """Return the changes since ``version``, ``None`` if no version is known."""
-        return self._replica.since(version)
+        return self._replica.changes_since(version)
 
-    def told(self, teller: str, changes: TableChanges | None, reachable: bool) -> None:
+    def apply_changes(
+        self, reader: str, changes: TableChanges | None, reachable: bool
+    ) -> None:
         """Apply the changes, if any, that a reader sent and record its reachability."""
-        self._reader_reports[teller] = _ReaderReport(self._clock.elapsed(), reachable)
+        self._reader_reports[reader] = _ReaderReport(self._clock.elapsed(), reachable)
         if reachable:
             self._notify_reachability("")
-        outcome = Offer.KNOWN if changes is None else self._replica.offer(changes)
-        if outcome is Offer.GAP and self._gap_since is None:
+        outcome = (
+            OfferOutcome.KNOWN if changes is None else self._replica.offer(changes)
+        )
+        if outcome is OfferOutcome.GAP and self._gap_since is None:
             self._gap_since = self._clock.elapsed()
             self._must_request_gap = True
             self._wake_event.set()
-        if outcome is Offer.TAKEN:
+        if outcome is OfferOutcome.APPLIED:
             self._gap_since = None
             self._advance_watcher()
             self._wake_event.set()
         if not reachable:
             self._notify_reachability("no reader reaches the store")
 
-    def noticed(self, version: StoreVersion) -> bool:
+    def record_version(self, version: StoreVersion) -> bool:
         """Record that the table reached ``version``; return whether it was unknown."""
         known = self._replica.version
         if version <= max(self._newest_noticed_version, known or ORIGIN):
             return False
         self._newest_noticed_version = version
-        self._watcher.noticed(version)
-        if self._reader_state() is Tellers.CUT_OFF:
+        self._watcher.record_version(version)
+        if self._reader_state() is ReaderState.CUT_OFF:
             self._must_read_once = True
             self._wake_event.set()
         return True
 
-    def check(self) -> None:
+    def read_overdue(self) -> None:
         """Schedule a read if a change that another node announced is overdue."""
-        if self._watcher.check():
+        if self._watcher.interrupt_if_overdue():
             self._must_read_once = True
             self._wake_event.set()
 
@@ -233,10 +247,10 @@
                 pause = self.step()
             except Exception as error:
                 self._on_failure(error)
-                pause = LONGEST_RETRY
+                pause = MAX_RETRY_PAUSE
             # Updates wake only a node that waits for them; a node that reads the
             # store pauses between two calls.
-            waits_for_updates = self._source is Source.TOLD
+            waits_for_updates = self._source is Source.UPDATES
             wake_event = self._wake_event if waits_for_updates else self._stopping
             wake_event.wait(pause.total_seconds())
             self._wake_event.clear()
@@ -248,30 +262,30 @@
         if source is not self._source:
             self._source = source
             self._peers.record_source(self.name, source)
-        if source is Source.TOLD:
+        if source is Source.UPDATES:
             return self._pause_for_updates()
         self._position = self._watcher.version
         pause = self._watcher.step(self._choose_call_wait(source))
-        if source in READ_ONCE and self._watcher.lists_next:
+        if source in SINGLE_READ_SOURCES and self._watcher.needs_listing:
             self._must_read_once = True
         # A wait that ends without a change advances the version too.
         self._replica.offer(TableChanges(self._position, self._watcher.version, ()))
-        if not self._watcher.failing:
-            self.reached(True, "")
+        if not self._watcher.is_failing:
+            self.record_reachability(True, "")
         return pause
 
-    def read(self, changes: TableChanges) -> None:
+    def apply_read_changes(self, changes: TableChanges) -> None:
         """Apply ``changes`` read from the store and publish what was new."""
         previous = self._replica.version
-        if self._replica.offer(changes) is not Offer.TAKEN:
+        if self._replica.offer(changes) is not OfferOutcome.APPLIED:
             return
-        update = changes if previous is None else self._replica.since(previous)
+        update = changes if previous is None else self._replica.changes_since(previous)
         if update is None or not update.entries:
             return
         self._peers.publish(self.name, update, True)
         self._peers.publish_version(self.name, update.version)
 
-    def reached(self, reachable: bool, reason: str) -> None:
+    def record_reachability(self, reachable: bool, reason: str) -> None:
         """Record whether this node itself reaches the store."""
         self._own_reachability = reachable
         self._notify_reachability(reason)
@@ -279,30 +293,30 @@
     def _choose_source(self) -> Source:
         """Return whether to read the store now, and why, or to wait for updates."""
         if self._replica.version is None and self._request_initial_table():
-            return Source.TOLD
+            return Source.UPDATES
         role = self._peers.role()
-        if role in READING:
-            return READING[role]
+        if role in CONTINUOUS_SOURCES:
+            return CONTINUOUS_SOURCES[role]
         if self._must_read_once:
             self._must_read_once = False
             return Source.OVERDUE
         if self._gap_request_failed():
             return Source.GAP
         readers = self._reader_state()
-        if readers is Tellers.SILENT and not self._is_in_start_grace():
-            return Source.SILENT
-        if readers is Tellers.CUT_OFF and role is Role.RESERVE:
-            return Source.CUT_OFF
-        return Source.TOLD
+        if readers is ReaderState.SILENT and not self._is_in_start_grace():
+            return Source.NO_READER
+        if readers is ReaderState.CUT_OFF and role is Role.RESERVE:
+            return Source.READERS_CUT_OFF
+        return Source.UPDATES
 
     def _choose_call_wait(self, source: Source) -> timedelta:
         """Return how long the store may hold the call to wait for a change."""
-        if source in READ_ONCE:
-            return SHORT_WAIT
-        is_continuous_reader = source in READING.values()
-        if is_continuous_reader and self._reader_state() is Tellers.FRESH:
-            return LONG_WAIT
-        return LONGEST_WAIT
+        if source in SINGLE_READ_SOURCES:
+            return SINGLE_READ_WAIT
+        is_continuous_reader = source in CONTINUOUS_SOURCES.values()
+        if is_continuous_reader and self._reader_state() is ReaderState.ACTIVE:
+            return MAX_READER_CALL_WAIT
+        return MAX_CALL_WAIT
 
     def _is_in_start_grace(self) -> bool:
         """Return whether this node has just started and already has the table."""
@@ -311,7 +325,7 @@
 
     def _request_initial_table(self) -> bool:
         """Request the table from other nodes; return whether to wait for an answer."""
-        if self._clock.elapsed() - self._started_at >= START_PATIENCE:
+        if self._clock.elapsed() - self._started_at >= START_REQUEST_WINDOW:
             return False
         return self._peers.request_changes(self.name, None)
 
@@ -327,7 +341,7 @@
             self._must_request_gap = False
             if self._peers.request_changes(self.name, self._replica.version):
                 return False
-        elif self._clock.elapsed() - since < ASK_EVERY:
+        elif self._clock.elapsed() - since < REQUEST_TIMEOUT:
             return False
         self._gap_since = None
         return True
@@ -336,15 +350,15 @@
         """Return how long to wait for updates before the readers count as silent."""
         self._own_reachability = None
         if self._replica.version is None or self._gap_since is not None:
-            return ASK_EVERY
+            return REQUEST_TIMEOUT
         now = self._clock.elapsed()
         last_received_at = max(
             (report.received_at for report in self._reader_reports.values()),
             default=now,
         )
-        return max(last_received_at + self._silence_timeout - now, SHORT_WAIT)
+        return max(last_received_at + self._silence_timeout - now, SINGLE_READ_WAIT)
 
-    def _reader_state(self) -> Tellers:
+    def _reader_state(self) -> ReaderState:
         """Return the state of the readers by their recent reports."""
         now = self._clock.elapsed()
         recent = [
@@ -353,28 +367,29 @@
             if now - report.received_at < self._silence_timeout
         ]
         if any(report.reachable for report in recent):
-            return Tellers.FRESH
-        return Tellers.CUT_OFF if recent else Tellers.SILENT
+            return ReaderState.ACTIVE
+        return ReaderState.CUT_OFF if recent else ReaderState.SILENT
 
     def _advance_watcher(self) -> None:
         """Make the watcher continue after the version of the local copy."""
         version = self._replica.version
         if version is not None:
-            self._watcher.seek(version)
+            self._watcher.advance_to(version)
 
     def _notify_reachability(self, reason: str) -> None:
         """Notify the listener if the reachability of the store has changed."""
         with self._reachability_lock:
             reachable = (
-                bool(self._own_reachability) or self._reader_state() is Tellers.FRESH
+                bool(self._own_reachability)
+                or self._reader_state() is ReaderState.ACTIVE
             )
             if reachable == self._notified_reachability:
                 return
             self._notified_reachability = reachable
             if reachable:
-                self._listener.reachable()
+                self._listener.handle_recovery()
             else:
-                self._listener.unreachable(reason)
+                self._listener.handle_outage(reason)
 
 
 class _ReadForwarder:
@@ -383,23 +398,27 @@
     def __init__(self, table: SharedTable) -> None:
         self._table = table
 
-    def listed(self, entries: tuple[Entry[bytes], ...]) -> None:
+    def replace_entries(self, entries: tuple[Entry[bytes], ...]) -> None:
         """Forward the whole table."""
         version = self._table.read_version
-        self._table.read(TableChanges(ORIGIN, version, entries, whole=True))
+        self._table.apply_read_changes(
+            TableChanges(ORIGIN, version, entries, is_whole=True)
+        )
 
-    def changed(self, entries: tuple[Entry[bytes], ...]) -> None:
+    def apply_entries(self, entries: tuple[Entry[bytes], ...]) -> None:
         """Forward changes of some rows."""
         table = self._table
-        table.read(TableChanges(table.position, table.read_version, entries))
+        table.apply_read_changes(
+            TableChanges(table.last_request_version, table.read_version, entries)
+        )
 
-    def restored(self) -> None:
+    def handle_restoration(self) -> None:
         """Do nothing: the local copy detects a restoration when it is replaced."""
 
-    def unreachable(self, reason: str) -> None:
+    def handle_outage(self, reason: str) -> None:
         """Record that this node does not reach the store."""
-        self._table.reached(False, reason)
+        self._table.record_reachability(False, reason)
 
-    def reachable(self) -> None:
+    def handle_recovery(self) -> None:
         """Record that this node reaches the store again."""
-        self._table.reached(True, "")
+        self._table.record_reachability(True, "")
--- a/packages/runhatch-coordination/src/runhatch_coordination/_table.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/_table.py
@@ -37,23 +37,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Put:
-    """Write ``body`` if the row still has version ``expect``.
+    """Write ``body`` if the row still has version ``expected_version``.
 
-    The table may delete the row at any time after ``expires``.
+    The table may delete the row at any time after ``expires_at``.
     """
 
     key: Key
     body: bytes
-    expect: int
-    expires: datetime | None = None
+    expected_version: int
+    expires_at: datetime | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Delete:
-    """Delete the row if it still has version ``expect``."""
+    """Delete the row if it still has version ``expected_version``."""
 
     key: Key
-    expect: int
+    expected_version: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,7 +61,7 @@
     """Write nothing, but fail the transaction unless the version matches."""
 
     key: Key
-    expect: int
+    expected_version: int
 
 
 Write = Put | Delete | Check
--- a/packages/runhatch-coordination/src/runhatch_coordination/testing/_clock.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/testing/_clock.py
@@ -3,7 +3,7 @@
 import threading
 from datetime import UTC, datetime, timedelta
 
-START = datetime(2026, 1, 1, tzinfo=UTC)
+START_TIME = datetime(2026, 1, 1, tzinfo=UTC)
 
 
 class ManualClock:
@@ -22,7 +22,7 @@
 
     def now(self) -> datetime:
         """Return the wall time: a fixed start plus all advances and jumps."""
-        return START + self._elapsed + self._wall_offset
+        return START_TIME + self._elapsed + self._wall_offset
 
     def elapsed(self) -> timedelta:
         """Return the sum of all advances."""
@@ -32,7 +32,7 @@
         """Advance the clock by ``duration`` instead of blocking."""
         self.advance(duration)
 
-    def jump(self, duration: timedelta) -> None:
+    def shift_wall_time(self, duration: timedelta) -> None:
         """Change the wall time by ``duration``; the elapsed time stays."""
         with self._lock:
             self._wall_offset += duration
--- a/packages/runhatch-coordination/src/runhatch_coordination/testing/_faults.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/testing/_faults.py
@@ -29,8 +29,8 @@
     """Forwards calls to a table and applies ``fault`` to the next ``count`` writes.
 
     ``DOWN`` also fails reads; ``LOSE_ANSWER`` applies the write but returns
-    ``Unknown``; ``DELAY`` holds it back until :meth:`deliver`. As with a remote table,
-    the era is unknown before the first answer.
+    ``Unknown``; ``DELAY`` holds it back until :meth:`apply_delayed_writes`. As with a
+    remote table, the era is unknown before the first answer.
     """
 
     def __init__(self, table: Table) -> None:
@@ -38,7 +38,7 @@
         self._era: int | None = None
         self._delayed_writes: list[Sequence[Write]] = []
         self.fault = TableFault.NONE
-        self.count = 0
+        self.remaining_faults = 0
 
     @property
     def era(self) -> int | None:
@@ -48,13 +48,13 @@
     def inject(self, fault: TableFault, count: int = 10**9) -> None:
         """Set ``fault`` for the next ``count`` writes."""
         self.fault = fault
-        self.count = count
+        self.remaining_faults = count
 
-    def learn_era(self) -> None:
+    def update_era(self) -> None:
         """Update the known era, as an answer to another caller would."""
         self._era = self._table.era
 
-    def deliver(self) -> None:
+    def apply_delayed_writes(self) -> None:
         """Apply the delayed writes to the table."""
         delayed, self._delayed_writes = self._delayed_writes, []
         for writes in delayed:
@@ -62,8 +62,8 @@
 
     def transact(self, writes: Sequence[Write]) -> TransactOutcome:
         """Apply, lose, delay or refuse ``writes``, by the current fault."""
-        fault = self.fault if self.count > 0 else TableFault.NONE
-        self.count -= 1
+        fault = self.fault if self.remaining_faults > 0 else TableFault.NONE
+        self.remaining_faults -= 1
         if fault is TableFault.DOWN:
             return Unavailable("injected outage")
         if fault is TableFault.LOSE_REQUEST:
@@ -75,7 +75,7 @@
         outcome = self._table.transact(writes)
         if fault is TableFault.LOSE_ANSWER:
             return Unknown("injected loss of the answer")
-        self.learn_era()
+        self.update_era()
         if previous_era is not None and previous_era != self._era:
             return Unknown("the table was restored from an older copy during the call")
         return outcome
@@ -84,15 +84,15 @@
         """Read one row unless the table is down."""
         if self._is_down():
             return Unavailable("injected outage")
-        self.learn_era()
+        self.update_era()
         return self._table.get(key)
 
     def query(self, partition: str) -> QueryOutcome:
         """Read a partition unless the table is down."""
         if self._is_down():
             return Unavailable("injected outage")
-        self.learn_era()
+        self.update_era()
         return self._table.query(partition)
 
     def _is_down(self) -> bool:
-        return self.fault is TableFault.DOWN and self.count > 0
+        return self.fault is TableFault.DOWN and self.remaining_faults > 0
--- a/packages/runhatch-coordination/src/runhatch_coordination/testing/_table.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/testing/_table.py
@@ -46,28 +46,28 @@
     number holds for any row that was created in the current era.
 
     >>> table = MemoryTable()
-    >>> table.transact([Put(Key("p", "s"), b"x", expect=0)])
+    >>> table.transact([Put(Key("p", "s"), b"x", expected_version=0)])
     Committed()
-    >>> table.transact([Put(Key("p", "s"), b"y", expect=0)])
+    >>> table.transact([Put(Key("p", "s"), b"y", expected_version=0)])
     Conflict(failed=(0,))
     """
 
     def __init__(self) -> None:
         self._rows: dict[Key, _StoredRow] = {}
         self._lock = threading.Lock()
-        self.writes = 0
+        self.transaction_count = 0
         """Number of transactions received."""
-        self.reads = 0
+        self.read_count = 0
         """Number of reads received."""
         self.era: int | None = 0
         self._saved_rows: dict[Key, _StoredRow] = {}
 
-    def copy(self) -> None:
-        """Save a copy of all rows for :meth:`restore`."""
+    def save_copy(self) -> None:
+        """Save a copy of all rows for :meth:`restore_copy`."""
         with self._lock:
             self._saved_rows = dict(self._rows)
 
-    def restore(self) -> None:
+    def restore_copy(self) -> None:
         """Replace all rows by the last copy and begin a new era."""
         with self._lock:
             self._rows = dict(self._saved_rows)
@@ -76,7 +76,7 @@
     def transact(self, writes: Sequence[Write]) -> TransactOutcome:
         """Apply all ``writes`` or none."""
         with self._lock:
-            self.writes += 1
+            self.transaction_count += 1
             failed = tuple(
                 index
                 for index, write in enumerate(writes)
@@ -91,13 +91,13 @@
     def get(self, key: Key) -> GetOutcome:
         """Read one row."""
         with self._lock:
-            self.reads += 1
+            self.read_count += 1
             return self._row(key) if key in self._rows else Missing()
 
     def query(self, partition: str) -> QueryOutcome:
         """Read all rows of ``partition``, ordered by sort key."""
         with self._lock:
-            self.reads += 1
+            self.read_count += 1
             keys = sorted(key for key in self._rows if key.partition == partition)
             return tuple(self._row(key) for key in keys)
 
@@ -110,9 +110,9 @@
 
     def _condition_holds(self, write: Write) -> bool:
         stored = self._rows.get(write.key)
-        if stored is None or write.expect == ABSENT:
-            return stored is None and write.expect == ABSENT
-        expected = StoreVersion(write.expect)
+        if stored is None or write.expected_version == ABSENT:
+            return stored is None and write.expected_version == ABSENT
+        expected = StoreVersion(write.expected_version)
         if number_of(expected) != stored.number:
             return False
         if stored.written_era <= era_of(expected):
--- a/packages/runhatch-coordination/tests/lease_cases.py
+++ b/packages/runhatch-coordination/tests/lease_cases.py
@@ -56,16 +56,16 @@
 
     def restore(self, *informed):
         """Restore the table from its copy; ``informed`` nodes learn the new era."""
-        self.memory.restore()
+        self.memory.restore_copy()
         for name in informed:
-            self.tables[name].learn_era()
+            self.tables[name].update_era()
 
     def acquire(self, name):
         assert self.step(name) is LeaseChange.ACQUIRED
-        return self.leases[name].held().number
+        return self.leases[name].held_epoch().number
 
     def holders(self):
-        return [name for name in "ab" if self.leases[name].held() is not None]
+        return [name for name in "ab" if self.leases[name].held_epoch() is not None]
 
 
 def write_guarded(contenders, name, epoch):
--- a/packages/runhatch-coordination/tests/shared_cases.py
+++ b/packages/runhatch-coordination/tests/shared_cases.py
@@ -80,7 +80,7 @@
         rows = tuple(Entry(key, value) for key, value in self._store.rows.items())
         return Listing(rows, self._store.version)
 
-    def changes(self, after, wait):
+    def read_changes(self, after, wait):
         self._store.calls += 1
         if self.is_cut_off:
             return Unavailable("cut off")
@@ -91,7 +91,7 @@
             return HistoryLost()
         return Changes(self._store.entries(number), self._store.version)
 
-    def hurry(self):
+    def interrupt_wait(self):
         pass
 
 
@@ -103,22 +103,22 @@
         self.reachability = []
         self.restorations = 0
 
-    def listed(self, entries):
+    def replace_entries(self, entries):
         self.rows = {e.key: e.value for e in entries if e.value is not None}
 
-    def changed(self, entries):
+    def apply_entries(self, entries):
         for entry in entries:
             self.rows.pop(entry.key, None)
             if entry.value is not None:
                 self.rows[entry.key] = entry.value
 
-    def restored(self):
+    def handle_restoration(self):
         self.restorations += 1
 
-    def unreachable(self, reason):
+    def handle_outage(self, reason):
         self.reachability.append(False)
 
-    def reachable(self):
+    def handle_recovery(self):
         self.reachability.append(True)
 
 
@@ -173,4 +173,4 @@
 
 def whole_table(version=1, **values):
     entries = tuple(Entry(key, value) for key, value in values.items())
-    return TableChanges(0, version, entries, whole=True)
+    return TableChanges(0, version, entries, is_whole=True)
--- a/packages/runhatch-coordination/tests/slow_links.py
+++ b/packages/runhatch-coordination/tests/slow_links.py
@@ -21,10 +21,10 @@
     SharedTable,
     SharedTableBounds,
     Vm,
-    WaitEnded,
+    WaitInterrupted,
     choose_readers,
+    choose_role,
     number_of,
-    role_of,
 )
 from runhatch_coordination.testing import ManualClock
 
@@ -148,20 +148,20 @@
         self._wait_for_transfer(answer)
         return answer
 
-    def changes(self, after, wait):
+    def read_changes(self, after, wait):
         self._is_interrupted = False
         store, simulation = self._world.store, self._world.simulation
         end = simulation.now + wait.total_seconds()
         simulation.sleep(HOP_SECONDS)
         while store.number <= number_of(after) and simulation.now < end:
             if self._is_interrupted:
-                return WaitEnded()
+                return WaitInterrupted()
             simulation.sleep(POLL_SECONDS)
         answer = Changes(store.entries(number_of(after)), store.version)
         self._wait_for_transfer(answer)
         return answer
 
-    def hurry(self):
+    def interrupt_wait(self):
         self._is_interrupted = True
 
     def _wait_for_transfer(self, answer):
@@ -202,7 +202,7 @@
         return self.frozen_at is not None
 
     def role(self):
-        return role_of(self.vm, self.world.vms())
+        return choose_role(self.vm, self.world.vms())
 
     def request_changes(self, table, version):
         return False
@@ -222,14 +222,14 @@
     def publish_version(self, table, version):
         for other in self.world.nodes:
             if other is not self and not self.is_frozen:
-                deliver = partial(other.table.noticed, version)
+                deliver = partial(other.table.record_version, version)
                 self.world.simulation.schedule(HOP_SECONDS, deliver)
 
     def record_source(self, table, source):
         pass
 
     def receive(self, reader, changes, reachable):
-        self.table.told(reader, changes, reachable)
+        self.table.apply_changes(reader, changes, reachable)
         self._record_versions()
 
     def _record_versions(self):
@@ -247,11 +247,11 @@
     def _check_and_publish(self):
         if self.is_frozen:
             return
-        self.table.check()
-        if self.role() is Role.READER and self.table.unchanged is not None:
-            self.publish(NAME, self.table.unchanged, self.table.reachable)
+        self.table.read_overdue()
+        if self.role() is Role.READER and self.table.empty_changes is not None:
+            self.publish(NAME, self.table.empty_changes, self.table.reaches_store)
         self.world.simulation.schedule(
-            BOUNDS.silent.total_seconds() / 2, self._check_and_publish
+            BOUNDS.silence_timeout.total_seconds() / 2, self._check_and_publish
         )
 
 
--- a/packages/runhatch-coordination/tests/test_commit.py
+++ b/packages/runhatch-coordination/tests/test_commit.py
@@ -52,7 +52,7 @@
         inner = table._table
         commit(table, [Put(KEY, b"mine", 0)])
         inner.transact([Put(KEY, b"later", 1)])
-        outcome = commit(table, [Put(KEY, b"mine", 0)], lost=True)
+        outcome = commit(table, [Put(KEY, b"mine", 0)], is_answer_lost=True)
         assert isinstance(outcome, Unknown)
 
     def test_resent_write_takes_effect_once(self, table):
--- a/packages/runhatch-coordination/tests/test_feed.py
+++ b/packages/runhatch-coordination/tests/test_feed.py
@@ -12,10 +12,10 @@
     Listing,
     TableWatcher,
     Unavailable,
-    WaitEnded,
+    WaitInterrupted,
     store_version,
 )
-from runhatch_coordination._feed import COALESCE
+from runhatch_coordination._feed import COALESCING_PAUSE
 from runhatch_coordination.testing import ManualClock
 
 UNAVAILABLE = Unavailable("down")
@@ -42,11 +42,11 @@
     def read(self):
         return self._reads.pop(0)
 
-    def changes(self, after, wait):
+    def read_changes(self, after, wait):
         self.requested_after.append(after)
         return self._polls.pop(0)
 
-    def hurry(self):
+    def interrupt_wait(self):
         self.interruptions += 1
 
 
@@ -56,23 +56,23 @@
     def __init__(self):
         self.calls = []
 
-    def listed(self, entries):
+    def replace_entries(self, entries):
         self.calls.append(("listed", tuple(entry.key for entry in entries)))
 
-    def changed(self, entries):
+    def apply_entries(self, entries):
         self.calls.append(("changed", tuple(entry.key for entry in entries)))
 
-    def restored(self):
+    def handle_restoration(self):
         self.calls.append(("restored",))
 
-    def unreachable(self, reason):
+    def handle_outage(self, reason):
         self.calls.append(("unreachable", reason))
 
-    def reachable(self):
+    def handle_recovery(self):
         self.calls.append(("reachable",))
 
 
-def watch(reads, polls=(), steps=None, coalesce=COALESCE):
+def watch(reads, polls=(), steps=None, coalesce=COALESCING_PAUSE):
     feed = ScriptedFeed(reads, polls)
     listener = RecordingListener()
     clock = ManualClock()
@@ -119,7 +119,7 @@
             ),
             (
                 [listing(5, a=1)],
-                [WaitEnded(), changes(6, b=1)],
+                [WaitInterrupted(), changes(6, b=1)],
                 [("listed", ("a",)), ("changed", ("b",))],
             ),
             (
@@ -176,9 +176,9 @@
     ):
         watcher, feed, _, clock = watch([listing(5, a=1)])
 
-        watcher.noticed(noticed)
+        watcher.record_version(noticed)
         clock.advance(timedelta(seconds=elapsed_s))
-        watcher.check()
+        watcher.interrupt_if_overdue()
 
         assert feed.interruptions == interruptions
 
@@ -191,8 +191,8 @@
             [listing(5, a=1)], coalesce=timedelta(seconds=1.7)
         )
 
-        watcher.noticed(9)
+        watcher.record_version(9)
         clock.advance(timedelta(seconds=elapsed_s))
-        watcher.check()
+        watcher.interrupt_if_overdue()
 
         assert feed.interruptions == interruptions
--- a/packages/runhatch-coordination/tests/test_group.py
+++ b/packages/runhatch-coordination/tests/test_group.py
@@ -67,4 +67,4 @@
         ]
         assert all(future.result() == Committed() for future in futures)
         committer.close()
-        assert committer.calls < 200
+        assert committer.call_count < 200
--- a/packages/runhatch-coordination/tests/test_leases.py
+++ b/packages/runhatch-coordination/tests/test_leases.py
@@ -69,7 +69,7 @@
         """A jump of either node's wall clock neither ends nor frees a lease."""
         contenders.step("a")
         contenders.step("b")
-        contenders.clocks[jumping].jump(timedelta(days=days))
+        contenders.clocks[jumping].shift_wall_time(timedelta(days=days))
         for _ in range(20):
             contenders.advance(1)
             contenders.step("a")
@@ -137,11 +137,11 @@
         lease = Lease(table, contenders.clocks["a"], "shard", "a", TTL)
         table.call_duration = timedelta(seconds=1)
         lease.step()
-        assert lease.left() == TTL - 2 * table.call_duration
+        assert lease.remaining_validity() == TTL - 2 * table.call_duration
 
         contenders.clocks["a"].advance(TTL / 2)
         lease.step()
-        assert lease.left() == TTL - table.call_duration
+        assert lease.remaining_validity() == TTL - table.call_duration
 
     def test_lease_expires_at_its_holder_in_an_outage(self, contenders):
         """A holder that cannot reach the table stops after the time to live."""
@@ -185,7 +185,7 @@
         table, clock = MemoryTable(), ManualClock()
         holder = self.holder(table, clock)
         challenger = self.challenger(table, clock)
-        challenger.observe(holder.record.epoch, holder.record.renewal)
+        challenger.observe_renewal(holder.record.epoch, holder.record.renewal)
 
         clock.advance(TTL * 1.5)
 
@@ -196,7 +196,7 @@
         table, clock = MemoryTable(), ManualClock()
         holder = self.holder(table, clock)
         challenger = self.challenger(table, clock)
-        challenger.observe(holder.record.epoch, holder.record.renewal)
+        challenger.observe_renewal(holder.record.epoch, holder.record.renewal)
         clock.advance(TTL / 2)
         holder.step()
         clock.advance(TTL)
@@ -208,7 +208,7 @@
         holder = self.holder(table, clock)
         challenger = self.challenger(table, clock)
 
-        challenger.observe_resigned(holder.record.epoch)
+        challenger.observe_resignation(holder.record.epoch)
 
         assert challenger.step() is LeaseChange.ACQUIRED
         assert challenger.takeover.holder == "a"
@@ -219,7 +219,7 @@
         holder = self.holder(table, clock)
         challenger = self.challenger(table, clock)
 
-        challenger.observe_resigned(holder.record.epoch - 1)
+        challenger.observe_resignation(holder.record.epoch - 1)
 
         assert challenger.step() is LeaseChange.NONE
 
@@ -229,7 +229,7 @@
         restarted = Lease(table, clock, "plan", "a", TTL)
 
         assert restarted.step() is LeaseChange.ACQUIRED
-        assert restarted.held().number == first.record.epoch + 1
+        assert restarted.held_epoch().number == first.record.epoch + 1
 
     @pytest.mark.parametrize("from_another", [True, False])
     def test_restarted_holder_knows_when_other_holders_expired(self, from_another):
@@ -250,10 +250,10 @@
         restarted = self.challenger(table, clock)
 
         assert restarted.step() is LeaseChange.ACQUIRED
-        assert restarted.takeover.vacancy is Vacancy.OWN
+        assert restarted.takeover.vacancy is Vacancy.OWN_PREVIOUS_PROCESS
         free_since = restarted.takeover.free_since
         assert free_since == (TTL if from_another else None)
-        assert restarted.takeover.is_from_another is from_another
+        assert restarted.takeover.is_from_other_node is from_another
 
     def test_row_without_free_ms_counts_as_free_since_now(self):
         table, clock = MemoryTable(), ManualClock()
@@ -270,5 +270,5 @@
         lease.abandon()
 
         assert lease.step() is LeaseChange.ACQUIRED
-        assert lease.takeover.vacancy is Vacancy.KEPT
-        assert not lease.takeover.is_from_another
+        assert lease.takeover.vacancy is Vacancy.OWN_PROCESS
+        assert not lease.takeover.is_from_other_node
--- a/packages/runhatch-coordination/tests/test_leases_restored.py
+++ b/packages/runhatch-coordination/tests/test_leases_restored.py
@@ -21,19 +21,20 @@
     """Nodes that used the table before it was restored from an older copy."""
 
     def test_holder_reacquires_with_a_higher_fence(self, contenders):
-        contenders.memory.copy()
+        contenders.memory.save_copy()
         before = contenders.acquire("a")
         contenders.restore("a")
 
         assert contenders.acquire("a") > before
-        assert contenders.leases["a"].takeover.vacancy is Vacancy.KEPT
+        assert contenders.leases["a"].takeover.vacancy is Vacancy.OWN_PROCESS
         assert (
-            write_guarded(contenders, "a", contenders.leases["a"].held()) == Committed()
+            write_guarded(contenders, "a", contenders.leases["a"].held_epoch())
+            == Committed()
         )
 
     def test_challenger_waits_until_the_holder_has_expired(self, contenders):
         contenders.step("b")
-        contenders.memory.copy()
+        contenders.memory.save_copy()
         contenders.leases["b"].release()
         before = contenders.acquire("a")
         contenders.restore()
@@ -48,11 +49,11 @@
         assert contenders.acquire("b") > before
         assert contenders.holders() == ["b"]
         assert contenders.leases["b"].takeover.vacancy is Vacancy.RESTORED
-        assert contenders.leases["b"].takeover.is_from_another
+        assert contenders.leases["b"].takeover.is_from_other_node
 
     def test_previous_holder_waits_for_a_faster_challenger(self, contenders):
-        contenders.tables["b"].learn_era()
-        contenders.memory.copy()
+        contenders.tables["b"].update_era()
+        contenders.memory.save_copy()
         contenders.step("a")
         contenders.restore()
         contenders.step("b")
@@ -64,7 +65,7 @@
         assert contenders.holders() == ["b"]
 
     def test_fences_increase_over_repeated_restores(self, contenders):
-        contenders.memory.copy()
+        contenders.memory.save_copy()
         numbers = []
         for _ in range(5):
             numbers.append(contenders.acquire("a"))
@@ -87,7 +88,7 @@
     """Nodes that first read the table after it was restored."""
 
     def test_first_fence_exceeds_those_of_earlier_eras(self, contenders):
-        contenders.memory.copy()
+        contenders.memory.save_copy()
         contenders.acquire("a")
         contenders.restore("a")
         before = contenders.acquire("a")
@@ -101,10 +102,10 @@
             first_holder = "b" if copied == "own" else "a"
             epoch = contenders.acquire(first_holder)
             if copied == "resigned":
-                contenders.leases["b"].observe_resigned(epoch)
+                contenders.leases["b"].observe_resignation(epoch)
             if copied == "given up":
                 contenders.leases[first_holder].release()
-            contenders.memory.copy()
+            contenders.memory.save_copy()
             contenders.leases[first_holder].release()
         contenders.restart("a")
         before = contenders.acquire("a")
@@ -120,7 +121,7 @@
         assert contenders.holders() == ["b"]
 
     def test_expired_previous_holder_does_not_replace_the_new_holder(self, contenders):
-        contenders.memory.copy()
+        contenders.memory.save_copy()
         contenders.acquire("a")
         contenders.tables["a"].inject(TableFault.DOWN)
         contenders.restore("a")
@@ -134,7 +135,7 @@
         assert contenders.holders() == ["b"]
 
     def test_previous_holder_waits_after_its_own_expiry(self, contenders):
-        contenders.memory.copy()
+        contenders.memory.save_copy()
         contenders.acquire("a")
         contenders.tables["a"].inject(TableFault.DOWN)
         contenders.restore("a")
@@ -150,7 +151,7 @@
         The copy lacks the last renewal, so its row equals the one seen before.
         """
         contenders.step("a")
-        contenders.memory.copy()
+        contenders.memory.save_copy()
         contenders.step("b")
         contenders.advance(4)
         contenders.step("a")
@@ -168,13 +169,13 @@
 
         def restore_table():
             contenders.restore()
-            table.learn_era()
+            table.update_era()
             table.after_write = lambda: None
 
         table.after_write = restore_table
 
         assert lease.step() is LeaseChange.NONE
-        assert lease.held() is None
+        assert lease.held_epoch() is None
 
 
 class TestNewerEpoch:
@@ -183,21 +184,21 @@
     def test_holder_loses_the_lease_to_a_newer_epoch(self, contenders):
         epoch = contenders.acquire("a")
 
-        contenders.leases["a"].observe(epoch + 1, 0)
+        contenders.leases["a"].observe_renewal(epoch + 1, 0)
 
         assert contenders.holders() == []
-        assert contenders.leases["a"].left() == timedelta()
+        assert contenders.leases["a"].remaining_validity() == timedelta()
         assert contenders.step("a") is LeaseChange.LOST
 
     def test_report_of_its_own_epoch_does_not_end_the_lease(self, contenders):
         epoch = contenders.acquire("a")
 
-        contenders.leases["a"].observe(epoch, 3)
+        contenders.leases["a"].observe_renewal(epoch, 3)
 
         assert contenders.holders() == ["a"]
 
     def test_fence_below_a_reported_epoch_is_not_acquired(self, contenders):
-        contenders.leases["a"].observe(fence_of(1, 3), 0)
+        contenders.leases["a"].observe_renewal(fence_of(1, 3), 0)
 
-        assert contenders.step("a") is LeaseChange.BEHIND
+        assert contenders.step("a") is LeaseChange.TABLE_BEHIND
         assert contenders.holders() == []
--- a/packages/runhatch-coordination/tests/test_leases_world.py
+++ b/packages/runhatch-coordination/tests/test_leases_world.py
@@ -49,14 +49,14 @@
     @property
     def fence(self):
         """Fence under which the node currently acts, ``None`` if it holds no lease."""
-        epoch = None if self.frozen else self.lease.held()
+        epoch = None if self.frozen else self.lease.held_epoch()
         return None if epoch is None else epoch.number
 
     def receive_renewal(self, epoch, renewal):
         if (epoch, renewal) > self.last_report:
             self.last_report = (epoch, renewal)
             self.reported_at = self.clock.elapsed()
-            self.lease.observe(epoch, renewal)
+            self.lease.observe_renewal(epoch, renewal)
 
     def run_step(self):
         """Renew or poll the lease; skip polling while reports of its holder arrive."""
@@ -102,14 +102,14 @@
 
     @rule()
     def copy(self):
-        self.memory.copy()
+        self.memory.save_copy()
 
     @rule(informed=st.sets(st.integers(0, 4)))
     def restore(self, informed):
         """Restore the table; ``informed`` nodes learn the new era at once."""
-        self.memory.restore()
+        self.memory.restore_copy()
         for index in informed:
-            self.nodes[index].table.learn_era()
+            self.nodes[index].table.update_era()
 
     @rule(index=st.integers(0, 4), frozen=st.booleans())
     def freeze(self, index, frozen):
@@ -148,7 +148,7 @@
             node.lease.abandon()
             for other in self.nodes:
                 if other is not node and other.name not in self.isolated:
-                    other.lease.observe_resigned(fence)
+                    other.lease.observe_resignation(fence)
                     other.reported_at = timedelta(days=-1)
         else:
             node.lease.release()
--- a/packages/runhatch-coordination/tests/test_members.py
+++ b/packages/runhatch-coordination/tests/test_members.py
@@ -29,7 +29,7 @@
 @pytest.fixture
 def members(clock):
     membership = Membership(vm("a"), clock)
-    membership.listed([vm(name, 0) for name in "abc"], frozenset())
+    membership.apply_list([vm(name, 0) for name in "abc"], frozenset())
     return membership
 
 
@@ -38,43 +38,43 @@
 
     def test_peer_without_heartbeats_is_suspected_once(self, members, clock):
         """A peer whose heartbeats stop is reported as a new suspect once."""
-        members.heartbeat(alive("b"))
+        members.record_heartbeat(alive("b"))
         clock.advance(timedelta(seconds=4))
-        assert members.suspect_silent() == ["b"]
-        assert members.suspect_silent() == []
+        assert members.suspect_silent_peers() == ["b"]
+        assert members.suspect_silent_peers() == []
         assert members.standing("b") is Standing.SUSPECT
 
     def test_heartbeat_clears_suspicion(self, members, clock):
         """A suspected peer whose heartbeats resume is alive."""
-        members.heartbeat(alive("b"))
+        members.record_heartbeat(alive("b"))
         clock.advance(timedelta(seconds=4))
-        members.suspect_silent()
-        members.heartbeat(alive("b"))
+        members.suspect_silent_peers()
+        members.record_heartbeat(alive("b"))
         assert members.standing("b") is Standing.ALIVE
 
     def test_suspects_are_counted_within_a_period(self, members, clock):
         """A suspect counts until a heartbeat arrives or the period passes."""
-        members.learn([suspect("b"), suspect("c")])
-        assert members.lost_within(timedelta(seconds=10)) == 2
-        members.heartbeat(alive("b"))
-        assert members.lost_within(timedelta(seconds=10)) == 1
+        members.merge_facts([suspect("b"), suspect("c")])
+        assert members.count_suspected_within(timedelta(seconds=10)) == 2
+        members.record_heartbeat(alive("b"))
+        assert members.count_suspected_within(timedelta(seconds=10)) == 1
         clock.advance(timedelta(seconds=11))
-        assert members.lost_within(timedelta(seconds=10)) == 0
+        assert members.count_suspected_within(timedelta(seconds=10)) == 0
 
     def test_own_suspicion_is_refuted(self, members):
         """A suspected node refutes the suspicion with a higher incarnation."""
-        members.learn([MemberFact(vm("a"), Standing.SUSPECT)])
+        members.merge_facts([MemberFact(vm("a"), Standing.SUSPECT)])
         assert members.own.incarnation == 2
-        assert members.take_news() == [MemberFact(vm("a", 2), Standing.ALIVE)]
+        assert members.take_pending_facts() == [MemberFact(vm("a", 2), Standing.ALIVE)]
 
     def test_list_neither_clears_suspicions_nor_removes_live_vms(self, members, clock):
         """The list lags, so heartbeats take precedence over it."""
-        members.heartbeat(alive("b"))
-        members.heartbeat(alive("new"))
+        members.record_heartbeat(alive("b"))
+        members.record_heartbeat(alive("new"))
         clock.advance(timedelta(seconds=4))
-        members.suspect_silent()
-        members.heartbeat(alive("new"))
-        members.listed([vm(name, 0) for name in "abc"], frozenset())
+        members.suspect_silent_peers()
+        members.record_heartbeat(alive("new"))
+        members.apply_list([vm(name, 0) for name in "abc"], frozenset())
         assert members.standing("b") is Standing.SUSPECT
         assert members.standing("new") is Standing.ALIVE
 
@@ -91,7 +91,7 @@
     def test_higher_incarnation_wins(self, members, first, second, result):
         """The merged fact is the same for any order of arrival."""
         for incarnation, standing in (first, second):
-            members.learn([MemberFact(vm("b", incarnation), Standing(standing))])
+            members.merge_facts([MemberFact(vm("b", incarnation), Standing(standing))])
         assert members.standing("b") is Standing(result)
 
 
@@ -100,14 +100,14 @@
 
     def test_paused_node_restarts_its_timers(self, members, clock):
         """A node that was itself paused would otherwise suspect all its peers."""
-        members.heartbeat(alive("b"))
-        members.suspect_silent()
+        members.record_heartbeat(alive("b"))
+        members.suspect_silent_peers()
         clock.advance(timedelta(seconds=60))
-        assert members.suspect_silent() == []
+        assert members.suspect_silent_peers() == []
         suspected = []
         for _ in range(4):
             clock.advance(timedelta(seconds=1))
-            suspected += members.suspect_silent()
+            suspected += members.suspect_silent_peers()
         assert suspected == ["b"]
 
     @pytest.mark.parametrize(
@@ -122,32 +122,32 @@
         self, members, clock, elapsed_seconds, incarnation, believed
     ):
         """A node that receives a VM's heartbeats ignores suspicions of it by others."""
-        members.heartbeat(alive("b"))
+        members.record_heartbeat(alive("b"))
         clock.advance(timedelta(seconds=elapsed_seconds))
-        members.learn([suspect("b", incarnation)])
+        members.merge_facts([suspect("b", incarnation)])
         assert members.standing("b") is believed
 
     def test_message_without_a_link_starts_no_timer(self, members, clock):
         """A sender without a link is not expected to send further heartbeats."""
-        members.heartbeat(alive("b"), linked=False)
+        members.record_heartbeat(alive("b"), linked=False)
         clock.advance(timedelta(seconds=4))
-        assert members.suspect_silent() == []
+        assert members.suspect_silent_peers() == []
 
     def test_refutation_by_gossip_stops_the_timer(self, members, clock):
         """The same missing heartbeats must not cause a second suspicion."""
-        members.heartbeat(alive("b"))
+        members.record_heartbeat(alive("b"))
         clock.advance(timedelta(seconds=4))
-        assert members.suspect_silent() == ["b"]
-        members.learn([alive("b", 2)])
-        assert members.suspect_silent() == []
+        assert members.suspect_silent_peers() == ["b"]
+        members.merge_facts([alive("b", 2)])
+        assert members.suspect_silent_peers() == []
         assert members.standing("b") is Standing.ALIVE
 
     @pytest.mark.parametrize(
         ("standing", "incarnation", "is_returned"),
         [
             (Standing.SUSPECT, 1, True),
-            (Standing.LEAVING, 1, False),
-            (Standing.LEAVING, 7, True),
+            (Standing.DRAINING, 1, False),
+            (Standing.DRAINING, 7, True),
         ],
     )
     def test_contradiction_is_returned(
@@ -155,15 +155,17 @@
     ):
         """A VM can refute only the suspicions and old facts that are sent to it."""
         believed = MemberFact(vm("b", incarnation), standing)
-        members.learn([believed])
-        assert members.heartbeat(alive("b")) == (believed if is_returned else None)
+        members.merge_facts([believed])
+        assert members.record_heartbeat(alive("b")) == (
+            believed if is_returned else None
+        )
 
     def test_refutation_is_forwarded(self, members):
         """A refutation received from the VM itself is sent to other peers."""
-        members.heartbeat(alive("b"))
-        members.take_news()
-        members.heartbeat(alive("b", 2))
-        assert members.take_news() == [alive("b", 2)]
+        members.record_heartbeat(alive("b"))
+        members.take_pending_facts()
+        members.record_heartbeat(alive("b", 2))
+        assert members.take_pending_facts() == [alive("b", 2)]
 
     @pytest.mark.parametrize(
         ("received", "is_denied"),
@@ -171,13 +173,13 @@
             (suspect("a"), True),
             (suspect("a", 0), True),
             (alive("a"), False),
-            (MemberFact(vm("a"), Standing.LEAVING), False),
-            (MemberFact(vm("a", 7), Standing.LEAVING), True),
+            (MemberFact(vm("a"), Standing.DRAINING), False),
+            (MemberFact(vm("a", 7), Standing.DRAINING), True),
         ],
     )
     def test_wrong_fact_about_this_node_is_reported(self, members, received, is_denied):
         """A peer that believes this node suspect or leaving must be corrected."""
-        assert members.learn([received]) is is_denied
+        assert members.merge_facts([received]) is is_denied
         assert members.own.incarnation >= received.vm.incarnation
 
 
--- a/packages/runhatch-coordination/tests/test_permits.py
+++ b/packages/runhatch-coordination/tests/test_permits.py
@@ -65,9 +65,9 @@
         """
         memory, clock = MemoryTable(), ManualClock()
         first, second = (SharedPermits(memory, clock, "w", 4.0, 9) for _ in "ab")
-        memory.copy()
+        memory.save_copy()
         assert first.acquire(["x"]) == {"x"}
-        memory.restore()
+        memory.restore_copy()
         clock.advance(timedelta(seconds=5))
         assert second.acquire(["y"]) == {"y"}
 
--- a/packages/runhatch-coordination/tests/test_revisions.py
+++ b/packages/runhatch-coordination/tests/test_revisions.py
@@ -4,17 +4,17 @@
 
 from runhatch_coordination import (
     InvariantError,
-    Overtaken,
     Revision,
     RevisionEntry,
     RevisionFeed,
     RevisionLog,
+    StaleBaseRevision,
     Unavailable,
     digest_of,
 )
 from runhatch_coordination.testing import (
     FaultyTable,
-    MemoryObjects,
+    MemoryObjectStore,
     MemoryTable,
     TableFault,
 )
@@ -27,7 +27,7 @@
 
 @pytest.fixture
 def objects():
-    return MemoryObjects()
+    return MemoryObjectStore()
 
 
 @pytest.fixture
@@ -46,27 +46,27 @@
     def test_the_second_change_on_a_base_is_refused(self, log):
         """The second operator receives the number of the revision published first."""
         assert isinstance(log.publish(0, b"one", "x", "", ""), Revision)
-        assert log.publish(0, b"two", "y", "", "") == Overtaken(1)
-        assert log.read(1).body == b"one"
+        assert log.publish(0, b"two", "y", "", "") == StaleBaseRevision(1)
+        assert log.read_revision(1).body == b"one"
 
     @pytest.mark.parametrize("fault", [TableFault.LOSE_ANSWER, TableFault.LOSE_REQUEST])
     def test_a_lost_answer_is_resolved(self, log, table, fault):
         """A change whose request or answer was lost is published exactly once."""
         table.inject(fault, 1)
         assert isinstance(log.publish(0, b"one", "x", "", ""), Revision)
-        assert log.head() == 1
+        assert log.read_head_number() == 1
 
     def test_the_head_advances_only_after_the_body_is_stored(self, log, objects):
         """The head does not advance while the object store is unavailable."""
-        objects.down = True
+        objects.is_down = True
         assert isinstance(log.publish(0, b"one", "x", "", ""), Unavailable)
-        assert log.head() == 0
+        assert log.read_head_number() == 0
 
     def test_history_contains_authors_and_notes(self, log):
         """The history entry of each revision contains its author and note."""
         log.publish(0, b"one", "ana", "", "first")
         log.publish(1, b"two", "bat", "", "second")
-        assert [(e.author, e.note) for e in log.history()] == [
+        assert [(e.author, e.note) for e in log.read_history()] == [
             ("ana", "first"),
             ("bat", "second"),
         ]
@@ -87,12 +87,12 @@
         bodies = []
         feed = RevisionFeed(lambda revision: bodies.append(revision.body))
         feed.offer(log.publish(0, b"one", "x", "", ""))
-        memory.copy()
+        memory.save_copy()
         for base in range(1, lost + 1):
             feed.offer(log.publish(base, b"lost", "x", "", ""))
-        memory.restore()
+        memory.restore_copy()
 
-        assert not feed.offer(log.read(1))
+        assert not feed.offer(log.read_revision(1))
         assert feed.offer(log.publish(1, b"two", "y", "", ""))
 
         assert bodies == [b"one", *[b"lost"] * lost, b"two"]
--- a/packages/runhatch-coordination/tests/test_shared.py
+++ b/packages/runhatch-coordination/tests/test_shared.py
@@ -5,8 +5,12 @@
 import pytest
 from shared_cases import SILENT, make_table, row, whole_table
 
-from runhatch_coordination import Role, Source, TableChanges, Vm, role_of
-from runhatch_coordination._shared import ASK_EVERY, START_GRACE, START_PATIENCE
+from runhatch_coordination import Role, Source, TableChanges, Vm, choose_role
+from runhatch_coordination._shared import (
+    REQUEST_TIMEOUT,
+    START_GRACE,
+    START_REQUEST_WINDOW,
+)
 
 
 class TestReader:
@@ -24,18 +28,18 @@
         assert [changes.version for changes in peers.published] == [2, 3]
         assert peers.published[1] == TableChanges(2, 3, (row("b", b"2"),))
         assert peers.announced_versions == [2, 3]
-        assert table.unchanged == TableChanges(3, 3, ())
+        assert table.empty_changes == TableChanges(3, 3, ())
 
     def test_reports_whether_it_reaches_the_store(self):
         table, _, feed, listener, _, _ = make_table(Role.READER, answers=False)
         table.step()
         feed.is_cut_off = True
         table.step()
-        assert not table.reachable
+        assert not table.reaches_store
 
         feed.is_cut_off = False
         table.step()
-        assert table.reachable
+        assert table.reaches_store
         assert listener.reachability == [False, True]
 
 
@@ -48,7 +52,7 @@
         assert peers.requested_versions == [None]
         assert store.calls == 0
 
-        table.told("r1", whole_table(4, a=b"1"), True)
+        table.apply_changes("r1", whole_table(4, a=b"1"), True)
         table.step()
 
         assert listener.rows == {"a": b"1"}
@@ -57,7 +61,7 @@
     def test_reads_the_store_if_no_node_answers(self):
         table, store, _, _, _, clock = make_table()
         started_at = clock.elapsed()
-        while clock.elapsed() - started_at < START_PATIENCE + ASK_EVERY:
+        while clock.elapsed() - started_at < START_REQUEST_WINDOW + REQUEST_TIMEOUT:
             clock.advance(table.step())
 
         assert store.calls
@@ -70,7 +74,7 @@
 
     def test_readers_do_not_count_as_silent_in_the_start_grace(self):
         table, store, _, _, _, clock = make_table()
-        table.told("seed", whole_table(), True)
+        table.apply_changes("seed", whole_table(), True)
         while clock.elapsed() < START_GRACE - SILENT:
             clock.advance(table.step())
 
@@ -81,9 +85,9 @@
     """Return a table that received the whole table some time ago."""
     parts = make_table(**changes)
     table, clock = parts[0], parts[-1]
-    table.told("r1", whole_table(), True)
+    table.apply_changes("r1", whole_table(), True)
     clock.advance(START_GRACE)
-    table.told("r1", TableChanges(1, 1, ()), True)
+    table.apply_changes("r1", TableChanges(1, 1, ()), True)
     return parts
 
 
@@ -94,7 +98,9 @@
         table, store, _, listener, _, clock = make_follower()
         for number in range(2, 30):
             clock.advance(SILENT / 2)
-            table.told("r1", TableChanges(number - 1, number, (row("a", b"1"),)), True)
+            table.apply_changes(
+                "r1", TableChanges(number - 1, number, (row("a", b"1"),)), True
+            )
             table.step()
 
         assert store.calls == 0
@@ -105,19 +111,21 @@
         store.write("a", b"1")
         clock.advance(SILENT)
         table.step()
-        table.told("r1", TableChanges(2, 2, ()), True)
+        table.apply_changes("r1", TableChanges(2, 2, ()), True)
         table.step()
 
         assert listener.rows == {"a": b"1"}
-        assert peers.sources == [Source.SILENT, Source.TOLD]
+        assert peers.sources == [Source.NO_READER, Source.UPDATES]
 
     def test_requests_missed_changes_from_another_node(self):
         table, store, _, listener, peers, _ = make_follower()
-        table.told("r1", TableChanges(5, 6, (row("b", b"2"),)), True)
+        table.apply_changes("r1", TableChanges(5, 6, (row("b", b"2"),)), True)
         table.step()
         assert peers.requested_versions == [1]
 
-        table.told("r1", TableChanges(1, 6, (row("a", b"1"), row("b", b"2"))), True)
+        table.apply_changes(
+            "r1", TableChanges(1, 6, (row("a", b"1"), row("b", b"2"))), True
+        )
         table.step()
 
         assert listener.rows == {"a": b"1", "b": b"2"}
@@ -126,9 +134,9 @@
     def test_reads_missed_changes_if_no_node_answers(self):
         table, store, _, listener, _, clock = make_follower()
         store.write("a", b"1")
-        table.told("r1", TableChanges(5, 6, ()), True)
+        table.apply_changes("r1", TableChanges(5, 6, ()), True)
         table.step()
-        clock.advance(ASK_EVERY)
+        clock.advance(REQUEST_TIMEOUT)
         table.step()
 
         assert listener.rows == {"a": b"1"}
@@ -140,12 +148,12 @@
         """
         table, store, _, listener, _, clock = make_follower()
         store.write("a", b"1")
-        assert table.noticed(2)
-        assert not table.noticed(2)
+        assert table.record_version(2)
+        assert not table.record_version(2)
         for _ in range(6):
             clock.advance(timedelta(seconds=0.25))
-            table.told("r1", TableChanges(1, 1, ()), True)
-            table.check()
+            table.apply_changes("r1", TableChanges(1, 1, ()), True)
+            table.read_overdue()
             table.step()
 
         assert listener.rows == {"a": b"1"}
@@ -158,7 +166,7 @@
     def test_only_reserves_read_if_the_readers_are_cut_off(self, role, calls):
         table, store, _, listener, peers, _ = make_follower()
         peers.current_role = role
-        table.told("r1", TableChanges(1, 1, ()), False)
+        table.apply_changes("r1", TableChanges(1, 1, ()), False)
         assert listener.reachability == [False]
         table.step()
 
@@ -168,19 +176,19 @@
     def test_reads_an_announced_change_at_once_if_the_readers_are_cut_off(self):
         table, store, _, listener, _, _ = make_follower()
         store.write("a", b"1")
-        table.told("r1", TableChanges(1, 1, ()), False)
-        table.noticed(2)
+        table.apply_changes("r1", TableChanges(1, 1, ()), False)
+        table.record_version(2)
         table.step()
 
         assert listener.rows == {"a": b"1"}
 
     def test_relies_on_one_reader_that_reaches_the_store(self):
         table, store, _, listener, _, clock = make_follower()
-        table.told("r2", TableChanges(1, 1, ()), False)
+        table.apply_changes("r2", TableChanges(1, 1, ()), False)
         for _ in range(10):
             clock.advance(SILENT / 2)
-            table.told("r1", TableChanges(1, 1, ()), True)
-            table.told("r2", TableChanges(1, 1, ()), False)
+            table.apply_changes("r1", TableChanges(1, 1, ()), True)
+            table.apply_changes("r2", TableChanges(1, 1, ()), False)
             table.step()
 
         assert store.calls == 0
@@ -199,7 +207,7 @@
     )
     def test_only_a_single_domain_has_a_witness(self, domains, role):
         vms = [Vm(f"n{index}", f"d{index % domains}", "") for index in range(12)]
-        roles = [role_of(vm, vms) for vm in vms]
+        roles = [choose_role(vm, vms) for vm in vms]
 
         assert roles.count(Role.READER) == 2 * domains
         assert (Role.WITNESS in roles) == (role is Role.WITNESS)
@@ -209,11 +217,11 @@
         """It is not in the list of nodes any more, which may hold only two others."""
         remaining = [Vm(f"n{index}", "d1", "") for index in range(2)]
 
-        assert role_of(Vm("n9", "d1", ""), remaining) is Role.FOLLOWER
+        assert choose_role(Vm("n9", "d1", ""), remaining) is Role.FOLLOWER
 
     def test_announces_changes_that_its_readers_miss(self):
         table, store, _, listener, peers, _ = make_table(Role.WITNESS)
-        table.told("r1", whole_table(), True)
+        table.apply_changes("r1", whole_table(), True)
         store.write("a", b"1")
 
         table.step()
--- a/packages/runhatch-coordination/tests/test_shared_world.py
+++ b/packages/runhatch-coordination/tests/test_shared_world.py
@@ -14,7 +14,7 @@
     SharedTable,
     Vm,
     choose_readers,
-    role_of,
+    choose_role,
 )
 from runhatch_coordination._shared import START_GRACE
 from runhatch_coordination.testing import ManualClock
@@ -51,13 +51,15 @@
         # Nodes discover each other within some seconds.
         if self.world.clock.elapsed() - self.started_at < START_GRACE:
             return Role.FOLLOWER
-        return role_of(self.vm, self.world.vms())
+        return choose_role(self.vm, self.world.vms())
 
     def request_changes(self, table, version):
         for reader in self.world.readers_of(self):
             changes = reader.table.since(version)
             if not reader.is_frozen and changes is not None:
-                self.table.told(reader.vm.name, changes, reader.table.reachable)
+                self.table.apply_changes(
+                    reader.vm.name, changes, reader.table.reachable
+                )
                 break
         return True
 
@@ -68,7 +70,7 @@
     def publish_version(self, table, version):
         for other in self.world.nodes:
             if other is not self and not other.is_frozen:
-                other.table.noticed(version)
+                other.table.record_version(version)
 
     def record_source(self, table, source):
         pass
@@ -78,9 +80,9 @@
         if self.is_frozen:
             return
         now = self.world.clock.elapsed()
-        self.table.check()
-        if self.role() is Role.READER and self.table.unchanged is not None:
-            self.publish(NAME, self.table.unchanged, self.table.reachable)
+        self.table.read_overdue()
+        if self.role() is Role.READER and self.table.empty_changes is not None:
+            self.publish(NAME, self.table.empty_changes, self.table.reaches_store)
         if now >= self.due_at:
             self.due_at = now + min(self.table.step(), timedelta(seconds=0.4))
 
--- a/packages/runhatch-coordination/tests/test_table.py
+++ b/packages/runhatch-coordination/tests/test_table.py
@@ -40,9 +40,9 @@
         ],
     )
     def test_a_condition_fails_for_a_row_rewritten_in_another_era(self, table, write):
-        table.copy()
+        table.save_copy()
         table.transact([Put(KEY, b"lost", OLD_VERSION - 1)])
-        table.restore()
+        table.restore_copy()
         read = table.get(KEY).version
         assert table.transact([Put(KEY, b"theirs", read)]) == Committed()
 
@@ -50,16 +50,16 @@
         assert table.get(KEY).body == b"theirs"
 
     def test_a_condition_holds_for_the_row_it_was_formed_on(self, table):
-        table.copy()
-        table.restore()
+        table.save_copy()
+        table.restore_copy()
         assert table.transact([Put(KEY, b"second", 1)]) == Committed()
 
     def test_versions_read_after_a_restoration_are_higher(self, table):
-        table.copy()
+        table.save_copy()
         for version in range(1, 5):
             table.transact([Put(KEY, b"lost", version)])
         previous = table.get(KEY).version
-        table.restore()
+        table.restore_copy()
 
         found = table.get(KEY).version
 
@@ -69,7 +69,7 @@
         assert table.transact([Put(KEY, b"y", found + 1)]) == Committed()
 
     def test_the_creator_of_a_row_may_count_versions_from_one(self, table):
-        table.restore()
+        table.restore_copy()
         assert table.transact([Put(KEY, b"a", ABSENT)]) == Committed()
         assert table.transact([Put(KEY, b"b", 1)]) == Committed()
         assert table.transact([Put(KEY, b"c", 2)]) == Committed()
@@ -80,7 +80,7 @@
     )
     def test_a_lost_answer_is_resolved_in_a_later_era(self, expect, outcome):
         memory = MemoryTable()
-        memory.restore()
+        memory.restore_copy()
         table = FaultyTable(memory)
         if expect != ABSENT:
             table.transact([Put(KEY, b"first", ABSENT)])
@@ -90,11 +90,11 @@
 
     def test_a_lost_answer_of_an_earlier_era_stays_unknown(self, table):
         """The row that would show the outcome may be lost by the restoration."""
-        table.restore()
+        table.restore_copy()
         table.transact([Put(KEY, b"a", ABSENT)])
         expected = table.get(KEY).version
-        table.copy()
-        table.restore()
+        table.save_copy()
+        table.restore_copy()
         table.transact([Put(KEY, b"theirs", table.get(KEY).version)])
-        found = commit(table, [Put(KEY, b"mine", expected)], lost=True)
+        found = commit(table, [Put(KEY, b"mine", expected)], is_answer_lost=True)
         assert isinstance(found, Unknown)
--- a/packages/runhatch-server/src/runhatch_server/_caller_side.py
+++ b/packages/runhatch-server/src/runhatch_server/_caller_side.py
@@ -10,21 +10,21 @@
     Membership,
     RetryBudget,
 )
-from runhatch_server._progress import Progress
+from runhatch_server._progress import RequestCounter
 from runhatch_server.crashes import CrashDetector
 from runhatch_server.http import HttpServer, ServerLimits
 from runhatch_server.observability import LogLevel, Metrics, TraceLog
-from runhatch_server.outside import Outside
+from runhatch_server.outside import ExternalServices
 from runhatch_server.serving import (
     AnswerStore,
     Attempter,
-    CacheIntake,
+    CacheEventReader,
     CallerApp,
     Canceller,
     DemandCounter,
     Dispatcher,
     OnceGuard,
-    Picture,
+    PlacementCache,
     RequestReader,
     ServingService,
     TargetIncarnations,
@@ -32,7 +32,7 @@
 from runhatch_server.settings import Settings
 from runhatch_server.targets import TargetClient
 
-DRAIN_POLL = timedelta(milliseconds=200)
+DRAIN_POLL_INTERVAL = timedelta(milliseconds=200)
 
 
 class CallerSide:
@@ -40,57 +40,58 @@
 
     ``is_ready`` is the readiness reported to the load balancer, ``has_configuration``
     whether requests can be validated at all.  ``on_draining`` is called with a target
-    that refuses new work while draining, ``on_broken`` with a violated invariant.
+    that refuses new work while draining, ``on_invariant_error`` with a violated
+    invariant.
     """
 
     def __init__(
         self,
         settings: Settings,
-        outside: Outside,
-        picture: Picture,
+        outside: ExternalServices,
+        placement_cache: PlacementCache,
         membership: Membership,
         metrics: Metrics,
         traces: TraceLog,
         is_ready: Callable[[], bool],
         has_configuration: Callable[[], bool],
         on_draining: Callable[[str], None],
-        on_broken: Callable[[InvariantError], None],
+        on_invariant_error: Callable[[InvariantError], None],
         crashes: CrashDetector,
-        lives: TargetIncarnations,
+        target_incarnations: TargetIncarnations,
     ) -> None:
         serving = settings.serving
         self._settings = settings
         self._outside = outside
         self._clock = outside.clock
-        self._picture = picture
+        self._picture = placement_cache
         self._membership = membership
         self._metrics = metrics
         self._crashes = crashes
-        self._lives = lives
-        self._progress = Progress()
+        self._lives = target_incarnations
+        self._progress = RequestCounter()
         self._committer = GroupCommitter(outside.table)
         self.demand = DemandCounter()
         self.dispatcher = Dispatcher(
-            picture,
+            placement_cache,
             self._clock,
             settings.node.failure_domain,
             serving.queue_limit,
             serving.caller_share,
         )
-        self.caches = CacheIntake(
-            self.dispatcher, picture, metrics, serving.cache_event_targets
+        self.cache_event_reader = CacheEventReader(
+            self.dispatcher, placement_cache, metrics, serving.cache_event_targets
         )
         self._service = self._build_service(traces, on_draining)
         self._app = CallerApp(
-            RequestReader(picture, serving, self._clock),
+            RequestReader(placement_cache, serving, self._clock),
             self._service,
-            picture,
+            placement_cache,
             metrics,
             self._progress,
             self._clock,
             is_ready,
             has_configuration,
-            on_broken,
+            on_invariant_error,
         )
         self._server = HttpServer(
             self._app,
@@ -108,13 +109,13 @@
     @property
     def in_progress(self) -> int:
         """Number of requests in progress."""
-        return self._progress.count
+        return self._progress.in_progress
 
     def start(self) -> None:
         """Start accepting requests."""
         self._server.start()
 
-    def announce_drain(self) -> None:
+    def close_connections(self) -> None:
         """Close callers' connections after their next answers."""
         self._app.draining = True
 
@@ -128,11 +129,11 @@
     def _wait_for_requests(self) -> None:
         """Wait until no request is in progress or arrives on an open connection."""
         count_before = -1
-        while count_before != self._progress.begun:
-            count_before = self._progress.begun
-            while not self._progress.wait_idle(DRAIN_POLL):
+        while count_before != self._progress.total_begun:
+            count_before = self._progress.total_begun
+            while not self._progress.wait_until_idle(DRAIN_POLL_INTERVAL):
                 pass
-            self._clock.sleep(DRAIN_POLL)
+            self._clock.sleep(DRAIN_POLL_INTERVAL)
 
     def _build_service(
         self, traces: TraceLog, on_draining: Callable[[str], None]
@@ -173,7 +174,7 @@
         )
         return OnceGuard(
             claims,
-            AnswerStore(self._outside.objects, serving.inline_answer_bytes),
+            AnswerStore(self._outside.object_store, serving.inline_answer_bytes),
             self._membership,
             self._metrics,
             self._clock,
--- a/packages/runhatch-server/src/runhatch_server/_demand_reports.py
+++ b/packages/runhatch-server/src/runhatch_server/_demand_reports.py
@@ -8,8 +8,8 @@
 from runhatch_server.configuration import Deployment
 from runhatch_server.serving import DemandCounter
 
-SHORTEST_PERIOD = timedelta(seconds=1)
-MESSAGES_A_SECOND = 20
+MIN_REPORT_INTERVAL = timedelta(seconds=1)
+MAX_REPORTS_PER_SECOND = 20
 """Load limit of a planner; all nodes together send it at most this many counts."""
 
 Counts = dict[str, int]
@@ -18,33 +18,33 @@
 class DemandReporter:
     """Collects demand counts and sends them at a rate that depends on the node count.
 
-    ``on_own`` receives all counts of this node; pools planned elsewhere are ignored
-    there.  ``send`` sends the counts for one planner to its address.
+    ``on_local_counts`` receives all counts of this node; pools planned elsewhere are
+    ignored there.  ``send`` sends the counts for one planner to its address.
     """
 
     def __init__(
         self,
         demand: DemandCounter,
         clock: Clock,
-        own: str,
-        on_own: Callable[[Counts], None],
+        own_name: str,
+        on_local_counts: Callable[[Counts], None],
         send: Callable[[str, Counts], None],
     ) -> None:
         self._demand = demand
         self._clock = clock
-        self._own_name = own
-        self._on_own = on_own
+        self._own_name = own_name
+        self._on_own = on_local_counts
         self._send = send
         self._counts: Counter[str] = Counter()
         self._last_sent_at = timedelta()
 
-    def report(
+    def send_due_reports(
         self, deployment: Deployment, leases: Mapping[str, LeaseRecord], nodes: int
     ) -> None:
         """Send the collected counts if the period since the last report has passed."""
-        self._counts.update(self._demand.take())
+        self._counts.update(self._demand.take_counts())
         now = self._clock.elapsed()
-        if not self._counts or now - self._last_sent_at < demand_period(nodes):
+        if not self._counts or now - self._last_sent_at < report_interval(nodes):
             return
         self._last_sent_at = now
         counts = dict(self._counts)
@@ -72,10 +72,10 @@
         return by_address
 
 
-def demand_period(nodes: int) -> timedelta:
+def report_interval(nodes: int) -> timedelta:
     """Return the time between two reports of a node in a system of ``nodes`` nodes.
 
-    >>> demand_period(9).total_seconds(), demand_period(390).total_seconds()
+    >>> report_interval(9).total_seconds(), report_interval(390).total_seconds()
     (1.0, 19.5)
     """
-    return max(SHORTEST_PERIOD, timedelta(seconds=nodes / MESSAGES_A_SECOND))
+    return max(MIN_REPORT_INTERVAL, timedelta(seconds=nodes / MAX_REPORTS_PER_SECOND))
