--- a/packages/runhatch-server/src/runhatch_server/_drains.py
+++ b/packages/runhatch-server/src/runhatch_server/_drains.py
@@ -6,7 +6,7 @@
 from runhatch_coordination import Clock
 from runhatch_server.configuration import Deployment
 
-REMEMBERED = timedelta(seconds=15)
+DRAIN_REPORT_TTL = timedelta(seconds=15)
 """How long a target counts as draining after its last report that it drains."""
 
 
@@ -25,18 +25,18 @@
         self._draining_vms: frozenset[str] = frozenset()
         self._reported_at: dict[str, timedelta] = {}
 
-    def configure(self, deployment: Deployment) -> None:
+    def set_deployment(self, deployment: Deployment) -> None:
         """Replace the deployment whose drains and VMs are used."""
         self._deployment = deployment
         self._publish_drained()
 
-    def listed(self, leaving: frozenset[str]) -> None:
+    def set_draining_vms(self, draining_vms: frozenset[str]) -> None:
         """Record the names of the VMs that the platform is shutting down."""
-        if leaving != self._draining_vms:
-            self._draining_vms = leaving
+        if draining_vms != self._draining_vms:
+            self._draining_vms = draining_vms
             self._publish_drained()
 
-    def said(self, targets: frozenset[str]) -> bool:
+    def record_reports(self, targets: frozenset[str]) -> bool:
         """Record reports that ``targets`` drain; return whether any target is new."""
         now = self._clock.elapsed()
         new_targets = targets - self._reported_at.keys()
@@ -46,11 +46,13 @@
             self._publish_drained()
         return bool(new_targets)
 
-    def forget_old(self) -> None:
+    def remove_expired(self) -> None:
         """Remove targets whose last report that they drain has expired."""
         now = self._clock.elapsed()
         expired = [
-            name for name, at in self._reported_at.items() if now - at >= REMEMBERED
+            name
+            for name, at in self._reported_at.items()
+            if now - at >= DRAIN_REPORT_TTL
         ]
         for target in expired:
             del self._reported_at[target]
--- a/packages/runhatch-server/src/runhatch_server/_peer_service.py
+++ b/packages/runhatch-server/src/runhatch_server/_peer_service.py
@@ -19,15 +19,15 @@
     DrainingTargets,
     Fact,
     HostingFact,
+    HostingsDigest,
     Member,
-    PictureDigest,
     PlannerNotice,
     RevisionBody,
     RevisionNotice,
-    StateWanted,
-    member_of_fact,
+    StateRequest,
+    message_from_fact,
 )
-from runhatch_server.serving import Hosting, Picture
+from runhatch_server.serving import Hosting, PlacementCache
 
 
 class PeerService(MemberExchange):
@@ -37,55 +37,55 @@
         self,
         membership: Membership,
         feed: RevisionFeed,
-        picture: Picture,
+        placement_cache: PlacementCache,
         metrics: Metrics,
         on_notice: Callable[[int], None],
         on_hosting: Callable[[Hosting], bool],
         on_draining: Callable[[frozenset[str]], bool],
         on_demand: Callable[[dict[str, int]], None],
         on_planner: Callable[[PlannerNotice], bool],
-        planners: Callable[[], list[PlannerNotice]],
-        crashes: CrashDetector,
+        get_planner_notices: Callable[[], list[PlannerNotice]],
+        crash_detector: CrashDetector,
         clock: Clock,
         seed: int | None = None,
     ) -> None:
         super().__init__(membership, metrics, seed)
         self._feed = feed
-        self._placement_cache = picture
+        self._placement_cache = placement_cache
         self._on_notice = on_notice
         self._on_hosting = on_hosting
         self._on_draining = on_draining
         self._on_demand = on_demand
         self._on_planner = on_planner
-        self._get_planner_notices = planners
+        self._get_planner_notices = get_planner_notices
         self._mismatched_peers: set[str] = set()
-        self.suspects = SuspectExchange(
-            crashes, clock, lambda: [*self._linked], self.tell, self.tell_all
+        self.suspect_exchange = SuspectExchange(
+            crash_detector, clock, lambda: [*self._linked], self.send, self.publish
         )
         """Exchanges the requests during which targets have ended."""
 
-    def tell_revision(self, position: int) -> None:
+    def publish_revision(self, position: int) -> None:
         """Notify peers that the revision at ``position`` is in force on this node."""
-        self.tell_all(RevisionNotice(position))
+        self.publish(RevisionNotice(position))
 
-    def tell_hosting(self, hosting: Hosting) -> None:
+    def publish_hosting(self, hosting: Hosting) -> None:
         """Send peers the units that a target serves."""
-        self.tell_all(HostingFact(hosting.target, hosting.version, hosting.units))
+        self.publish(HostingFact(hosting.target, hosting.version, hosting.units))
 
-    def tell_digest(self) -> None:
+    def publish_digest(self) -> None:
         """Send peers the digest of the hostings, so that they detect a difference."""
-        self.tell_all(PictureDigest(self._placement_cache.digest))
+        self.publish(HostingsDigest(self._placement_cache.digest))
 
-    def tell_draining(self, targets: frozenset[str]) -> None:
+    def publish_draining(self, targets: frozenset[str]) -> None:
         """Send peers the names of targets that drain."""
-        self.tell_all(DrainingTargets(tuple(sorted(targets))))
+        self.publish(DrainingTargets(tuple(sorted(targets))))
 
-    def tell_demand(self, address: str, counts: dict[str, int]) -> None:
+    def send_demand(self, address: str, counts: dict[str, int]) -> None:
         """Send demand counts to the planner at ``address``."""
         if self._links is not None:
-            self._links.tell(address, [DemandCounts(counts)])
+            self._links.send(address, [DemandCounts(counts)])
 
-    def ask_for_state(self) -> None:
+    def request_state(self) -> None:
         """Request the configuration and the hostings from a random peer."""
         peers = [
             vm
@@ -93,52 +93,52 @@
             if vm.name != self._membership.own.name
         ]
         if self._links is not None and peers:
-            request = StateWanted(self._feed.position, self._membership.own.address)
-            self._links.tell(self._random.choice(peers).address, [request])
+            request = StateRequest(self._feed.position, self._membership.own.address)
+            self._links.send(self._random.choice(peers).address, [request])
 
     @singledispatchmethod
-    def take_in(self, fact: Fact, sender: Member) -> None:
+    def handle_message(self, fact: Fact, sender: Member) -> None:
         """Handle a fact by type; raise ``NotImplementedError`` for other types."""
         raise NotImplementedError(type(fact))
 
-    @take_in.register
+    @handle_message.register
     def _handle_revision_notice(self, fact: RevisionNotice, sender: Member) -> None:
         self._on_notice(fact.number)
 
-    @take_in.register
+    @handle_message.register
     def _handle_revision_body(self, fact: RevisionBody, sender: Member) -> None:
         self._feed.offer(_decode_revision(fact))
 
-    @take_in.register
+    @handle_message.register
     def _handle_hosting(self, fact: HostingFact, sender: Member) -> None:
         # Forwarded only if it changed something, so that forwarding ends.
         if self._on_hosting(Hosting(fact.target, fact.version, fact.units)):
-            self.tell_all(fact)
+            self.publish(fact)
 
-    @take_in.register
+    @handle_message.register
     def _handle_draining(self, fact: DrainingTargets, sender: Member) -> None:
         if self._on_draining(frozenset(fact.targets)):
-            self.tell_all(fact)
+            self.publish(fact)
 
-    @take_in.register
+    @handle_message.register
     def _handle_demand(self, fact: DemandCounts, sender: Member) -> None:
         self._on_demand(fact.counts)
 
-    @take_in.register
+    @handle_message.register
     def _handle_planner(self, fact: PlannerNotice, sender: Member) -> None:
         if self._on_planner(fact):
-            self.tell_all(fact)
+            self.publish(fact)
 
-    @take_in.register
-    def _handle_digest(self, fact: PictureDigest, sender: Member) -> None:
+    @handle_message.register
+    def _handle_digest(self, fact: HostingsDigest, sender: Member) -> None:
         self._compare_digest(sender, fact.digest)
 
-    @take_in.register
+    @handle_message.register
     def _handle_suspects(self, fact: SuspectMessage, sender: Member) -> None:
-        self.suspects.handle_message(fact, sender)
+        self.suspect_exchange.handle_message(fact, sender)
 
-    @take_in.register
-    def _handle_state_request(self, fact: StateWanted, sender: Member) -> None:
+    @handle_message.register
+    def _handle_state_request(self, fact: StateRequest, sender: Member) -> None:
         self._send_state(fact.known, fact.reply_to)
 
     def _compare_digest(self, sender: Member, digest: int) -> None:
@@ -152,8 +152,8 @@
             self._mismatched_peers.add(sender.name)
         elif self._links is not None:
             self._mismatched_peers.discard(sender.name)
-            request = StateWanted(self._feed.position, self._membership.own.address)
-            self._links.tell(sender.address, [request])
+            request = StateRequest(self._feed.position, self._membership.own.address)
+            self._links.send(sender.address, [request])
 
     def _send_state(self, known: int, reply_to: str) -> None:
         facts: list[Fact] = [
@@ -164,7 +164,7 @@
         # A node that has just started has received no heartbeats and would assume that
         # failed nodes are alive.
         facts += [
-            member_of_fact(fact)
+            message_from_fact(fact)
             for fact in self._membership.facts()
             if fact.standing is not Standing.ALIVE
         ]
@@ -172,7 +172,7 @@
         if current is not None and current.entry.position > known:
             facts.insert(0, _encode_revision(current))
         if self._links is not None and facts:
-            self._links.tell(reply_to, facts)
+            self._links.send(reply_to, facts)
 
 
 def _encode_revision(revision: Revision) -> RevisionBody:
--- a/packages/runhatch-server/src/runhatch_server/_process.py
+++ b/packages/runhatch-server/src/runhatch_server/_process.py
@@ -13,7 +13,7 @@
 from runhatch_server._errors import SettingsError
 from runhatch_server.observability import flush_logs
 
-LOOK_EVERY = timedelta(seconds=1)
+POLL_INTERVAL = timedelta(seconds=1)
 """Interval at which a daemon checks for changed settings and for a stop request."""
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 EXIT_BAD_SETTINGS = 2
@@ -28,7 +28,7 @@
     return EXIT_BAD_SETTINGS
 
 
-class Signals:
+class SignalHandler:
     """Installs the signal handlers of this process when it is created.
 
     Further stop signals are ignored, so that requests in progress are not aborted.
@@ -44,10 +44,10 @@
             signal.signal(number, self._handle_stop)
         signal.signal(signal.SIGHUP, lambda *_: None)
 
-    def wait_for_stop(self, longest: timedelta) -> bool:
-        """Wait up to ``longest`` for a stop signal; return whether one has arrived."""
+    def wait_for_stop(self, timeout: timedelta) -> bool:
+        """Wait up to ``timeout`` for a stop signal; return whether one has arrived."""
         try:
-            self._stop_requests.get(timeout=longest.total_seconds())
+            self._stop_requests.get(timeout=timeout.total_seconds())
         except queue.Empty:
             return False
         return True
@@ -58,7 +58,7 @@
         self._stop_requests.put(number)
 
 
-def end_process(status: int) -> NoReturn:
+def flush_and_exit(status: int) -> NoReturn:
     """Flush logs and output, then exit with ``status``.
 
     The interpreter is not finalized: threads that still run may abort the process
@@ -71,7 +71,7 @@
     os._exit(status)
 
 
-def stop_broken(broken: InvariantError) -> None:
+def exit_on_invariant_error(error: InvariantError) -> None:
     """Log the broken invariant and exit at once, before it does more damage."""
-    eliot.log_message(message_type="broken_invariant", promise=str(broken))
-    end_process(EXIT_BROKEN_INVARIANT)
+    eliot.log_message(message_type="broken_invariant", promise=str(error))
+    flush_and_exit(EXIT_BROKEN_INVARIANT)
--- a/packages/runhatch-server/src/runhatch_server/_progress.py
+++ b/packages/runhatch-server/src/runhatch_server/_progress.py
@@ -4,15 +4,15 @@
 from datetime import timedelta
 
 
-class Progress:
+class RequestCounter:
     """A thread-safe counter of requests in progress.
 
-    >>> progress = Progress()
-    >>> progress.begin()
-    >>> progress.count
+    >>> progress = RequestCounter()
+    >>> progress.record_begin()
+    >>> progress.in_progress
     1
-    >>> progress.end()
-    >>> progress.wait_idle(timedelta())
+    >>> progress.record_end()
+    >>> progress.wait_until_idle(timedelta())
     True
     """
 
@@ -22,30 +22,30 @@
         self._idle_condition = threading.Condition()
 
     @property
-    def count(self) -> int:
+    def in_progress(self) -> int:
         """Number of requests in progress."""
         return self._count
 
     @property
-    def begun(self) -> int:
+    def total_begun(self) -> int:
         """Number of requests begun since the start of the process."""
         return self._begun
 
-    def begin(self) -> None:
+    def record_begin(self) -> None:
         """Count a request as in progress."""
         with self._idle_condition:
             self._count += 1
             self._begun += 1
 
-    def end(self) -> None:
+    def record_end(self) -> None:
         """Count a request as ended."""
         with self._idle_condition:
             self._count -= 1
             self._idle_condition.notify_all()
 
-    def wait_idle(self, longest: timedelta) -> bool:
-        """Wait until no request is in progress; return false after ``longest``."""
+    def wait_until_idle(self, timeout: timedelta) -> bool:
+        """Wait until no request is in progress; return false after ``timeout``."""
         with self._idle_condition:
             return self._idle_condition.wait_for(
-                lambda: self._count == 0, longest.total_seconds()
+                lambda: self._count == 0, timeout.total_seconds()
             )
--- a/packages/runhatch-server/src/runhatch_server/_store_clock.py
+++ b/packages/runhatch-server/src/runhatch_server/_store_clock.py
@@ -5,7 +5,7 @@
 
 from runhatch_coordination import Clock
 
-LISTEN_EVERY = timedelta(seconds=30)
+DATE_UPDATE_INTERVAL = timedelta(seconds=30)
 
 
 class StoreClock:
@@ -37,16 +37,19 @@
         """Block the calling thread for ``duration``."""
         self._clock.sleep(duration)
 
-    def hear(self, date: str | None) -> None:
+    def update_from_date_header(self, date_header: str | None) -> None:
         """Set the time from the ``Date`` header of an answer that has just arrived.
 
         A missing or invalid date is ignored.
         """
         elapsed = self._clock.elapsed()
-        if self._last_date is not None and elapsed - self._last_date[1] < LISTEN_EVERY:
+        if (
+            self._last_date is not None
+            and elapsed - self._last_date[1] < DATE_UPDATE_INTERVAL
+        ):
             return
         try:
-            at = parsedate_to_datetime(date or "")
+            at = parsedate_to_datetime(date_header or "")
         except ValueError:
             return
         if at.tzinfo is not None:
--- a/packages/runhatch-server/src/runhatch_server/_tasks.py
+++ b/packages/runhatch-server/src/runhatch_server/_tasks.py
@@ -9,26 +9,26 @@
 
 from runhatch_coordination import Clock, InvariantError
 
-JITTER = 0.1
+JITTER_FRACTION = 0.1
 
 
 def _raise(error: InvariantError) -> None:
     raise error
 
 
-class Tasks:
+class RecurringTasks:
     """Starts recurring tasks, which continue after exceptions.
 
-    An :class:`InvariantError` ends the task and calls ``on_broken``; any other
+    An :class:`InvariantError` ends the task and calls ``on_invariant_error``; any other
     exception is logged, and the task runs again after its interval.
     """
 
     def __init__(self, clock: Clock, stopping: threading.Event) -> None:
         self._clock = clock
         self._stopping = stopping
-        self.on_broken: Callable[[InvariantError], None] = _raise
+        self.on_invariant_error: Callable[[InvariantError], None] = _raise
 
-    def every(
+    def start_task(
         self,
         name: str,
         interval: timedelta | Callable[[], timedelta],
@@ -57,13 +57,15 @@
             try:
                 work()
             except InvariantError as broken:
-                self.on_broken(broken)
+                self.on_invariant_error(broken)
                 return
             except Exception:
                 eliot.write_traceback()
             current_interval = (
                 interval if isinstance(interval, timedelta) else interval()
             )
-            pause = current_interval * random.uniform(1 - JITTER, 1 + JITTER)
+            pause = current_interval * random.uniform(
+                1 - JITTER_FRACTION, 1 + JITTER_FRACTION
+            )
             wake.wait(pause.total_seconds())
             wake.clear()
--- a/packages/runhatch-server/src/runhatch_server/_vms.py
+++ b/packages/runhatch-server/src/runhatch_server/_vms.py
@@ -19,7 +19,7 @@
     """
 
     nodes: tuple[Vm, ...]
-    leaving: frozenset[str]
+    draining_vms: frozenset[str]
 
 
 class VmList(Protocol):
--- a/packages/runhatch-server/src/runhatch_server/border.py
+++ b/packages/runhatch-server/src/runhatch_server/border.py
@@ -9,12 +9,12 @@
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
-def fault_lines(
-    error: ValidationError, secret: frozenset[str] = frozenset()
+def format_validation_errors(
+    error: ValidationError, secret_fields: frozenset[str] = frozenset()
 ) -> tuple[str, ...]:
     """Return one line for each error: field, value found and allowed values.
 
-    Values of fields named in ``secret`` are hidden.
+    Values of fields named in ``secret_fields`` are hidden.
     """
     lines = []
     for fault in error.errors(include_url=False):
@@ -25,7 +25,7 @@
         if fault["type"] == "missing":
             lines.append(f"{field}: missing, a value is required")
             continue
-        hidden = bool(secret.intersection(str(part) for part in fault["loc"]))
+        hidden = bool(secret_fields.intersection(str(part) for part in fault["loc"]))
         found = "a hidden value" if hidden else _truncate(repr(fault["input"]))
         allowed = fault["msg"].removeprefix("Value error, ")
         lines.append(f"{field}: found {found}, allowed: {allowed}")
--- a/packages/runhatch-server/src/runhatch_server/configuration/__init__.py
+++ b/packages/runhatch-server/src/runhatch_server/configuration/__init__.py
@@ -14,8 +14,8 @@
     TargetSpec,
     WeightStoreSpec,
 )
-from runhatch_server.configuration._difference import difference
-from runhatch_server.configuration._fit import shortfalls
+from runhatch_server.configuration._difference import format_difference
+from runhatch_server.configuration._fit import find_memory_shortfalls
 from runhatch_server.configuration._follower import RevisionFollower
 from runhatch_server.configuration._parse import parse_deployment
 from runhatch_server.configuration._service import (
@@ -23,7 +23,7 @@
     ApplyOutcome,
     ConfigurationService,
     Invalid,
-    Overruled,
+    RevisionConflict,
 )
 
 __all__ = [
@@ -35,7 +35,7 @@
     "Fencing",
     "Invalid",
     "ModelSpec",
-    "Overruled",
+    "RevisionConflict",
     "PathSpec",
     "PinSpec",
     "PlainServiceSpec",
@@ -45,7 +45,7 @@
     "RevisionFollower",
     "TargetSpec",
     "WeightStoreSpec",
-    "difference",
+    "format_difference",
     "parse_deployment",
-    "shortfalls",
+    "find_memory_shortfalls",
 ]
--- a/packages/runhatch-server/src/runhatch_server/configuration/_deployment.py
+++ b/packages/runhatch-server/src/runhatch_server/configuration/_deployment.py
@@ -89,7 +89,7 @@
     min_replicas: int = Field(default=1, ge=1, le=64)
 
     @property
-    def unit(self) -> str:
+    def unit_name(self) -> str:
         """The name of this version on engines, such as ``model@1``."""
         return f"{self.name}@{self.version}"
 
--- a/packages/runhatch-server/src/runhatch_server/configuration/_difference.py
+++ b/packages/runhatch-server/src/runhatch_server/configuration/_difference.py
@@ -5,10 +5,10 @@
 import msgspec
 
 
-def difference(old: bytes, new: bytes, names: tuple[str, str]) -> str:
+def format_difference(old: bytes, new: bytes, labels: tuple[str, str]) -> str:
     """Return a unified diff of two JSON documents, empty if they are equal.
 
-    >>> print(difference(b'{"a": 1}', b'{"a": 2}', ("1", "2")))
+    >>> print(format_difference(b'{"a": 1}', b'{"a": 2}', ("1", "2")))
     --- 1
     +++ 2
     @@ -1,3 +1,3 @@
@@ -18,7 +18,7 @@
      }
     """
     lines = difflib.unified_diff(
-        _format_lines(old), _format_lines(new), names[0], names[1], lineterm=""
+        _format_lines(old), _format_lines(new), labels[0], labels[1], lineterm=""
     )
     return "\n".join(lines)
 
--- a/packages/runhatch-server/src/runhatch_server/configuration/_fit.py
+++ b/packages/runhatch-server/src/runhatch_server/configuration/_fit.py
@@ -9,7 +9,7 @@
     return model.memory_mb + model.kv_reserve_mb + adapters
 
 
-def shortfalls(deployment: Deployment) -> tuple[str, ...]:
+def find_memory_shortfalls(deployment: Deployment) -> tuple[str, ...]:
     """Return a line for each model that does not fit, with the missing MB.
 
     Models are packed largest first, each on the targets of its pool with the most free
--- a/packages/runhatch-server/src/runhatch_server/configuration/_parse.py
+++ b/packages/runhatch-server/src/runhatch_server/configuration/_parse.py
@@ -6,9 +6,9 @@
 from pydantic import ValidationError
 
 from runhatch_server._errors import DeploymentError
-from runhatch_server.border import fault_lines
+from runhatch_server.border import format_validation_errors
 from runhatch_server.configuration._deployment import Deployment
-from runhatch_server.configuration._fit import shortfalls
+from runhatch_server.configuration._fit import find_memory_shortfalls
 
 
 def parse_deployment(body: bytes) -> Deployment:
@@ -20,10 +20,10 @@
     try:
         deployment = Deployment.model_validate_json(body)
     except ValidationError as error:
-        raise DeploymentError(fault_lines(error)) from None
+        raise DeploymentError(format_validation_errors(error)) from None
     faults = (*_check_unique_names(deployment), *_check_references(deployment))
     if not faults:
-        faults = shortfalls(deployment)
+        faults = find_memory_shortfalls(deployment)
     if faults:
         raise DeploymentError(faults)
     return deployment
--- a/packages/runhatch-server/src/runhatch_server/configuration/_service.py
+++ b/packages/runhatch-server/src/runhatch_server/configuration/_service.py
@@ -7,18 +7,18 @@
     ORIGIN,
     Clock,
     Missing,
-    Overtaken,
     Revision,
     RevisionEntry,
     RevisionFeed,
     RevisionLog,
+    StaleBaseRevision,
     StoreVersion,
     Unavailable,
     Unknown,
 )
 from runhatch_server._errors import DeploymentError
 from runhatch_server.configuration._deployment import Deployment
-from runhatch_server.configuration._difference import difference
+from runhatch_server.configuration._difference import format_difference
 from runhatch_server.configuration._parse import parse_deployment
 
 
@@ -37,14 +37,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Overruled:
+class RevisionConflict:
     """Another revision was published since the base; nothing was changed."""
 
     head: int
     difference: str
 
 
-ApplyOutcome = Applied | Invalid | Overruled | Unavailable | Unknown
+ApplyOutcome = Applied | Invalid | RevisionConflict | Unavailable | Unknown
 
 
 class ConfigurationService:
@@ -78,24 +78,26 @@
                 self._parsed = (current.entry.position, parsed)
             return self._parsed[1]
 
-    def apply(self, body: bytes, base: int, author: str, note: str) -> ApplyOutcome:
-        """Publish ``body`` as the revision after ``base`` if it is valid."""
+    def publish_document(
+        self, body: bytes, base_number: int, author: str, note: str
+    ) -> ApplyOutcome:
+        """Publish ``body`` as the revision after ``base_number`` if it is valid."""
         try:
             parse_deployment(body)
         except DeploymentError as error:
             return Invalid(error.faults)
         at = self._clock.now().isoformat(timespec="seconds")
-        outcome = self._log.publish(base, body, author, at, note)
+        outcome = self._log.publish(base_number, body, author, at, note)
         if isinstance(outcome, Revision):
             self._feed.offer(outcome)
             return Applied(outcome.entry.number)
-        if isinstance(outcome, Overtaken):
+        if isinstance(outcome, StaleBaseRevision):
             return self._build_overruled(outcome.head, body)
         return outcome
 
-    def refresh(self) -> bool:
+    def read_newest(self) -> bool:
         """Apply the newest revision of the store; return whether it was newer."""
-        newest = self._log.newest()
+        newest = self._log.read_newest_entry()
         if not isinstance(newest, RevisionEntry):
             return False
         if newest.position <= self._feed.position:
@@ -103,7 +105,7 @@
         revision = self._log.read_body(newest)
         return isinstance(revision, Revision) and self._feed.offer(revision)
 
-    def read(self, number: int) -> Revision | Missing | Unavailable:
+    def read_revision(self, number: int) -> Revision | Missing | Unavailable:
         """Return revision ``number``, without a read of the store if it is current.
 
         The number 0 means the current revision.
@@ -111,12 +113,16 @@
         current = self._feed.current
         if current is not None and number in (0, current.entry.number):
             return current
-        return self._log.read(number)
+        return self._log.read_revision(number)
 
-    def _build_overruled(self, head: int, body: bytes) -> Overruled:
-        revision = self._log.read(head)
+    def _build_overruled(self, head: int, body: bytes) -> RevisionConflict:
+        revision = self._log.read_revision(head)
         if not isinstance(revision, Revision):
-            return Overruled(head, "(the store did not return the newer revision)")
+            return RevisionConflict(
+                head, "(the store did not return the newer revision)"
+            )
         self._feed.offer(revision)
-        difference_text = difference(revision.body, body, (f"revision {head}", "yours"))
-        return Overruled(head, difference_text)
+        difference_text = format_difference(
+            revision.body, body, (f"revision {head}", "yours")
+        )
+        return RevisionConflict(head, difference_text)
--- a/packages/runhatch-server/src/runhatch_server/crashes/_watch.py
+++ b/packages/runhatch-server/src/runhatch_server/crashes/_watch.py
@@ -88,7 +88,7 @@
             return None
         detail = "targets that ran this request have ended, so it is not sent again"
         # No retry time is given, because an early retry is not wanted.
-        return Refusal(Reason.ENDS_TARGETS, Executed.NO, detail)
+        return Refusal(Reason.CRASHES_TARGETS, Executed.NO, detail)
 
     def record_abort(self, fingerprint: str, target: str) -> None:
         """Record that ``target`` aborted a request, and probe whether it has ended."""
@@ -154,7 +154,7 @@
                 self._record_ended(target, "connections are refused")
         with self._lock:
             self._suspects.remove_expired(now)
-            self._metrics.suspects.set(len(self._suspects.held_requests(now)))
+            self._metrics.requests_held_back.set(len(self._suspects.held_requests(now)))
             for name in [n for n, p in self._probes.items() if p.is_old(now)]:
                 del self._probes[name]
 
--- a/packages/runhatch-server/src/runhatch_server/daemon.py
+++ b/packages/runhatch-server/src/runhatch_server/daemon.py
@@ -8,39 +8,40 @@
 from runhatch_server._node import Node
 from runhatch_server._process import (
     EXIT_CANNOT_START,
-    LOOK_EVERY,
-    Signals,
+    POLL_INTERVAL,
+    SignalHandler,
+    exit_on_invariant_error,
     report_faults,
-    stop_broken,
 )
 from runhatch_server.observability import configure_logs
-from runhatch_server.outside import Outside
+from runhatch_server.outside import ExternalServices
 from runhatch_server.settings import Settings, load_settings
 
-Connect = Callable[[Settings], Outside]
+ConnectServices = Callable[[Settings], ExternalServices]
 
 
-def run_daemon(path: Path, check: bool, connect: Connect) -> int:
-    """Run with the settings at ``path`` until a stop signal; return the exit status.
+def run_daemon(settings_path: Path, check_only: bool, connect: ConnectServices) -> int:
+    """Run with the settings at ``settings_path`` until a stop signal; return the exit
+    status.
 
-    With ``check`` the settings are only validated.
+    With ``check_only`` the settings are only validated.
     """
     try:
-        settings = load_settings(path)
+        settings = load_settings(settings_path)
     except SettingsError as error:
         return report_faults(error)
-    if check:
-        print(f"runhatchd: {path}: settings are sound")
+    if check_only:
+        print(f"runhatchd: {settings_path}: settings are sound")
         return 0
     return _run(settings, connect)
 
 
-def _run(settings: Settings, connect: Connect) -> int:
-    signals = Signals()
+def _run(settings: Settings, connect: ConnectServices) -> int:
+    signals = SignalHandler()
     try:
         configure_logs(settings.logs.level, settings.logs.destination)
         node = Node(settings, connect(settings))
-        node.on_broken_invariant(stop_broken)
+        node.set_invariant_error_handler(exit_on_invariant_error)
         node.start()
     except OSError as error:
         print(f"runhatchd: cannot start: {error}", file=sys.stderr)
@@ -50,7 +51,7 @@
         f"{node.caller_port}, operators on port {node.operator_port}",
         flush=True,
     )
-    while not signals.wait_for_stop(LOOK_EVERY):
+    while not signals.wait_for_stop(POLL_INTERVAL):
         pass
     node.drain()
     return 0
--- a/packages/runhatch-server/src/runhatch_server/decisions/_admission.py
+++ b/packages/runhatch-server/src/runhatch_server/decisions/_admission.py
@@ -92,7 +92,7 @@
 
     It is infinite if ``max_gap`` is ``None``.
 
-    >>> longest_pause_ms(timedelta(milliseconds=200), 3)
+    >>> stream_pause_limit_ms(timedelta(milliseconds=200), 3)
     120.0
     """
     if max_gap is None:
--- a/packages/runhatch-server/src/runhatch_server/decisions/_candidates.py
+++ b/packages/runhatch-server/src/runhatch_server/decisions/_candidates.py
@@ -79,7 +79,7 @@
     if not willing:
         earliest = min(available_at, key=lambda target: available_at[target])
         is_backing_off = available_at[earliest] == load_of(earliest).backoff_until
-        reason = Reason.TARGETS_REST if is_backing_off else Reason.TARGETS_LIMITED
+        reason = Reason.TARGETS_BACK_OFF if is_backing_off else Reason.TARGETS_LIMITED
         return NoCandidates(available_at[earliest] - now, reason, earliest)
     untried = [
         t for t in willing if t.incarnation not in tried.failed_targets
--- a/packages/runhatch-server/src/runhatch_server/decisions/_fingerprint.py
+++ b/packages/runhatch-server/src/runhatch_server/decisions/_fingerprint.py
@@ -13,9 +13,10 @@
     node, so none of these is included. Nor is the caller's address, which is not
     forwarded to targets.
 
-    >>> fingerprint_of("GET", "a", "/x", b"") == fingerprint_of("GET", "a", "/x", b"")
+    >>> fingerprint = compute_fingerprint("GET", "a", "/x", b"y")
+    >>> fingerprint == compute_fingerprint("GET", "a", "/x", b"y")
     True
-    >>> fingerprint_of("GET", "a", "/x", b"y") == fingerprint_of("GET", "a", "/xy", b"")
+    >>> fingerprint == compute_fingerprint("GET", "a", "/xy", b"")
     False
     """
     digest = blake2b(digest_size=FINGERPRINT_BYTES)
--- a/packages/runhatch-server/src/runhatch_server/decisions/_prefixes.py
+++ b/packages/runhatch-server/src/runhatch_server/decisions/_prefixes.py
@@ -7,7 +7,7 @@
 from collections import Counter, OrderedDict
 from collections.abc import Iterable
 
-from runhatch_server.targets import block_names
+from runhatch_server.targets import compute_block_names
 
 MAX_BLOCKS = 16
 MAX_INDEXED_BLOCKS = 20_000
@@ -15,7 +15,7 @@
 
 def prefix_blocks(model: str, text: str) -> tuple[str, ...]:
     """Return the names of the complete blocks of ``text``, at most ``MAX_BLOCKS``."""
-    return tuple(block_names(model, text, MAX_BLOCKS))
+    return tuple(compute_block_names(model, text, MAX_BLOCKS))
 
 
 class PrefixIndex:
--- a/packages/runhatch-server/src/runhatch_server/decisions/_rate_limits.py
+++ b/packages/runhatch-server/src/runhatch_server/decisions/_rate_limits.py
@@ -159,7 +159,7 @@
     ``lost`` nodes were seen before but not recently. In a network partition, nodes in
     the majority issue the whole limit, the others a proportional part below one half.
 
-    >>> share_of_rate(5, 4), share_of_rate(3, 6)
+    >>> issued_rate_share(5, 4), issued_rate_share(3, 6)
     (1.0, 0.3333333333333333)
     """
     return 1.0 if alive > lost else alive / (alive + lost)
--- a/packages/runhatch-server/src/runhatch_server/fleet/_directory.py
+++ b/packages/runhatch-server/src/runhatch_server/fleet/_directory.py
@@ -87,7 +87,7 @@
 
     # Updates from the store.
 
-    def listed(self, entries: tuple[Entry[Target], ...]) -> None:
+    def replace_entries(self, entries: tuple[Entry[Target], ...]) -> None:
         """Replace all targets by those in ``entries``."""
         with self.update_condition:
             present = {entry.key for entry in entries if entry.value is not None}
@@ -99,14 +99,14 @@
             self.is_listed = True
             self._rebuild()
 
-    def changed(self, entries: tuple[Entry[Target], ...]) -> None:
+    def apply_entries(self, entries: tuple[Entry[Target], ...]) -> None:
         """Apply changes of single targets."""
         with self.update_condition:
             for entry in entries:
                 self._apply(entry)
             self._rebuild()
 
-    def restored(self) -> None:
+    def handle_restoration(self) -> None:
         """Record that the store was restored from an older copy.
 
         Targets missing from the copy may still run; those known to drain or to be
@@ -119,13 +119,13 @@
                 if target.state is TargetState.DRAINING:
                     self._draining.setdefault(target.incarnation, now)
 
-    def unreachable(self, reason: str) -> None:
+    def handle_outage(self, reason: str) -> None:
         """Record that the store sends no updates from now on."""
         log_change("targets_unreachable", why=reason)
         with self.update_condition:
             self._reachable = False
 
-    def reachable(self) -> None:
+    def handle_recovery(self) -> None:
         """Record that the store sends updates again."""
         log_change("targets_reachable")
         with self.update_condition:
--- a/packages/runhatch-server/src/runhatch_server/gateway/_app.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_app.py
@@ -6,17 +6,17 @@
 from typing import BinaryIO, cast
 
 from runhatch_coordination import Clock
-from runhatch_server._progress import Progress
+from runhatch_server._progress import RequestCounter
 from runhatch_server.decisions import GatewayRequest, compute_fingerprint
 from runhatch_server.gateway._answers import CompleteAnswer, GatewayAnswer, StreamAnswer
 from runhatch_server.gateway._messages import HeaderCodec, InvalidHeader
 from runhatch_server.gateway._service import GatewayService
 from runhatch_server.http import (
-    CountedEvents,
+    ClosingEvents,
     Environ,
     StartResponse,
-    caller_gone,
-    send_whole,
+    caller_disconnect_check,
+    send_response,
 )
 from runhatch_server.observability import Metrics, log_change
 from runhatch_server.refusals import (
@@ -43,7 +43,7 @@
         self,
         service: GatewayService,
         codec: HeaderCodec,
-        progress: Progress,
+        progress: RequestCounter,
         metrics: Metrics,
         clock: Clock,
         on_request: Callable[[GatewayRequest], None],
@@ -64,7 +64,7 @@
         self, environ: Environ, start_response: StartResponse
     ) -> Iterable[bytes]:
         """Serve one request."""
-        self._progress.begin()
+        self._progress.record_begin()
         is_streaming = False
         try:
             answer = self._answer(environ)
@@ -72,13 +72,13 @@
             if isinstance(answer, StreamAnswer):
                 start_response(status, [*answer.headers])
                 is_streaming = True
-                return CountedEvents(answer.events, self._progress.end)
-            return send_whole(
+                return ClosingEvents(answer.events, self._progress.record_end)
+            return send_response(
                 status, answer.headers, answer.body, start_response, self.draining
             )
         finally:
             if not is_streaming:
-                self._progress.end()
+                self._progress.record_end()
 
     def _answer(self, environ: Environ) -> GatewayAnswer:
         headers = _headers(environ)
@@ -96,7 +96,7 @@
             return self._build_refusal(request, headers)
         self._metrics.requests.labels(request.route.kind.value).inc()
         self._on_request(request)
-        answer = self._service.serve(request, caller_gone(environ))
+        answer = self._service.serve(request, caller_disconnect_check(environ))
         if isinstance(answer, Refusal):
             return self._build_refusal(answer, headers)
         return answer
@@ -194,7 +194,7 @@
         self, environ: Environ, start_response: StartResponse
     ) -> Iterable[bytes]:
         """Answer every path with the metrics."""
-        body = self._metrics.exposition()
+        body = self._metrics.render_exposition()
         headers = [
             ("Content-Type", "text/plain; version=0.0.4"),
             ("Content-Length", str(len(body))),
--- a/packages/runhatch-server/src/runhatch_server/gateway/_configuration.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_configuration.py
@@ -26,11 +26,11 @@
         """The current routes, ``None`` before the first configuration."""
         return self._routes
 
-    def listed(self, entries: tuple[Entry[RoutingConfiguration], ...]) -> None:
+    def replace_entries(self, entries: tuple[Entry[RoutingConfiguration], ...]) -> None:
         """Apply the configuration listed by the store."""
-        self.changed(entries)
+        self.apply_entries(entries)
 
-    def changed(self, entries: tuple[Entry[RoutingConfiguration], ...]) -> None:
+    def apply_entries(self, entries: tuple[Entry[RoutingConfiguration], ...]) -> None:
         """Apply new versions."""
         for entry in entries:
             if entry.value is not None:
@@ -54,13 +54,13 @@
         )
         return True
 
-    def restored(self) -> None:
+    def handle_restoration(self) -> None:
         """Keep the current routes though the store was restored from an older copy."""
 
-    def unreachable(self, reason: str) -> None:
+    def handle_outage(self, reason: str) -> None:
         """Log that the store cannot be read; the current routes stay."""
         log_change("configuration_unreachable", why=reason)
 
-    def reachable(self) -> None:
+    def handle_recovery(self) -> None:
         """Log that the store can be read again."""
         log_change("configuration_reachable")
--- a/packages/runhatch-server/src/runhatch_server/gateway/_forward.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_forward.py
@@ -122,7 +122,7 @@
         except TimeoutError:
             return UnknownResult(AttemptReason.TIMED_OUT)
         except (OSError, http.client.HTTPException, ValueError):
-            return UnknownResult(AttemptReason.BROKEN)
+            return UnknownResult(AttemptReason.CONNECTION_BROKEN)
         names = {name.lower(): value for name, value in response.getheaders()}
         head = self._codec.decode_answer(
             response.status, response.reason, names, response.will_close
@@ -161,7 +161,7 @@
 def _make_refusal(head: AnswerHead) -> RefusedNotRun:
     if head.status == MISDIRECTED_STATUS:
         return RefusedNotRun(
-            AttemptReason.MODEL_NOT_THERE,
+            AttemptReason.MODEL_MISSING,
             idle_timeout=head.idle_timeout,
             draining=head.draining,
             rate_limit=head.rate_limit,
--- a/packages/runhatch-server/src/runhatch_server/gateway/_known_orderer.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_known_orderer.py
@@ -44,7 +44,7 @@
         """
         if epoch >= self.epoch:
             return False
-        self._metrics.orderers_behind.inc()
+        self._metrics.stale_order_updates.inc()
         if self._logged_behind.get(address) != epoch:
             self._logged_behind[address] = epoch
             log_change(
--- a/packages/runhatch-server/src/runhatch_server/gateway/_listeners.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_listeners.py
@@ -15,7 +15,7 @@
 CALLER_CONNECTIONS = 1_500
 """Maximum open connections of callers; a node may use about 3,900 descriptors."""
 SIDE_THREADS = 2
-SIDE_LIMITS = ServerLimits(body=1_024, header=16_384)
+SIDE_LIMITS = ServerLimits(max_body_bytes=1_024, max_header_bytes=16_384)
 IDLE_TIMEOUT_MARGIN = timedelta(seconds=10)
 """Time that idle connections stay open beyond the timeout announced to callers: the
 HTTP server measures idle time by the wall clock, which may jump by seconds."""
@@ -66,7 +66,7 @@
     """Open the links to other nodes; they receive messages at once."""
     return PeerLinks(
         str(settings.peers),
-        peers.own,
+        peers.own_member,
         peers.receive,
         metrics,
         HEARTBEAT_INTERVAL,
@@ -86,7 +86,7 @@
     broadcaster = None
     if settings.broadcast_port:
         url = f"tcp://{settings.peers.host}:{settings.broadcast_port}"
-        broadcaster = Broadcaster(url, peers.own, metrics)
+        broadcaster = Broadcaster(url, peers.own_member, metrics)
     return broadcaster, Listener(peers.receive, metrics, MAX_MESSAGE_BYTES, on_broken)
 
 
--- a/packages/runhatch-server/src/runhatch_server/gateway/_load_exchange.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_load_exchange.py
@@ -10,7 +10,13 @@
 from collections.abc import Callable, Iterable
 from datetime import timedelta
 
-from runhatch_coordination import FULL_MESH, Clock, Membership, Vm, choose_readers
+from runhatch_coordination import (
+    MAX_FULL_MESH_NODES,
+    Clock,
+    Membership,
+    Vm,
+    choose_readers,
+)
 from runhatch_server.decisions import LoadShare
 from runhatch_server.gateway._peer_facts import load_of_message, message_of_load
 from runhatch_server.gateway._shared_loads import SharedLoads, Shares
@@ -121,7 +127,7 @@
         """Choose the readers among ``alive``; return the nodes to link to for loads."""
         own = self._membership.own
         vms = list(alive)
-        uses_readers = len(vms) > FULL_MESH and self._tables.can_broadcast
+        uses_readers = len(vms) > MAX_FULL_MESH_NODES and self._tables.can_broadcast
         domains = {vm.failure_domain for vm in vms} if uses_readers else set()
         readers = [
             vm
--- a/packages/runhatch-server/src/runhatch_server/gateway/_messages.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_messages.py
@@ -7,7 +7,7 @@
 
 from runhatch_server.decisions import GatewayRequest, Headers, ModelWork
 from runhatch_server.fleet import Target
-from runhatch_server.targets import ReportedLoad, UnreadableLimit
+from runhatch_server.targets import InvalidRateLimit, ReportedLoad
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,7 +52,7 @@
     forwarded: Headers
     draining: bool = False
     backoff: timedelta | None = None
-    rate_limit: float | UnreadableLimit | None = None
+    rate_limit: float | InvalidRateLimit | None = None
 
 
 class HeaderCodec(Protocol):
--- a/packages/runhatch-server/src/runhatch_server/gateway/_node.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_node.py
@@ -11,10 +11,10 @@
     LeaseChange,
     Membership,
     Vm,
-    rank,
+    rank_names,
 )
-from runhatch_server._progress import Progress
-from runhatch_server._tasks import Tasks
+from runhatch_server._progress import RequestCounter
+from runhatch_server._tasks import RecurringTasks
 from runhatch_server.crashes import CHECK_INTERVAL, DIGEST_INTERVAL, CrashDetector
 from runhatch_server.decisions import GatewayRequest
 from runhatch_server.fleet import TargetDirectory
@@ -94,8 +94,8 @@
         self._clock = platform.clock
         self._stopping = threading.Event()
         self._metrics = Metrics()
-        self._tasks = Tasks(self._clock, self._stopping)
-        self._progress = Progress()
+        self._tasks = RecurringTasks(self._clock, self._stopping)
+        self._progress = RequestCounter()
         self._demand = DemandCounter()
         self._directory = TargetDirectory(self._clock)
         self._configuration = ActiveConfiguration(self._on_routes, self._metrics)
@@ -128,7 +128,7 @@
             self._limits,
             self._directory,
             self._on_demand,
-            self._lease.observe,
+            self._lease.observe_renewal,
             self._orderer.record_resignation,
             self._tables,
             self._crashes,
@@ -151,29 +151,34 @@
         """Open the listeners and start all tasks."""
         self._open_links()
         self._tables.start()
-        self._tasks.every("settle", CLEANUP_INTERVAL, self._remove_expired)
-        self._tasks.every(
-            "members", HEARTBEAT_INTERVAL, self._update_members, self._peers.met_member
+        self._tasks.start_task("settle", CLEANUP_INTERVAL, self._remove_expired)
+        self._tasks.start_task(
+            "members",
+            HEARTBEAT_INTERVAL,
+            self._update_members,
+            self._peers.new_member_seen,
         )
-        self._tasks.every(
+        self._tasks.start_task(
             "readers", self._tables.heartbeat_interval, self._update_tables
         )
-        self._tasks.every("lease", LEASE_INTERVAL, self._update_lease)
-        self._tasks.every(
+        self._tasks.start_task("lease", LEASE_INTERVAL, self._update_lease)
+        self._tasks.start_task(
             "share",
             SHARE_INTERVAL,
             self._send_loads_and_demand,
             self._demand.missed_event,
         )
-        self._tasks.every(
+        self._tasks.start_task(
             "crashes",
             CHECK_INTERVAL,
             self._crashes.recheck_targets,
             self._crashes.recheck_requested,
         )
-        self._tasks.every("suspects", DIGEST_INTERVAL, self._peers.suspects.send_digest)
-        self._tasks.every("sums", self._sums_interval, self._peers.loads.send_sums)
-        self._tasks.every(
+        self._tasks.start_task(
+            "suspects", DIGEST_INTERVAL, self._peers.suspects.send_digest
+        )
+        self._tasks.start_task("sums", self._sums_interval, self._peers.loads.send_sums)
+        self._tasks.start_task(
             "orders", self._order_interval, self._run_orderer, self._order_wanted
         )
         for server in self._servers:
@@ -188,12 +193,12 @@
     def drain(self) -> None:
         """Stop accepting requests and finish running ones within the shutdown grace."""
         started_at = self._clock.elapsed()
-        log_change("stopping", in_progress=self._progress.count)
+        log_change("stopping", in_progress=self._progress.in_progress)
         self._stopping.set()
         self._app.draining = True
         self._balancer.close()
-        self._membership.leave()
-        self._peers.look_round()
+        self._membership.announce_draining()
+        self._peers.check_members()
         resignation = self._orderer.stop()
         if resignation is not None:
             self._peers.publish_resignation(resignation)
@@ -203,23 +208,23 @@
         self._sleep_until(min(started_at + MIN_DRAIN_DURATION, ends_at))
         caller_server = self._servers[0]
         caller_server.stop_listening()
-        caller_server.close_idle()
+        caller_server.close_idle_connections()
         while self._clock.elapsed() < ends_at:
-            begun_count = self._progress.begun
-            if self._progress.wait_idle(IDLE_BEFORE_STOP):
+            begun_count = self._progress.total_begun
+            if self._progress.wait_until_idle(IDLE_BEFORE_STOP):
                 self._clock.sleep(IDLE_BEFORE_STOP)
-                if self._progress.begun == begun_count:
+                if self._progress.total_begun == begun_count:
                     break
         if self._links is not None:
             self._links.close()
         self._tables.close()
-        log_change("stopped", in_progress=self._progress.count)
+        log_change("stopped", in_progress=self._progress.in_progress)
 
     def set_invariant_error_handler(
         self, stop: Callable[[InvariantError], None]
     ) -> None:
         """Set ``stop`` to be called if a task finds a broken invariant."""
-        self._tasks.on_broken = stop
+        self._tasks.on_invariant_error = stop
 
     def _build_app(self) -> GatewayApp:
         forwarder = Forwarder(self._pool, self._platform.headers, self._clock)
@@ -257,8 +262,8 @@
             self._metrics,
             self._stopping,
             drain,
-            lambda address, fact: self._peers.tell(address, fact),
-            lambda fact: self._peers.tell_all(fact),
+            lambda address, fact: self._peers.send(address, fact),
+            lambda fact: self._peers.publish(fact),
             lambda: map(str, self._settings.seeds),
         )
         outside = self._platform
@@ -296,10 +301,10 @@
         """Open the connections and broadcasts to other nodes."""
 
         def on_broken(error: InvariantError) -> None:
-            self._tasks.on_broken(error)
+            self._tasks.on_invariant_error(error)
 
         self._links = open_links(self._settings, self._peers, self._metrics, on_broken)
-        self._peers.attach(self._links)
+        self._peers.attach_links(self._links)
         broadcaster, listener = open_broadcast(
             self._settings, self._peers, self._metrics, on_broken
         )
@@ -308,7 +313,7 @@
     def _on_routes(self, routes: RouteTable) -> None:
         self._balancer.configure(routes.services, routes.max_gaps)
         self._orderer.declare(routes.services)
-        self._servers[0].limit(server_limits(routes.configuration.limits))
+        self._servers[0].set_limits(server_limits(routes.configuration.limits))
         self._app.routes = routes
 
     def _record_demand(self, request: GatewayRequest) -> None:
@@ -320,9 +325,9 @@
             self._order_wanted.set()
 
     def _update_members(self) -> None:
-        self._peers.look_for_members(map(str, self._settings.seeds))
-        self._peers.keep_links()
-        self._peers.look_round()
+        self._peers.announce_to_seeds(map(str, self._settings.seeds))
+        self._peers.update_links()
+        self._peers.check_members()
         self._balancer.node_count = len(self._membership.alive())
 
     def _update_tables(self) -> None:
@@ -360,7 +365,7 @@
         During a rolling restart, these have already been restarted.
         """
         alive = {vm.name: vm for vm in self._membership.alive()}
-        ranked = rank(ORDERS_LEASE_NAME, alive)
+        ranked = rank_names(ORDERS_LEASE_NAME, alive)
         ranked.sort(key=lambda name: alive[name].incarnation, reverse=True)
         return ranked[:LEASE_CANDIDATES]
 
@@ -392,10 +397,10 @@
         self._metrics.targets.set(len(ready))
         replicas = sum(len(target.held.adapters_by_model) for target in ready)
         self._metrics.replicas.set(replicas)
-        self._metrics.holds_orders.set(self._orderer.holds_lease() is not None)
-        self._metrics.held.set(self._balancer.held_count)
+        self._metrics.orders_lease_held.set(self._orderer.holds_lease() is not None)
+        self._metrics.requests_held.set(self._balancer.held_count)
         self._tables.update_metrics()
-        self._metrics.in_progress.set(self._progress.count)
+        self._metrics.requests_in_progress.set(self._progress.in_progress)
 
     def _sleep_until(self, moment: timedelta) -> None:
         left = moment - self._clock.elapsed()
--- a/packages/runhatch-server/src/runhatch_server/gateway/_peer_facts.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_peer_facts.py
@@ -79,7 +79,7 @@
             timedelta(milliseconds=message.goal_ms),
         ),
         message.requests,
-        message.missed,
+        message.missed_requests,
         float(message.work_ms),
         timedelta(milliseconds=message.missed_for_ms),
     )
--- a/packages/runhatch-server/src/runhatch_server/gateway/_peers.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_peers.py
@@ -32,20 +32,20 @@
 from runhatch_server.gateway._tables import GatewayTables
 from runhatch_server.observability import Metrics, log_change
 from runhatch_server.peers import (
+    DemandReport,
     DrainingTargets,
     Fact,
     HoldingOfTarget,
     Member,
     MemberExchange,
-    ModelDemand,
     OrdererNotice,
     OrdererResigned,
-    StateAsked,
-    TableNews,
+    TableStateRequest,
+    TableUpdate,
     TableVersion,
     TargetHoldings,
     TargetLoads,
-    member_of_fact,
+    message_from_fact,
 )
 from runhatch_server.residency import DemandKey, DemandShare, Holding, Resignation
 
@@ -92,19 +92,19 @@
         self._holdings_numbers = itertools.count(1)
         self._newest_holdings: dict[str, tuple[int, int]] = {}
         self.loads = LoadExchange(
-            membership, clock, loads, tables, self.tell, self.tell_all
+            membership, clock, loads, tables, self.send, self.publish
         )
         """Exchange of the outstanding loads at targets."""
         self.suspects = SuspectExchange(
-            crashes, clock, lambda: [*self._linked], self.tell, self.tell_all
+            crashes, clock, lambda: [*self._linked], self.send, self.publish
         )
         """Exchange of the requests during which targets have ended."""
         self.permits = PermitExchange(
             limits,
             membership,
             clock,
-            self.tell,
-            self.tell_all,
+            self.send,
+            self.publish,
             directory.notify_waiters,
         )
         """Exchange of the rate limits of targets and of permits for them."""
@@ -171,7 +171,7 @@
         else:
             demand = [message_of_demand(share) for share in shares]
             age_ms = round(age / timedelta(milliseconds=1))
-            self.tell(self._orderer.address, ModelDemand(demand, age_ms))
+            self.send(self._orderer.address, DemandReport(demand, age_ms))
 
     def publish_holdings(self, epoch: int, holdings: list[Holding]) -> None:
         """Publish the models that targets hold to peers, and apply them here."""
@@ -179,13 +179,13 @@
         messages = [message_of_holding(holding, now) for holding in holdings]
         own = self._membership.own.address
         fact = TargetHoldings(epoch, messages, next(self._holdings_numbers), own)
-        self.tell_all(fact)
+        self.publish(fact)
         self._tables.broadcast([fact])
         for address, until in list(self._holdings_wanted_until.items()):
             if now >= until:
                 del self._holdings_wanted_until[address]
             elif not self._tables.can_broadcast:
-                self.tell(address, fact)
+                self.send(address, fact)
         self._directory.record_reports(
             (holding.target, holding.held, holding.loads) for holding in holdings
         )
@@ -196,7 +196,7 @@
         if self._orderer.record_renewal(epoch, renewal):
             notice = OrdererNotice(epoch, renewal, self._membership.own.address)
             self._orderer.newest_notice = notice
-            self.tell_all(notice)
+            self.publish(notice)
 
     def publish_resignation(self, resignation: Resignation) -> None:
         """Publish that this node is no longer the orderer."""
@@ -206,39 +206,39 @@
         }
         others_wait = resignation.default_wait.total_seconds()
         fact = OrdererResigned(resignation.epoch, waits, others_wait)
-        self.tell_all(fact)
+        self.publish(fact)
         self._tables.broadcast([fact])
 
     def publish_draining(self, target: str) -> None:
         """Publish that ``target`` drains, as it reported in an answer."""
-        self.tell_all(DrainingTargets((target,)))
+        self.publish(DrainingTargets((target,)))
 
-    def keep_links(self) -> None:
+    def update_links(self) -> None:
         """Link to the peers chosen by the membership, and to the orderer.
 
         The orderer also links to the readers of every failure domain, which broadcast
         its messages in theirs.
         """
-        super().keep_links()
+        super().update_links()
         if self._links is not None:
             own = self._membership.own.address
             orderer = self._orderer.address
-            self._links.hold("" if orderer == own else orderer)
+            self._links.set_direct_peer("" if orderer == own else orderer)
         self._tables.update_readers()
 
-    def look_for_members(self, seeds: Iterable[str]) -> None:
+    def announce_to_seeds(self, seeds: Iterable[str]) -> None:
         """Announce this node to ``seeds`` and request the members from one of them.
 
         They are requested twice: while all nodes start together, the first answer
         lacks most members.
         """
         others = [seed for seed in seeds if seed != self._membership.own.address]
-        super().look_for_members(others)
+        super().announce_to_seeds(others)
         if others and self._member_requests_left:
             self._member_requests_left -= 1
-            self.tell(self._random.choice(others), StateAsked({}, members=True))
+            self.send(self._random.choice(others), TableStateRequest({}, members=True))
 
-    def also_linked(self) -> list[Vm]:
+    def additional_peers(self) -> list[Vm]:
         """Return the nodes to link to beside those that keep all nodes connected.
 
         The orderer links to all readers.  Large clusters exchange loads through
@@ -260,51 +260,51 @@
         self._tables.broadcast_state([notice] if known else [])
 
     @singledispatchmethod
-    def take_in(self, fact: Fact, sender: Member) -> None:
+    def handle_message(self, fact: Fact, sender: Member) -> None:
         """Ignore facts that only nodes with declared targets exchange."""
 
-    @take_in.register
+    @handle_message.register
     def _apply_version(self, fact: TableVersion, sender: Member) -> None:
         # Forwarded only if new to this node, so that forwarding ends.
         if self._tables.record_version(fact):
-            self.tell_all(fact)
+            self.publish(fact)
 
-    @take_in.register
-    def _apply_table_changes(self, fact: TableNews, sender: Member) -> None:
+    @handle_message.register
+    def _apply_table_changes(self, fact: TableUpdate, sender: Member) -> None:
         self._tables.apply_changes(fact, sender)
 
-    @take_in.register
-    def _answer_state_request(self, fact: StateAsked, sender: Member) -> None:
+    @handle_message.register
+    def _answer_state_request(self, fact: TableStateRequest, sender: Member) -> None:
         answer = self._tables.changes_since(fact.versions)
         if fact.members:
-            answer += map(member_of_fact, self._membership.facts())
+            answer += map(message_from_fact, self._membership.facts())
             if self._orderer.newest_notice.epoch:
                 answer.append(self._orderer.newest_notice)
             answer += self.permits.limit_facts()
         if answer and self._links is not None:
-            self._links.tell(sender.address, answer)
+            self._links.send(sender.address, answer)
 
-    @take_in.register
+    @handle_message.register
     def _apply_draining(self, fact: DrainingTargets, sender: Member) -> None:
         # Forwarded only if new to this node, so that forwarding ends.
         for target in fact.targets:
             if self._directory.record_draining(target, source="peer"):
                 self.publish_draining(target)
 
-    @take_in.register
+    @handle_message.register
     def _apply_suspects(self, fact: SuspectMessage, sender: Member) -> None:
         self.suspects.handle_message(fact, sender)
 
-    @take_in.register
+    @handle_message.register
     def _apply_permits(self, fact: PermitFact, sender: Member) -> None:
         self.permits.handle_message(fact, sender)
 
-    @take_in.register
+    @handle_message.register
     def _apply_loads(self, fact: TargetLoads, sender: Member) -> None:
         self.loads.handle_message(fact, sender)
 
-    @take_in.register
-    def _apply_demand(self, fact: ModelDemand, sender: Member) -> None:
+    @handle_message.register
+    def _apply_demand(self, fact: DemandReport, sender: Member) -> None:
         shares = [demand_of_message(each) for each in fact.demand]
         missed = [share.key for share in shares if share.missed]
         is_orderer = self._orderer.address == self._membership.own.address
@@ -312,7 +312,7 @@
             self._send_holders(sender.address, missed)
         self._on_demand(sender.name, shares, timedelta(milliseconds=fact.age_ms))
 
-    @take_in.register
+    @handle_message.register
     def _apply_holdings(self, fact: TargetHoldings, sender: Member) -> None:
         orderer = fact.orderer or sender.address
         if self._orderer.is_outdated(fact.epoch, orderer):
@@ -325,7 +325,7 @@
             holding_of_message(holding, now) for holding in self._select_newer(fact)
         )
 
-    @take_in.register
+    @handle_message.register
     def _apply_orderer_notice(self, fact: OrdererNotice, sender: Member) -> None:
         orderer = fact.orderer or sender.address
         if self._orderer.is_outdated(fact.epoch, orderer):
@@ -337,13 +337,16 @@
         self._orderer.newest_notice = notice
         self._on_orderer(fact.epoch, fact.renewal)
 
-    @take_in.register
+    @handle_message.register
     def _apply_resignation(self, fact: OrdererResigned, sender: Member) -> None:
         if fact.epoch < self._orderer.epoch:
             return
         self._orderer.record_release(fact.epoch)
-        waits = {target: timedelta(seconds=wait) for target, wait in fact.waits.items()}
-        others_wait = timedelta(seconds=fact.others_wait)
+        waits = {
+            target: timedelta(seconds=wait)
+            for target, wait in fact.first_order_waits.items()
+        }
+        others_wait = timedelta(seconds=fact.default_wait)
         self._on_resigned(Resignation(fact.epoch, waits, others_wait))
         if sender.address == self._orderer.address and self._tables.is_reader:
             self._tables.broadcast([fact])
@@ -379,7 +382,7 @@
             for target, held in holders.items()
         ]
         messages = [message_of_holding(holding, now) for holding in holdings]
-        self.tell(address, TargetHoldings(self._orderer.epoch, messages))
+        self.send(address, TargetHoldings(self._orderer.epoch, messages))
 
     def _record_orderer(self, address: str, epoch: int) -> None:
         if self._orderer.record_holder(address, epoch):
--- a/packages/runhatch-server/src/runhatch_server/gateway/_permits.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_permits.py
@@ -12,7 +12,7 @@
 from datetime import timedelta
 from functools import singledispatchmethod
 
-from runhatch_coordination import Clock, Membership, Vm, weight
+from runhatch_coordination import Clock, Membership, Vm, compute_weight
 from runhatch_server.decisions import ObservedLimit, PermitBucket, issued_rate_share
 from runhatch_server.gateway._rate_limits import RateLimits
 from runhatch_server.peers import (
@@ -20,8 +20,8 @@
     LimitOfTarget,
     Member,
     PermitAnswer,
-    PermitAsked,
-    RateLimitsTold,
+    PermitRequest,
+    RateLimitsUpdate,
 )
 
 LOST_NODE_WINDOW = timedelta(seconds=60)
@@ -31,7 +31,7 @@
 OTHER_ALLOCATOR_RETRY_DELAY = timedelta(milliseconds=200)
 """Wait before requesting again from a node that considers another the allocator."""
 MILLISECOND = timedelta(milliseconds=1)
-PermitFact = RateLimitsTold | PermitAsked | PermitAnswer
+PermitFact = RateLimitsUpdate | PermitRequest | PermitAnswer
 """Messages between nodes about rate limits."""
 
 
@@ -73,11 +73,11 @@
             return
         self._record_use(allocator.address)
         limit = self._limit_message(target, seen)
-        self._send(allocator.address, PermitAsked(tier, limit))
+        self._send(allocator.address, PermitRequest(tier, limit))
 
     def publish_limit(self, target: str, seen: ObservedLimit) -> None:
         """Publish a changed limit of ``target`` to peers, which forward it."""
-        self._publish(RateLimitsTold([self._limit_message(target, seen)]))
+        self._publish(RateLimitsUpdate([self._limit_message(target, seen)]))
 
     def limit_facts(self) -> list[Fact]:
         """Return the limits in force as messages for a node that has just started."""
@@ -85,7 +85,7 @@
         if not limits:
             return []
         return [
-            RateLimitsTold([self._limit_message(*limit) for limit in limits.items()])
+            RateLimitsUpdate([self._limit_message(*limit) for limit in limits.items()])
         ]
 
     def choose_links(self, alive: list[Vm]) -> list[Vm]:
@@ -111,12 +111,12 @@
         raise NotImplementedError(type(fact))
 
     @handle_message.register
-    def _apply_limits(self, fact: RateLimitsTold, sender: Member) -> None:
+    def _apply_limits(self, fact: RateLimitsUpdate, sender: Member) -> None:
         for limit in fact.limits:
             self._apply_limit(limit)
 
     @handle_message.register
-    def _apply_request(self, fact: PermitAsked, sender: Member) -> None:
+    def _apply_request(self, fact: PermitRequest, sender: Member) -> None:
         target = fact.limit.target
         self._apply_limit(fact.limit)
         self._record_use(sender.address)
@@ -126,7 +126,7 @@
         rate = None if known is None else known.rate
         if rate is None and known is not None:
             self._send(
-                sender.address, RateLimitsTold([self._limit_message(target, known)])
+                sender.address, RateLimitsUpdate([self._limit_message(target, known)])
             )
         elif self._allocator(target, alive).name != self._membership.own.name:
             with self._lock:
@@ -158,7 +158,7 @@
         """
         now = self._clock.elapsed()
         rate *= issued_rate_share(
-            alive_count, self._membership.lost_within(LOST_NODE_WINDOW)
+            alive_count, self._membership.count_suspected_within(LOST_NODE_WINDOW)
         )
         with self._lock:
             bucket = self._buckets.setdefault(target, PermitBucket(rate, now))
@@ -168,7 +168,7 @@
         """Return the node that allocates the permits of ``target``."""
         if not alive:
             return self._membership.own
-        return max(alive, key=lambda vm: weight(target, vm.name))
+        return max(alive, key=lambda vm: compute_weight(target, vm.name))
 
     def _apply_limit(self, limit: LimitOfTarget) -> None:
         at = self._clock.elapsed() - limit.age_ms * MILLISECOND
--- a/packages/runhatch-server/src/runhatch_server/gateway/_rate_limits.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_rate_limits.py
@@ -7,7 +7,7 @@
 from runhatch_coordination import Clock
 from runhatch_server.decisions import LimitedTarget, ObservedLimit
 from runhatch_server.observability import Metrics, log_change
-from runhatch_server.targets import UnreadableLimit
+from runhatch_server.targets import InvalidRateLimit
 
 PERMIT_REQUEST_TIMEOUT = timedelta(milliseconds=400)
 """Longest wait of a request for a permit, further capped at half of its goal.  The
@@ -43,10 +43,10 @@
         """Requests a permit without waiting for it."""
 
     def apply_answer(
-        self, target: str, limit: float | UnreadableLimit | None, sent_at: timedelta
+        self, target: str, limit: float | InvalidRateLimit | None, sent_at: timedelta
     ) -> None:
         """Apply the limit in the answer of ``target`` to a request of ``sent_at``."""
-        if isinstance(limit, UnreadableLimit):
+        if isinstance(limit, InvalidRateLimit):
             self._log_unreadable(target, limit)
         elif limit is not None:
             self._apply(target, ObservedLimit(limit, self._clock.elapsed()))
@@ -159,7 +159,7 @@
 
     def _count(self, outcome: str, permits: int = 1) -> None:
         if permits:
-            self._metrics.permits.labels(outcome).inc(permits)
+            self._metrics.permit_requests.labels(outcome).inc(permits)
 
     def _count_lapsed(self, limited: LimitedTarget) -> None:
         self._count("lapsed", limited.take_expired_count(self._clock.elapsed()))
@@ -196,9 +196,9 @@
             log_change("rate_limit", target=target, rate=seen.rate, source=source)
             self.on_limit(target, seen)
 
-    def _log_unreadable(self, target: str, named: UnreadableLimit) -> None:
+    def _log_unreadable(self, target: str, named: InvalidRateLimit) -> None:
         with self._lock:
             if target in self._unreadable:
                 return
             self._unreadable.add(target)
-        log_change("rate_limit_unreadable", target=target, found=named.found)
+        log_change("rate_limit_unreadable", target=target, found=named.value)
--- a/packages/runhatch-server/src/runhatch_server/gateway/_records.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_records.py
@@ -76,10 +76,10 @@
         self.status = refusal.reason.status
         self.retry_after = refusal.retry_after
         self.refused_by = refusal.target
-        prediction = refusal.judged_by
+        prediction = refusal.prediction
         if prediction is not None and not self.attempts:
             self.predicted_ms = prediction.predicted_ms
-            self.busy = prediction.busy
+            self.busy = prediction.busy_share
             self.pause_ms = prediction.pause_ms
 
 
@@ -108,13 +108,13 @@
         kind = request.route.kind.value
         if record.pace.pieces > 1:
             pause = record.pace.longest_pause.total_seconds()
-            self._metrics.longest_pause.labels(kind).observe(pause)
+            self._metrics.longest_pause_seconds.labels(kind).observe(pause)
         if record.first_byte_latency is not None:
             seconds = record.first_byte_latency.total_seconds()
-            self._metrics.first_token.labels(kind).observe(seconds)
+            self._metrics.target_first_byte_seconds.labels(kind).observe(seconds)
         self._metrics.wait_seconds.labels(kind).observe(record.waited.total_seconds())
         took = self._clock.elapsed() - request.received_at
-        self._metrics.first_byte.labels(kind).observe(took.total_seconds())
+        self._metrics.first_byte_seconds.labels(kind).observe(took.total_seconds())
         log_change(
             "request",
             request_id=request.attempt_id,
--- a/packages/runhatch-server/src/runhatch_server/gateway/_refusing.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_refusing.py
@@ -46,7 +46,7 @@
                 best.busy,
                 best.pause_ms,
             )
-        return Refusal(reason, Executed.NO, retry_after=wait, judged_by=judged_by)
+        return Refusal(reason, Executed.NO, retry_after=wait, prediction=judged_by)
 
     def refuse_unwilling(self, found: NoCandidates) -> Refusal:
         """Return a refusal until a target accepts work again, with no upper bound."""
--- a/packages/runhatch-server/src/runhatch_server/gateway/_relay.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_relay.py
@@ -16,7 +16,7 @@
 from runhatch_server.gateway._grant import Grant
 from runhatch_server.gateway._pace import StreamPace
 from runhatch_server.http import AbortedStreamError
-from runhatch_server.targets import AttemptReason, EventSplitter, event_id
+from runhatch_server.targets import AttemptReason, EventSplitter, parse_event_id
 
 
 class Resumer(Protocol):
@@ -100,8 +100,8 @@
             if sendable:
                 self.pace.record_piece(self._clock.elapsed())
                 yield sendable
-        if self._splitter is not None and self._splitter.rest:
-            yield self._splitter.rest
+        if self._splitter is not None and self._splitter.incomplete_event:
+            yield self._splitter.incomplete_event
         self._finish()
 
     def _read_chunk(self) -> bytes | None:
@@ -130,14 +130,14 @@
             return chunk
         events = list(self._splitter.feed(chunk))
         for event in events:
-            found_id = event_id(event)
+            found_id = parse_event_id(event)
             if found_id is not None:
                 self._last_event_id = found_id.decode("latin-1")
         return b"".join(events)
 
     def _resume(self) -> bool:
         self._release_target(faulty=True)
-        self._resumer.record_no_answer(self._grant, AttemptReason.BROKEN)
+        self._resumer.record_no_answer(self._grant, AttemptReason.CONNECTION_BROKEN)
         if self._splitter is None:
             self.outcome = "target_broke_off"
             return False
--- a/packages/runhatch-server/src/runhatch_server/gateway/_run.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_run.py
@@ -99,7 +99,7 @@
 
         Return ``None`` if that is not possible.
         """
-        if not self._may_retry(AttemptReason.BROKEN):
+        if not self._may_retry(AttemptReason.CONNECTION_BROKEN):
             return None
         sent = self._send(after)
         if isinstance(sent, Refusal):
@@ -114,7 +114,7 @@
     def record_no_answer(self, grant: Grant, reason: AttemptReason) -> None:
         """Record that the attempt of ``grant`` got no whole answer, and why."""
         crashes, fingerprint = self._parts.crashes, self._request.fingerprint
-        if reason is AttemptReason.BROKEN:
+        if reason is AttemptReason.CONNECTION_BROKEN:
             crashes.record_abort(fingerprint, grant.target.incarnation)
         else:
             crashes.record_abandoned(fingerprint, grant.target.incarnation)
@@ -202,7 +202,7 @@
             case RefusedNotRun(reason):
                 self.record.record_attempt(grant, f"not_run_{reason.value}")
                 self._apply_target_state(grant, result)
-                if reason is AttemptReason.MODEL_NOT_THERE:
+                if reason is AttemptReason.MODEL_MISSING:
                     balancer.release_misdirected(grant)
                 else:
                     self._tried_targets = self._tried_targets.with_refusal(target)
@@ -236,7 +236,7 @@
 
     def _decide_after_unrun(self, reason: AttemptReason) -> Refusal | None:
         self._unrun_count += 1
-        missing = reason is AttemptReason.MODEL_NOT_THERE
+        missing = reason is AttemptReason.MODEL_MISSING
         refusal_reason = Reason.NO_REPLICA if missing else Reason.TARGETS_BUSY
         unwilling = self._parts.balancer.refusal_for_retry(
             self._request, self._tried_targets
@@ -323,7 +323,9 @@
         except TimeoutError:
             return self._handle_broken_answer(grant, opened, AttemptReason.TIMED_OUT)
         except (OSError, ValueError, http.client.HTTPException):
-            return self._handle_broken_answer(grant, opened, AttemptReason.BROKEN)
+            return self._handle_broken_answer(
+                grant, opened, AttemptReason.CONNECTION_BROKEN
+            )
         self._parts.forwarder.recycle_connection(opened)
         failed = head.status >= MIN_SERVER_ERROR_STATUS
         self._parts.balancer.release(grant, target_failed=failed)
--- a/packages/runhatch-server/src/runhatch_server/gateway/_tables.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_tables.py
@@ -27,7 +27,7 @@
     TableChanges,
     Vm,
     choose_readers,
-    role_of,
+    choose_role,
 )
 from runhatch_server.gateway._watched import DecodingListener, WatchedTable
 from runhatch_server.observability import Metrics, log_change
@@ -37,8 +37,8 @@
     Fact,
     Listener,
     Member,
-    StateAsked,
-    TableNews,
+    TableStateRequest,
+    TableUpdate,
     TableVersion,
     pack_rows,
     unpack_rows,
@@ -169,10 +169,12 @@
             vm.name: vm for vm in readers if vm.name != own.name and vm.broadcast_port
         }
         if self._listener is not None:
-            self._listener.keep(frozenset(map(_url, self._readers.values())))
+            self._listener.update_subscriptions(
+                frozenset(map(_url, self._readers.values()))
+            )
             self._renew_silent_readers(self._listener)
         is_starting = self._clock.elapsed() - self._started_at < START_GRACE
-        role = self._initial_role() if is_starting else role_of(own, alive)
+        role = self._initial_role() if is_starting else choose_role(own, alive)
         if role is not self._role:
             log_change("role", role=role.value, readers=sorted(self._readers))
             self._role = role
@@ -185,24 +187,24 @@
             return
         facts: list[Fact] = []
         for name, table in self._tables.items():
-            unchanged = table.unchanged
+            unchanged = table.empty_changes
             if unchanged is not None:
-                if table.reachable:
+                if table.reaches_store:
                     self._updated_at[name] = self._clock.elapsed()
-                facts.append(_news_message(name, unchanged, table.reachable))
+                facts.append(_news_message(name, unchanged, table.reaches_store))
         self.broadcast(facts + extra_facts)
 
     def broadcast(self, facts: list[Fact]) -> None:
         """Broadcast ``facts`` to all listeners."""
         if self._broadcaster is not None and facts:
-            self._broadcaster.tell(facts)
+            self._broadcaster.publish(facts)
 
     def read_overdue(self) -> None:
         """Read changes that other nodes reported and that are overdue here."""
         for table in self._tables.values():
-            table.check()
+            table.read_overdue()
 
-    def apply_changes(self, news: TableNews, sender: Member) -> None:
+    def apply_changes(self, news: TableUpdate, sender: Member) -> None:
         """Apply the changes of a table that a reader sent."""
         table = self._tables.get(news.table)
         if table is None:
@@ -215,12 +217,12 @@
             self._metrics.peer_messages.labels("unreadable").inc()
             log_change("news_unreadable", sender=sender.name, why=str(error))
             return
-        table.told(sender.name, changes, news.reachable)
+        table.apply_changes(sender.name, changes, news.reachable)
 
     def record_version(self, fact: TableVersion) -> bool:
         """Record a version of a table; return whether it is new to this node."""
         table = self._tables.get(fact.table)
-        return table is not None and table.noticed(fact.version)
+        return table is not None and table.record_version(fact.version)
 
     def changes_since(self, versions: dict[str, StoreVersion]) -> list[Fact]:
         """Return the changes of tables since ``versions``."""
@@ -229,9 +231,11 @@
             table = self._tables.get(name)
             if table is None:
                 continue
-            changes = table.since(None if version == UNKNOWN_VERSION else version)
+            changes = table.changes_since(
+                None if version == UNKNOWN_VERSION else version
+            )
             if changes is not None:
-                facts.append(_news_message(name, changes, table.reachable))
+                facts.append(_news_message(name, changes, table.reaches_store))
         return facts
 
     # Implementation of TablePeers.
@@ -250,7 +254,9 @@
         if not addresses or self._membership.own.address in addresses:
             return False
         versions = {table: UNKNOWN_VERSION if version is None else version}
-        self._send(random.choice(addresses), StateAsked(versions, version is None))
+        self._send(
+            random.choice(addresses), TableStateRequest(versions, version is None)
+        )
         return True
 
     def publish(self, table: str, changes: TableChanges, reachable: bool) -> None:
@@ -297,13 +303,13 @@
             last_try = max(received_at, self._renewed_at[name])
             if now - last_try >= RECONNECT_INTERVAL:
                 self._renewed_at[name] = now
-                listener.renew(_url(vm))
+                listener.reconnect(_url(vm))
 
 
 def target_coalescing_window(drain: timedelta) -> timedelta:
     """Return the time within which changes of targets are read in one call.
 
-    >>> coalescing_of_targets(timedelta(seconds=2)).total_seconds()
+    >>> target_coalescing_window(timedelta(seconds=2)).total_seconds()
     0.7
     """
     available = min(drain - DRAIN_MARGIN, MAX_TARGET_COALESCING_WINDOW)
@@ -315,19 +321,19 @@
     return f"tcp://{host}:{vm.broadcast_port}"
 
 
-def _news_message(name: str, changes: TableChanges, reachable: bool) -> TableNews:
+def _news_message(name: str, changes: TableChanges, reachable: bool) -> TableUpdate:
     rows = [(entry.key, entry.value) for entry in changes.entries]
-    return TableNews(
+    return TableUpdate(
         name,
         changes.after,
         changes.version,
         reachable,
-        changes.whole,
+        changes.is_whole,
         pack_rows(rows) if rows else b"",
     )
 
 
-def _decode_news(news: TableNews) -> TableChanges:
+def _decode_news(news: TableUpdate) -> TableChanges:
     """Decode ``news``; raise ``ValueError`` if its rows cannot be read."""
     rows = unpack_rows(news.rows) if news.rows else []
     entries = tuple(Entry(key, value) for key, value in rows)
--- a/packages/runhatch-server/src/runhatch_server/gateway/_watched.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_watched.py
@@ -58,23 +58,23 @@
         self._table = table
         self._listener = listener
 
-    def listed(self, entries: tuple[Entry[bytes], ...]) -> None:
+    def replace_entries(self, entries: tuple[Entry[bytes], ...]) -> None:
         """Replace all entries."""
-        self._listener.listed(self._table.decode_entries(entries))
+        self._listener.replace_entries(self._table.decode_entries(entries))
 
-    def changed(self, entries: tuple[Entry[bytes], ...]) -> None:
+    def apply_entries(self, entries: tuple[Entry[bytes], ...]) -> None:
         """Apply changed entries."""
-        self._listener.changed(self._table.decode_entries(entries))
+        self._listener.apply_entries(self._table.decode_entries(entries))
 
-    def restored(self) -> None:
+    def handle_restoration(self) -> None:
         """Record that the table was restored from a backup; a listing follows."""
         log_change("table_restored", table=self._table.name)
-        self._listener.restored()
+        self._listener.handle_restoration()
 
-    def unreachable(self, reason: str) -> None:
+    def handle_outage(self, reason: str) -> None:
         """Record that the table cannot be read, so that its entries may be stale."""
-        self._listener.unreachable(reason)
+        self._listener.handle_outage(reason)
 
-    def reachable(self) -> None:
+    def handle_recovery(self) -> None:
         """Record that the table can be read again."""
-        self._listener.reachable()
+        self._listener.handle_recovery()
--- a/packages/runhatch-server/src/runhatch_server/gateway_daemon.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway_daemon.py
@@ -9,9 +9,9 @@
 
 from runhatch_server._process import (
     EXIT_CANNOT_START,
-    LOOK_EVERY,
-    Signals,
-    stop_broken,
+    POLL_INTERVAL,
+    SignalHandler,
+    exit_on_invariant_error,
 )
 from runhatch_server.gateway import GatewayNode, GatewayPlatform, GatewaySettings
 from runhatch_server.observability import LogLevel, configure_logs
@@ -19,26 +19,26 @@
 
 def run_gateway(
     settings: GatewaySettings,
-    outside: GatewayPlatform,
-    reread: Callable[[], GatewaySettings | None],
+    external_dependencies: GatewayPlatform,
+    reload_settings: Callable[[], GatewaySettings | None],
 ) -> int:
     """Run a gateway until a stop signal; return the exit status.
 
-    ``reread`` returns the settings if they changed since its previous call, else
-    ``None``.
+    ``reload_settings`` returns the settings if they changed since its previous call,
+    else ``None``.
     """
-    signals = Signals()
+    signals = SignalHandler()
     configure_logs(LogLevel.CHANGE, "stdout")
     try:
-        node = GatewayNode(settings, outside)
-        node.set_invariant_error_handler(stop_broken)
+        node = GatewayNode(settings, external_dependencies)
+        node.set_invariant_error_handler(exit_on_invariant_error)
         node.start()
     except OSError as error:
         print(f"runhatchd: cannot start: {error}", file=sys.stderr)
         return EXIT_CANNOT_START
-    while not signals.wait_for_stop(LOOK_EVERY):
+    while not signals.wait_for_stop(POLL_INTERVAL):
         # Settings are also reread without a signal.
-        changed = reread()
+        changed = reload_settings()
         if changed is not None:
             node.reload(changed)
     node.drain()
--- a/packages/runhatch-server/src/runhatch_server/http/__init__.py
+++ b/packages/runhatch-server/src/runhatch_server/http/__init__.py
@@ -1,34 +1,34 @@
 """An HTTP client for services, and a server for a WSGI application."""
 
 from runhatch_server.http._client import (
-    BrokenOff,
+    AbortedCall,
     HttpClient,
     Reply,
-    notice_dead_peers,
+    enable_keepalive,
 )
 from runhatch_server.http._server import HttpServer, ServerLimits
 from runhatch_server.http._wsgi import (
     AbortedStreamError,
-    CountedEvents,
+    ClosingEvents,
     Environ,
-    Events,
+    EventStream,
     StartResponse,
-    caller_gone,
-    send_whole,
+    caller_disconnect_check,
+    send_response,
 )
 
 __all__ = [
     "AbortedStreamError",
-    "BrokenOff",
-    "CountedEvents",
+    "AbortedCall",
+    "ClosingEvents",
     "Environ",
-    "Events",
+    "EventStream",
     "HttpClient",
     "HttpServer",
     "Reply",
     "ServerLimits",
     "StartResponse",
-    "caller_gone",
-    "notice_dead_peers",
-    "send_whole",
+    "caller_disconnect_check",
+    "enable_keepalive",
+    "send_response",
 ]
--- a/packages/runhatch-server/src/runhatch_server/http/_client.py
+++ b/packages/runhatch-server/src/runhatch_server/http/_client.py
@@ -14,17 +14,17 @@
 
 from runhatch_coordination import Unavailable, Unknown
 
-CONNECTIONS = 6
+DEFAULT_POOL_SIZE = 6
 """Size of the connection pool of a service; further calls wait for a connection."""
-DEAD_AFTER = timedelta(seconds=3)
+DEAD_PEER_TIMEOUT = timedelta(seconds=3)
 """Time without a packet from the other host after which a connection is closed;
 equals the time in which a lost lease renewal must be detected."""
-PROBE_EVERY = timedelta(seconds=1)
+KEEPALIVE_PROBE_INTERVAL = timedelta(seconds=1)
 """Interval of the kernel's keep-alive probes on an idle connection."""
 
 
 @dataclass(frozen=True, slots=True)
-class BrokenOff(Unknown):
+class AbortedCall(Unknown):
     """The client aborted a waiting call; implies nothing about the service."""
 
     reason: str = "aborted by the client"
@@ -51,7 +51,7 @@
         self,
         base_url: str,
         timeout: timedelta,
-        connections: int = CONNECTIONS,
+        pool_size: int = DEFAULT_POOL_SIZE,
         on_date: Callable[[str | None], None] | None = None,
     ) -> None:
         self._on_date = on_date
@@ -63,33 +63,40 @@
         self._timeout = timeout.total_seconds()
         self._pool: queue.LifoQueue[http.client.HTTPConnection | None]
         self._pool = queue.LifoQueue()
-        for _ in range(connections):
+        for _ in range(pool_size):
             self._pool.put(None)
         self._waiting_calls: dict[int, socket.socket] = {}
         self._aborted_calls: set[int] = set()
         self._waiting_lock = threading.Lock()
         self._call_numbers = itertools.count()
 
-    def call(
+    def send_request(
         self,
         method: str,
         path: str,
         body: bytes = b"",
         headers: Mapping[str, str] | None = None,
-        wait: timedelta = timedelta(),
+        max_server_delay: timedelta = timedelta(),
     ) -> Reply | Unavailable | Unknown:
         """Send one request and read the whole response.
 
-        ``wait`` is how long the service may delay its response (long polling).
+        ``max_server_delay`` is how long the service may delay its response (long
+        polling).
         """
         try:
             kept = self._pool.get(timeout=self._timeout)
         except queue.Empty:
             return Unavailable("all connections are in use")
         connection = kept or self._new_connection()
-        timeout = self._timeout + wait.total_seconds()
+        timeout = self._timeout + max_server_delay.total_seconds()
         outcome = self._send(
-            connection, method, path, body, headers or {}, timeout, bool(wait)
+            connection,
+            method,
+            path,
+            body,
+            headers or {},
+            timeout,
+            bool(max_server_delay),
         )
         if isinstance(outcome, Reply):
             self._pool.put(connection)
@@ -98,7 +105,7 @@
             self._pool.put(None)
         return outcome
 
-    def abort_waits(self) -> None:
+    def abort_waiting_calls(self) -> None:
         """Abort all long-polling calls whose response has not begun to arrive.
 
         A call whose request or response was lost would wait until its timeout.  A
@@ -138,7 +145,7 @@
             if connection.sock is None:
                 connection.connect()
                 opened_socket: Any = connection.sock
-                notice_dead_peers(opened_socket, DEAD_AFTER)
+                enable_keepalive(opened_socket, DEAD_PEER_TIMEOUT)
         except OSError as error:
             return Unavailable(f"not reachable: {error}")
         sock = connection.sock
@@ -157,7 +164,7 @@
                 self._on_date(response.getheader("Date"))
         except (OSError, http.client.HTTPException) as error:
             if self._was_aborted(number):
-                return BrokenOff()
+                return AbortedCall()
             return Unknown(f"no answer: {type(error).__name__}")
         finally:
             self._remove_wait(number)
@@ -196,17 +203,17 @@
     return bool(readable)
 
 
-def notice_dead_peers(connection: socket.socket, after: timedelta) -> None:
-    """Have the kernel close a connection that received no packet for ``after``.
+def enable_keepalive(connection: socket.socket, timeout: timedelta) -> None:
+    """Have the kernel close a connection that received no packet for ``timeout``.
 
     A host that lost power, or is behind a network partition, sends no reset; without
     probes a long-polling call would detect the outage only at its own timeout.
     """
-    probe = max(1, int(PROBE_EVERY.total_seconds()))
-    probes = max(1, int(after / PROBE_EVERY) - 1)
+    probe = max(1, int(KEEPALIVE_PROBE_INTERVAL.total_seconds()))
+    probes = max(1, int(timeout / KEEPALIVE_PROBE_INTERVAL) - 1)
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, probe)
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, probe)
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, probes)
-    milliseconds = int(after.total_seconds() * 1000)
+    milliseconds = int(timeout.total_seconds() * 1000)
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, milliseconds)
--- a/packages/runhatch-server/src/runhatch_server/http/_dispatcher.py
+++ b/packages/runhatch-server/src/runhatch_server/http/_dispatcher.py
@@ -5,30 +5,31 @@
 
 from waitress.task import ThreadedTaskDispatcher
 
-LEAST_THREADS = 4
+MIN_THREADS = 4
 """Threads that are kept while no request is in progress."""
 SPARE_THREADS = 2
 """Idle threads beyond the concurrent requests: requests arrive in bursts of about
 three, and a thread takes 0.1 ms to start."""
-JUDGED_EVERY = 200
+REQUESTS_PER_CHECK = 200
 """Number of requests after which threads that were not needed are ended: about half
 a minute on a node with a few requests a second."""
 
 
 class GrowingDispatcher(ThreadedTaskDispatcher):  # type: ignore[misc]
-    """Provides a thread per request in progress, up to ``most``; ends idle threads.
+    """Provides a thread per request in progress, up to ``max_threads``; ends idle
+    threads.
 
     With 200 threads started in advance, sixty nodes on one host had 12,600 threads for
     160 requests a second, more than the host allowed.
     """
 
-    def __init__(self, most: int) -> None:
+    def __init__(self, max_threads: int) -> None:
         super().__init__()
-        self._max_threads = most
+        self._max_threads = max_threads
         self._in_progress = 0
         self._peak_in_progress = 0
         self._requests_since_check = 0
-        self.set_thread_count(min(LEAST_THREADS, most))
+        self.set_thread_count(min(MIN_THREADS, max_threads))
 
     @property
     def thread_count(self) -> int:
@@ -55,9 +56,9 @@
     def _end_unneeded_threads(self, needed: int, running: int) -> None:
         self._peak_in_progress = max(self._peak_in_progress, needed)
         self._requests_since_check += 1
-        if self._requests_since_check < JUDGED_EVERY:
+        if self._requests_since_check < REQUESTS_PER_CHECK:
             return
-        needed_threads = max(LEAST_THREADS, self._peak_in_progress + SPARE_THREADS)
+        needed_threads = max(MIN_THREADS, self._peak_in_progress + SPARE_THREADS)
         self._requests_since_check = 0
         self._peak_in_progress = needed
         if needed_threads < running:
--- a/packages/runhatch-server/src/runhatch_server/http/_server.py
+++ b/packages/runhatch-server/src/runhatch_server/http/_server.py
@@ -12,8 +12,8 @@
 
 SPARE_CONNECTIONS = 100
 """Connections beyond the number of threads, for idle and soon refused ones."""
-RECEIVE_SLACK = 65_536
-DEFAULT_IDLE = timedelta(seconds=120)
+RECEIVE_SLACK_BYTES = 65_536
+DEFAULT_IDLE_TIMEOUT = timedelta(seconds=120)
 CLEANUP_INTERVAL = timedelta(seconds=5)
 """Interval of the check for idle connections, which close at most this much late."""
 BACKLOG = 1024
@@ -25,15 +25,15 @@
 class ServerLimits:
     """Maximum body and header size in bytes, and maximum idle time of a connection."""
 
-    body: int
-    header: int
-    idle: timedelta = DEFAULT_IDLE
+    max_body_bytes: int
+    max_header_bytes: int
+    idle_timeout: timedelta = DEFAULT_IDLE_TIMEOUT
 
 
 class HttpServer:
     """Serves a WSGI application on one address, in a background thread.
 
-    At most ``threads`` requests are served concurrently.
+    At most ``max_threads`` requests are served concurrently.
     """
 
     def __init__(
@@ -41,17 +41,17 @@
         app: App,
         host: str,
         port: int,
-        threads: int,
+        max_threads: int,
         limits: ServerLimits,
-        connections: int | None = None,
+        max_connections: int | None = None,
     ) -> None:
-        self._dispatcher = GrowingDispatcher(threads)
+        self._dispatcher = GrowingDispatcher(max_threads)
         self._server: Any = create_server(
             app,
             _dispatcher=self._dispatcher,
             host=host,
             port=port,
-            connection_limit=connections or threads + SPARE_CONNECTIONS,
+            connection_limit=max_connections or max_threads + SPARE_CONNECTIONS,
             backlog=BACKLOG,
             asyncore_use_poll=True,
             # Events must be sent at once, not when a buffer is full.
@@ -61,7 +61,7 @@
             ident="runhatch",
             expose_tracebacks=False,
         )
-        self.limit(limits)
+        self.set_limits(limits)
         self._thread = threading.Thread(target=self._run, name="http", daemon=True)
 
     @property
@@ -74,12 +74,12 @@
         """The port that the server listens on."""
         return int(self._server.effective_port)
 
-    def limit(self, limits: ServerLimits) -> None:
+    def set_limits(self, limits: ServerLimits) -> None:
         """Apply ``limits`` to requests that arrive from now on."""
         settings = self._server.adj
-        settings.max_request_body_size = limits.body + RECEIVE_SLACK
-        settings.max_request_header_size = limits.header
-        settings.channel_timeout = limits.idle.total_seconds()
+        settings.max_request_body_size = limits.max_body_bytes + RECEIVE_SLACK_BYTES
+        settings.max_request_header_size = limits.max_header_bytes
+        settings.channel_timeout = limits.idle_timeout.total_seconds()
 
     def start(self) -> None:
         """Start the server thread."""
@@ -89,7 +89,7 @@
         """Stop accepting connections; existing ones are still served."""
         self._server.trigger.pull_trigger(self._close_listener)
 
-    def close_idle(self) -> None:
+    def close_idle_connections(self) -> None:
         """Close the connections without a request in progress."""
         self._server.trigger.pull_trigger(self._close_idle)
 
--- a/packages/runhatch-server/src/runhatch_server/http/_wsgi.py
+++ b/packages/runhatch-server/src/runhatch_server/http/_wsgi.py
@@ -5,7 +5,7 @@
 
 from runhatch_server._errors import RunhatchError
 
-GONE_VARIABLE = "waitress.client_disconnected"
+CLIENT_DISCONNECTED_KEY = "waitress.client_disconnected"
 
 Environ = Mapping[str, object]
 StartResponse = Callable[[str, list[tuple[str, str]]], object]
@@ -15,7 +15,7 @@
     """Raised to make the HTTP server close a connection without the final chunk."""
 
 
-class Events(Protocol):
+class EventStream(Protocol):
     """An iterator over the parts of a streamed response."""
 
     def __next__(self) -> bytes:
@@ -25,12 +25,12 @@
         """Release the resources of the stream."""
 
 
-class CountedEvents:
-    """Forwards events and calls ``on_end`` once when they are closed."""
+class ClosingEvents:
+    """Forwards events and calls ``on_close`` once when they are closed."""
 
-    def __init__(self, events: Events, on_end: Callable[[], None]) -> None:
+    def __init__(self, events: EventStream, on_close: Callable[[], None]) -> None:
         self._events = events
-        self._on_end = on_end
+        self._on_end = on_close
         self._closed = False
 
     def __iter__(self) -> Iterator[bytes]:
@@ -50,15 +50,15 @@
             self._on_end()
 
 
-def send_whole(
+def send_response(
     status: str,
     headers: Iterable[tuple[str, str]],
     body: bytes,
     start_response: StartResponse,
-    closing: bool,
+    close_connection: bool,
 ) -> Iterable[bytes]:
-    """Send a complete response; with ``closing`` the connection is closed after it."""
-    if closing:
+    """Send a complete response and close the connection if ``close_connection``."""
+    if close_connection:
         # Without a Content-Length waitress closes the connection after the response.
         start_response(status, [*headers])
         return iter([body])
@@ -66,9 +66,9 @@
     return [body]
 
 
-def caller_gone(environ: Environ) -> Callable[[], bool]:
+def caller_disconnect_check(environ: Environ) -> Callable[[], bool]:
     """Return a function that checks if the caller has closed its connection."""
-    check = environ.get(GONE_VARIABLE)
+    check = environ.get(CLIENT_DISCONNECTED_KEY)
     return check if callable(check) else _never_closed
 
 
--- a/packages/runhatch-server/src/runhatch_server/observability/_logs.py
+++ b/packages/runhatch-server/src/runhatch_server/observability/_logs.py
@@ -18,14 +18,14 @@
 from runhatch_server.observability._levels import LogLevel
 
 LEVEL_FIELD = "level"
-ORDER = (LogLevel.ERROR, LogLevel.CHANGE, LogLevel.REQUEST)
-QUEUE_LINES = 4_096
+LEVELS_BY_VERBOSITY = (LogLevel.ERROR, LogLevel.CHANGE, LogLevel.REQUEST)
+MAX_QUEUED_LINES = 4_096
 """About 2 MB, a few seconds of a node that serves 300 requests a second."""
-PLENTY = 0.5
+DROP_ANSWERED_ABOVE = 0.5
 """Fill level of the queue above which lines of answered requests are dropped."""
-MOST_WRITTEN = 256
+MAX_LINES_PER_WRITE = 256
 """Maximum number of lines per write."""
-FLUSH_SECONDS = 1.0
+FLUSH_TIMEOUT_SECONDS = 1.0
 """Maximum wait for the writer thread when the process exits."""
 
 
@@ -35,15 +35,17 @@
     A log reader that stops reading blocks only the writer thread.
     """
 
-    def __init__(self, stream: TextIO, level: LogLevel, limit: int = QUEUE_LINES):
+    def __init__(self, stream: TextIO, level: LogLevel, limit: int = MAX_QUEUED_LINES):
         self._stream = stream
         self._limit = limit
         self._lines: deque[dict[str, object]] = deque()
         self._condition = threading.Condition()
         self._is_writing = False
         self._dropped = 0
-        rank = ORDER.index(level)
-        self._logged_levels = frozenset(logged.value for logged in ORDER[: rank + 1])
+        rank = LEVELS_BY_VERBOSITY.index(level)
+        self._logged_levels = frozenset(
+            logged.value for logged in LEVELS_BY_VERBOSITY[: rank + 1]
+        )
         threading.Thread(target=self._write_lines, name="log", daemon=True).start()
 
     @property
@@ -62,16 +64,16 @@
             self._lines.append(message)
             self._condition.notify()
 
-    def flush(self, longest: float = FLUSH_SECONDS) -> bool:
-        """Wait until all lines are written; return false after ``longest`` seconds."""
+    def flush(self, timeout_seconds: float = FLUSH_TIMEOUT_SECONDS) -> bool:
+        """Wait until all lines are written; return false after ``timeout_seconds``."""
         with self._condition:
             return self._condition.wait_for(
-                lambda: not self._lines and not self._is_writing, longest
+                lambda: not self._lines and not self._is_writing, timeout_seconds
             )
 
     def _limit_for(self, message: dict[str, object]) -> int:
         is_droppable = message.get("outcome") == "answered"
-        return int(self._limit * PLENTY) if is_droppable else self._limit
+        return int(self._limit * DROP_ANSWERED_ABOVE) if is_droppable else self._limit
 
     def _write_lines(self) -> None:
         encoder = eliot.json.EliotJSONEncoder()
@@ -96,7 +98,7 @@
             self._is_writing = True
             batch = [
                 self._lines.popleft()
-                for _ in range(min(len(self._lines), MOST_WRITTEN))
+                for _ in range(min(len(self._lines), MAX_LINES_PER_WRITE))
             ]
             if self._dropped:
                 batch.append(
@@ -155,7 +157,7 @@
                 **level,
             )
 
-    def attempt(self, target: str, outcome: str) -> None:
+    def log_attempt(self, target: str, outcome: str) -> None:
         """Log the outcome of an attempt at ``target``."""
         if self._action is None:
             return
--- a/packages/runhatch-server/src/runhatch_server/observability/_metrics.py
+++ b/packages/runhatch-server/src/runhatch_server/observability/_metrics.py
@@ -20,7 +20,7 @@
     name: str
     kind: str
     labels: tuple[str, ...]
-    meaning: str
+    help_text: str
 
 
 class Metrics:
@@ -48,7 +48,7 @@
             "cache_events", "Cache events read from engines", "outcome"
         )
         self.leases = self._counter("leases", "Lease changes", "change")
-        self.orderers_behind = self._counter(
+        self.stale_order_updates = self._counter(
             "orderers_behind",
             "Order updates received with a lower fence than one already seen",
         )
@@ -75,45 +75,49 @@
         self.ended_targets = self._counter(
             "ended_targets", "Targets that ended with requests in progress"
         )
-        self.permits = self._counter(
+        self.permit_requests = self._counter(
             "permits", "Permits requested for targets with a rate limit", "outcome"
         )
         self.limited_targets = self._gauge(
             "limited_targets", "Targets that have reported a rate limit"
         )
-        self.suspects = self._gauge(
+        self.requests_held_back = self._gauge(
             "requests_held_back",
             "Requests not sent because targets ended while running them",
         )
         self.suspicions = self._counter(
             "suspicions", "Suspicions that a peer has failed"
         )
-        self.in_progress = self._gauge("requests_in_progress", "Requests in progress")
-        self.queued = self._gauge("requests_queued", "Requests waiting for a slot")
+        self.requests_in_progress = self._gauge(
+            "requests_in_progress", "Requests in progress"
+        )
+        self.requests_queued = self._gauge(
+            "requests_queued", "Requests waiting for a slot"
+        )
         self.revision = self._gauge(
             "configuration_revision", "Configuration revision in force"
         )
-        self.shards = self._gauge("planning_leases", "Planning leases held")
+        self.planning_leases = self._gauge("planning_leases", "Planning leases held")
         self.targets = self._gauge("targets", "Targets that accept new requests")
-        self.held = self._gauge(
+        self.requests_held = self._gauge(
             "requests_held", "Requests waiting for a model to be loaded"
         )
         self.replicas = self._gauge("replicas", "Model replicas, over all targets")
-        self.holds_orders = self._gauge(
+        self.orders_lease_held = self._gauge(
             "orders_lease_held",
             "1 if this node holds the lease for orders to targets, else 0",
         )
-        self.first_token = self._histogram(
+        self.target_first_byte_seconds = self._histogram(
             "target_first_byte_seconds",
             "Time from sending a request to the first byte from its target",
             "kind",
         )
-        self.first_byte = self._histogram(
+        self.first_byte_seconds = self._histogram(
             "first_byte_seconds",
             "Time from receipt to the first byte of the answer",
             "kind",
         )
-        self.longest_pause = self._histogram(
+        self.longest_pause_seconds = self._histogram(
             "longest_pause_seconds",
             "Longest time between two events of a stream",
             "kind",
@@ -126,7 +130,7 @@
         self.order_seconds = self._histogram(
             "order_seconds", "Time for a target to answer an order", "kind"
         )
-        self.round_seconds = self._histogram(
+        self.order_round_seconds = self._histogram(
             "order_round_seconds", "Duration of one round of orders to targets"
         )
 
@@ -135,11 +139,11 @@
         """All metrics, sorted by name."""
         return tuple(sorted(self._families))
 
-    def exposition(self) -> bytes:
+    def render_exposition(self) -> bytes:
         """Return all metrics in the Prometheus text format."""
         return generate_latest(self._registry)
 
-    def count(self, counter: Counter, *labels: str) -> float:
+    def counter_value(self, counter: Counter, *labels: str) -> float:
         """Return the current value of ``counter`` for ``labels``."""
         for metric in counter.labels(*labels).collect():
             for sample in metric.samples:
--- a/packages/runhatch-server/src/runhatch_server/observability/_traces.py
+++ b/packages/runhatch-server/src/runhatch_server/observability/_traces.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from datetime import datetime, timedelta
 
-KEPT = 2_000
+MAX_TRACES = 2_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,10 +25,10 @@
     route: str
     caller: str
     priority: int
-    received: datetime
+    received_at: datetime
     attempts: list[AttemptTrace] = field(default_factory=list)
-    waited: timedelta = timedelta()
-    took: timedelta = timedelta()
+    wait_duration: timedelta = timedelta()
+    duration: timedelta = timedelta()
     outcome: str = "in progress"
     status: int = 0
 
@@ -36,8 +36,8 @@
 class TraceLog:
     """A thread-safe ring buffer of traces, oldest first."""
 
-    def __init__(self, kept: int = KEPT) -> None:
-        self._traces: deque[RequestTrace] = deque(maxlen=kept)
+    def __init__(self, max_traces: int = MAX_TRACES) -> None:
+        self._traces: deque[RequestTrace] = deque(maxlen=max_traces)
         self._lock = threading.Lock()
 
     def add(self, trace: RequestTrace) -> None:
--- a/packages/runhatch-server/src/runhatch_server/operations/_access.py
+++ b/packages/runhatch-server/src/runhatch_server/operations/_access.py
@@ -6,7 +6,7 @@
 from runhatch_server.settings import OperatorRole, OperatorSettings
 
 LOCAL_OPERATOR = "local"
-SCHEME = "Bearer "
+BEARER_PREFIX = "Bearer "
 
 
 @dataclass(frozen=True, slots=True)
@@ -16,7 +16,7 @@
     name: str
     role: OperatorRole
 
-    def may(self, role: OperatorRole) -> bool:
+    def has_role(self, role: OperatorRole) -> bool:
         """Return whether the operator's role includes ``role``."""
         return self.role is OperatorRole.CHANGE or role is OperatorRole.READ
 
@@ -30,7 +30,7 @@
 
     def __init__(self, settings: OperatorSettings) -> None:
         self._tokens = [
-            (Operator(token.name, token.role), token.secret().encode())
+            (Operator(token.name, token.role), token.read_secret().encode())
             for token in settings.tokens
         ]
 
@@ -38,7 +38,7 @@
         """Return the operator of the token in ``authorization``, or None."""
         if not self._tokens:
             return Operator(LOCAL_OPERATOR, OperatorRole.CHANGE)
-        given = authorization.removeprefix(SCHEME).encode()
+        given = authorization.removeprefix(BEARER_PREFIX).encode()
         found = None
         for operator, secret in self._tokens:
             # Compares all tokens, to be safe against timing attacks.
--- a/packages/runhatch-server/src/runhatch_server/operations/_app.py
+++ b/packages/runhatch-server/src/runhatch_server/operations/_app.py
@@ -9,27 +9,27 @@
 from pydantic import Field, TypeAdapter, ValidationError
 
 from runhatch_coordination import Revision, Unavailable, Unknown
-from runhatch_server.border import StrictModel, fault_lines
+from runhatch_server.border import StrictModel, format_validation_errors
 from runhatch_server.configuration import (
     Applied,
     ApplyOutcome,
     ConfigurationService,
     Invalid,
-    Overruled,
-    difference,
+    RevisionConflict,
+    format_difference,
 )
 from runhatch_server.observability import Metrics, TraceLog, log_change
 from runhatch_server.operations._access import Access, Operator
-from runhatch_server.operations._commands import COMMANDS, CommandService
+from runhatch_server.operations._commands import COMMAND_ADAPTER, CommandService
 from runhatch_server.operations._nouns import Inventory
 from runhatch_server.operations._query import Query, QueryError, run_query
-from runhatch_server.placement import PlacementService, explain, plan
+from runhatch_server.placement import PlacementService, explain_placement, plan
 from runhatch_server.settings import OperatorRole
 
-MAX_BODY = 16_777_216
-PROBLEM = "application/problem+json"
-JSON = "application/json"
-TEXT = "text/plain; version=0.0.4; charset=utf-8"
+MAX_BODY_BYTES = 16_777_216
+PROBLEM_CONTENT_TYPE = "application/problem+json"
+JSON_CONTENT_TYPE = "application/json"
+METRICS_CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 
 StartResponse = Callable[[str, list[tuple[str, str]]], object]
 Environ = Mapping[str, object]
@@ -41,7 +41,7 @@
 
     status: int
     body: bytes
-    content_type: str = JSON
+    content_type: str = JSON_CONTENT_TYPE
 
 
 @dataclass(frozen=True, slots=True)
@@ -121,28 +121,36 @@
     def _respond(self, environ: Environ) -> Response:
         path = str(environ.get("PATH_INFO", ""))
         if path == "/healthz":
-            return Response(200, b"ok\n", TEXT)
+            return Response(200, b"ok\n", METRICS_CONTENT_TYPE)
         if path == "/readyz":
             ready = self._is_ready()
-            return Response(200, b"ok\n", TEXT) if ready else _respond_not_ready()
+            return (
+                Response(200, b"ok\n", METRICS_CONTENT_TYPE)
+                if ready
+                else _respond_not_ready()
+            )
         operator = self._access.identify(str(environ.get("HTTP_AUTHORIZATION", "")))
         if operator is None:
-            return problem(
+            return problem_response(
                 401, "unauthorized", "allowed: the bearer token of an operator"
             )
         endpoint = self._endpoints.get((str(environ.get("REQUEST_METHOD")), path))
         if endpoint is None:
-            return problem(404, "unknown_path", f"found {path[:80]!r}")
-        if not operator.may(endpoint.role):
-            return problem(403, "forbidden", f"{operator.name} is only allowed to read")
+            return problem_response(404, "unknown_path", f"found {path[:80]!r}")
+        if not operator.has_role(endpoint.role):
+            return problem_response(
+                403, "forbidden", f"{operator.name} is only allowed to read"
+            )
         return self._handle(environ, endpoint, operator)
 
     def _handle(
         self, environ: Environ, endpoint: _Endpoint, operator: Operator
     ) -> Response:
         length = int(str(environ.get("CONTENT_LENGTH") or "0"))
-        if length > MAX_BODY:
-            return problem(413, "body_too_large", f"allowed: up to {MAX_BODY} bytes")
+        if length > MAX_BODY_BYTES:
+            return problem_response(
+                413, "body_too_large", f"allowed: up to {MAX_BODY_BYTES} bytes"
+            )
         body = cast(BinaryIO, environ["wsgi.input"]).read(length)
         pairs = parse_qs(str(environ.get("QUERY_STRING", "")))
         arguments = {name: values[-1] for name, values in pairs.items()}
@@ -150,12 +158,14 @@
         try:
             return endpoint.handler(call)
         except ValidationError as error:
-            return problem(400, "invalid", "\n".join(fault_lines(error)))
+            return problem_response(
+                400, "invalid", "\n".join(format_validation_errors(error))
+            )
         except QueryError as error:
-            return problem(400, "invalid", str(error))
+            return problem_response(400, "invalid", str(error))
 
     def _show_metrics(self, call: Call) -> Response:
-        return Response(200, self._metrics.exposition(), TEXT)
+        return Response(200, self._metrics.render_exposition(), METRICS_CONTENT_TYPE)
 
     def _run_query(self, call: Call) -> Response:
         query = Query.model_validate_json(call.body)
@@ -163,14 +173,14 @@
         return _json({"records": run_query(query, records)})
 
     def _run_command(self, call: Call) -> Response:
-        command = COMMANDS.validate_json(call.body)
+        command = COMMAND_ADAPTER.validate_json(call.body)
         outcome = self._commands.run(command, call.operator.name)
         return self._respond_to_change(call.operator, command.verb, outcome)
 
     def _apply_configuration(self, call: Call) -> Response:
         proposal = ApplyBody.model_validate_json(call.body)
         body = json.dumps(proposal.document).encode()
-        outcome = self._configuration.apply(
+        outcome = self._configuration.publish_document(
             body, proposal.base, call.operator.name, proposal.note
         )
         return self._respond_to_change(call.operator, "apply", outcome)
@@ -188,14 +198,18 @@
             case Applied(number):
                 return _json({"revision": number})
             case Invalid(faults):
-                return problem(422, "invalid", "\n".join(faults))
-            case Overruled(head, shown):
-                return problem(409, "conflict", f"revision {head} came first\n{shown}")
+                return problem_response(422, "invalid", "\n".join(faults))
+            case RevisionConflict(head, shown):
+                return problem_response(
+                    409, "conflict", f"revision {head} came first\n{shown}"
+                )
             case Unavailable(reason):
-                return problem(503, "store_unavailable", f"nothing changed: {reason}")
+                return problem_response(
+                    503, "store_unavailable", f"nothing changed: {reason}"
+                )
             case Unknown(reason):
                 detail = f"the change may be in force, check the history: {reason}"
-                return problem(504, "outcome_unknown", detail)
+                return problem_response(504, "outcome_unknown", detail)
 
     def _show_configuration(self, call: Call) -> Response:
         revision = self._read_revision(call.arguments.get("revision", "0"))
@@ -213,9 +227,9 @@
         )
 
     def _show_history(self, call: Call) -> Response:
-        entries = self._configuration.log.history()
+        entries = self._configuration.log.read_history()
         if isinstance(entries, Unavailable):
-            return problem(503, "store_unavailable", entries.reason)
+            return problem_response(503, "store_unavailable", entries.reason)
         return _json(
             {
                 "records": [
@@ -238,19 +252,19 @@
         if isinstance(new, Response):
             return new
         names = (f"revision {old.entry.number}", f"revision {new.entry.number}")
-        return _json({"difference": difference(old.body, new.body, names)})
+        return _json({"difference": format_difference(old.body, new.body, names)})
 
     def _read_revision(self, number: str) -> Revision | Response:
         if not number.isdecimal():
-            return problem(
+            return problem_response(
                 400, "invalid", f"revision: found {number!r}, allowed: a number"
             )
-        revision = self._configuration.read(int(number))
+        revision = self._configuration.read_revision(int(number))
         if isinstance(revision, Revision):
             return revision
         if isinstance(revision, Unavailable):
-            return problem(503, "store_unavailable", revision.reason)
-        return problem(404, "unknown_revision", f"found {number}")
+            return problem_response(503, "store_unavailable", revision.reason)
+        return problem_response(404, "unknown_revision", f"found {number}")
 
     def _show_plan(self, call: Call) -> Response:
         pool = call.arguments.get("pool", "")
@@ -272,14 +286,15 @@
         request_id = call.arguments.get("id", "")
         trace = self._traces.find(request_id)
         if trace is None:
-            return problem(
+            return problem_response(
                 404,
                 "unknown_request",
                 f"not among the last requests of this node: {request_id}",
             )
         lines = [
             f"{trace.route} for {trace.caller}, priority {trace.priority}: "
-            f"{trace.outcome} ({trace.status}) in {trace.took.total_seconds():.3f} s"
+            f"{trace.outcome} ({trace.status}) "
+            f"in {trace.duration.total_seconds():.3f} s"
         ]
         for number, attempt in enumerate(trace.attempts, 1):
             lines.append(
@@ -293,24 +308,24 @@
         deployment = self._configuration.deployment()
         model = next((m for m in deployment.models if m.name == name), None)
         if model is None:
-            return problem(404, "unknown_model", f"found {name!r}")
+            return problem_response(404, "unknown_model", f"found {name!r}")
         planner = self._placement.planner(model.pool)
         if planner is None or planner.state is None:
             return self._respond_planned_elsewhere(model.pool)
-        return _json({"lines": explain(planner.state, model)})
+        return _json({"lines": explain_placement(planner.state, model)})
 
     def _respond_planned_elsewhere(self, pool: str) -> Response:
-        record = self._placement.leases().get(pool)
+        record = self._placement.lease_records().get(pool)
         holder = "no node yet" if record is None else record.holder or "no node now"
-        return problem(
+        return problem_response(
             409, "planned_elsewhere", f"pool {pool!r} is planned by {holder}"
         )
 
 
-def problem(status: int, reason: str, detail: str) -> Response:
+def problem_response(status: int, reason: str, detail: str) -> Response:
     """Return a problem document (RFC 9457) with ``reason`` and ``detail``."""
     document = {"status": status, "reason": reason, "detail": detail}
-    return Response(status, json.dumps(document).encode(), PROBLEM)
+    return Response(status, json.dumps(document).encode(), PROBLEM_CONTENT_TYPE)
 
 
 def _json(document: dict[str, Any]) -> Response:
@@ -321,4 +336,4 @@
 
 
 def _respond_not_ready() -> Response:
-    return Response(503, b"not ready\n", TEXT)
+    return Response(503, b"not ready\n", METRICS_CONTENT_TYPE)
--- a/packages/runhatch-server/src/runhatch_server/operations/_commands.py
+++ b/packages/runhatch-server/src/runhatch_server/operations/_commands.py
@@ -89,7 +89,7 @@
     | RestoreRevision,
     Field(discriminator="verb"),
 ]
-COMMANDS: TypeAdapter[Command] = TypeAdapter(Command)
+COMMAND_ADAPTER: TypeAdapter[Command] = TypeAdapter(Command)
 
 
 class CommandService:
@@ -103,7 +103,7 @@
 
         Returns without a new revision if the configuration has it already.
         """
-        self._configuration.refresh()
+        self._configuration.read_newest()
         current = self._configuration.feed.current
         if current is None:
             return Invalid(("document: no configuration is in force yet",))
@@ -114,19 +114,21 @@
         body = json.dumps(document).encode()
         if document == json.loads(current.body):
             return Applied(current.entry.number)
-        return self._configuration.apply(body, current.entry.number, author, note)
+        return self._configuration.publish_document(
+            body, current.entry.number, author, note
+        )
 
     def _restore(
         self, command: RestoreRevision, base: int, author: str
     ) -> ApplyOutcome:
-        old = self._configuration.read(command.revision)
+        old = self._configuration.read_revision(command.revision)
         if isinstance(old, Unavailable):
             return old
         body = getattr(old, "body", None)
         if body is None:
             return Invalid((f"revision: found {command.revision}, no such revision",))
         note = f"restore {command.revision}"
-        return self._configuration.apply(body, base, author, note)
+        return self._configuration.publish_document(body, base, author, note)
 
 
 def _edit_document(document: Document, command: Command) -> str:
--- a/packages/runhatch-server/src/runhatch_server/operations/_nouns.py
+++ b/packages/runhatch-server/src/runhatch_server/operations/_nouns.py
@@ -9,7 +9,7 @@
 from runhatch_server.observability import Metrics, TraceLog
 from runhatch_server.placement import LedgerStore, PlacementService
 from runhatch_server.refusals import Reason
-from runhatch_server.serving import Dispatcher, Picture, Route, RouteKind
+from runhatch_server.serving import Dispatcher, PlacementCache, Route, RouteKind
 
 
 class Noun(Enum):
@@ -77,7 +77,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LeaseRecordView:
+class LeaseRow:
     """A planning lease as last read by this node."""
 
     pool: str
@@ -138,7 +138,7 @@
     | AdapterRecord
     | TargetRecord
     | NodeRecord
-    | LeaseRecordView
+    | LeaseRow
     | OrderRecord
     | RequestRecord
     | RefusalRecord
@@ -151,7 +151,7 @@
 
     def __init__(
         self,
-        picture: Picture,
+        picture: PlacementCache,
         dispatcher: Dispatcher,
         placement: PlacementService,
         membership: Membership,
@@ -226,7 +226,7 @@
         return records
 
     def _targets(self) -> Sequence[Record]:
-        loads = self._dispatcher.loads()
+        loads = self._dispatcher.target_loads()
         units = {hosting.target: hosting.units for hosting in self._picture.hostings()}
         drained = self._deployment.drained_targets
         records = []
@@ -261,14 +261,14 @@
 
     def _leases(self) -> Sequence[Record]:
         return [
-            LeaseRecordView(pool, record.holder, record.epoch, record.renewal)
-            for pool, record in self._placement.leases().items()
+            LeaseRow(pool, record.holder, record.epoch, record.renewal)
+            for pool, record in self._placement.lease_records().items()
         ]
 
     def _orders(self) -> Sequence[Record]:
         records = []
         for pool in self._deployment.pools:
-            rows = LedgerStore(self._table, pool.name, "").read_all()
+            rows = LedgerStore(self._table, pool.name, "").read_rows()
             if isinstance(rows, Unavailable):
                 continue
             records += [
@@ -277,7 +277,7 @@
                     versioned.row.target,
                     charge.unit,
                     charge.state.value,
-                    charge.held_mb,
+                    charge.reserved_mb,
                     charge.order,
                 )
                 for versioned in rows
@@ -292,8 +292,8 @@
                 trace.route,
                 trace.caller,
                 trace.priority,
-                trace.received.isoformat(timespec="milliseconds"),
-                round(trace.took.total_seconds() * 1000, 1),
+                trace.received_at.isoformat(timespec="milliseconds"),
+                round(trace.duration.total_seconds() * 1000, 1),
                 len(trace.attempts),
                 trace.attempts[-1].target if trace.attempts else "",
                 trace.outcome,
@@ -307,7 +307,7 @@
             RefusalRecord(
                 reason.code,
                 reason.status,
-                int(self._metrics.count(self._metrics.refusals, reason.code)),
+                int(self._metrics.counter_value(self._metrics.refusals, reason.code)),
             )
             for reason in Reason
         ]
--- a/packages/runhatch-server/src/runhatch_server/operations/_query.py
+++ b/packages/runhatch-server/src/runhatch_server/operations/_query.py
@@ -12,7 +12,7 @@
 from runhatch_server.border import StrictModel
 from runhatch_server.operations._nouns import Noun, Record
 
-MAX_LIMIT = 10_000
+MAX_RECORDS = 10_000
 
 
 class QueryError(RunhatchError):
@@ -46,10 +46,10 @@
     where: tuple[Condition, ...] = ()
     order_by: str | None = None
     descending: bool = False
-    limit: int = Field(default=1_000, ge=1, le=MAX_LIMIT)
+    limit: int = Field(default=1_000, ge=1, le=MAX_RECORDS)
 
 
-COMPARE: dict[Comparison, Callable[[Any, Any], bool]] = {
+COMPARISON_FUNCTIONS: dict[Comparison, Callable[[Any, Any], bool]] = {
     Comparison.EQUAL: eq,
     Comparison.UNEQUAL: ne,
     Comparison.LESS: lt,
@@ -96,7 +96,7 @@
         return condition.comparison is Comparison.UNEQUAL
     elif isinstance(actual, str):
         expected = str(expected)
-    return COMPARE[condition.comparison](actual, expected)
+    return COMPARISON_FUNCTIONS[condition.comparison](actual, expected)
 
 
 def _sort_key(value: object) -> tuple[int, float, str]:
--- a/packages/runhatch-server/src/runhatch_server/outside.py
+++ b/packages/runhatch-server/src/runhatch_server/outside.py
@@ -20,23 +20,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Outside:
+class ExternalServices:
     """External services of one node; tests replace them.
 
-    ``sweep`` removes the rows that have expired at the given time.
+    ``remove_expired_rows`` removes the rows that have expired at the given time.
     """
 
     table: Table
-    objects: ObjectStore
-    vms: VmList
+    object_store: ObjectStore
+    vm_list: VmList
     clock: Clock
-    sweep: Callable[[datetime], None] = _keep_expired_rows
+    remove_expired_rows: Callable[[datetime], None] = _keep_expired_rows
 
 
 __all__ = [
     "VMS_PARTITION",
     "ListedVms",
-    "Outside",
+    "ExternalServices",
     "StoreClock",
     "TableVmList",
     "VmEntry",
--- a/packages/runhatch-server/src/runhatch_server/peers/_broadcast.py
+++ b/packages/runhatch-server/src/runhatch_server/peers/_broadcast.py
@@ -17,13 +17,13 @@
     ENCODER,
     OnEnvelope,
     decode_envelope,
-    milliseconds,
+    to_milliseconds,
 )
-from runhatch_server.peers._messages import VERSION, Envelope, Fact, Member
+from runhatch_server.peers._messages import PROTOCOL_VERSION, Envelope, Fact, Member
 
-RECONNECT = timedelta(milliseconds=200)
-LONGEST_RECONNECT = timedelta(seconds=2)
-QUEUED = 64
+MIN_RECONNECT_INTERVAL = timedelta(milliseconds=200)
+MAX_RECONNECT_INTERVAL = timedelta(seconds=2)
+MAX_QUEUED_MESSAGES = 64
 """Messages queued for a slow subscriber; further ones are dropped."""
 
 
@@ -34,12 +34,12 @@
         self._own = own
         self._metrics = metrics
         self._socket = pynng.Pub0()
-        self._socket.send_buffer_size = QUEUED
+        self._socket.send_buffer_size = MAX_QUEUED_MESSAGES
         _listen(self._socket, url)
 
-    def tell(self, facts: list[Fact]) -> None:
+    def publish(self, facts: list[Fact]) -> None:
         """Publish ``facts`` in one message, without waiting for subscribers."""
-        message = ENCODER.encode(Envelope(VERSION, self._own(), False, facts))
+        message = ENCODER.encode(Envelope(PROTOCOL_VERSION, self._own(), False, facts))
         try:
             self._socket.send(message)
         except pynng.NNGException as error:
@@ -61,27 +61,27 @@
         on_envelope: OnEnvelope,
         metrics: Metrics,
         max_message: int,
-        on_broken: Callable[[InvariantError], None],
+        on_invariant_error: Callable[[InvariantError], None],
     ) -> None:
         self._on_envelope = on_envelope
-        self._on_broken = on_broken
+        self._on_broken = on_invariant_error
         self._metrics = metrics
         self._dialers: dict[str, pynng.Dialer] = {}
         self._socket = pynng.Sub0()
         self._socket.recv_max_size = max_message
-        self._socket.reconnect_time_min = milliseconds(RECONNECT)
-        self._socket.reconnect_time_max = milliseconds(LONGEST_RECONNECT)
+        self._socket.reconnect_time_min = to_milliseconds(MIN_RECONNECT_INTERVAL)
+        self._socket.reconnect_time_max = to_milliseconds(MAX_RECONNECT_INTERVAL)
         self._socket.subscribe(b"")
         threading.Thread(target=self._run, name="broadcasts", daemon=True).start()
 
-    def keep(self, urls: frozenset[str]) -> None:
+    def update_subscriptions(self, urls: frozenset[str]) -> None:
         """Subscribe to exactly ``urls``; not safe to call from several tasks."""
         for url in set(self._dialers) - urls:
             self._dialers.pop(url).close()
         for url in urls - set(self._dialers):
             self._dialers[url] = self._socket.dial(url, block=False)
 
-    def renew(self, url: str) -> None:
+    def reconnect(self, url: str) -> None:
         """Reconnect to ``url`` if subscribed.
 
         A node restarted after a power loss has no such connection any more.  As a
--- a/packages/runhatch-server/src/runhatch_server/peers/_keys.py
+++ b/packages/runhatch-server/src/runhatch_server/peers/_keys.py
@@ -16,10 +16,10 @@
 """Name in every node's certificate; addresses change too often for that."""
 
 
-class KeysChange(Enum):
+class ReloadOutcome(Enum):
     """Outcome of reloading the key files."""
 
-    SAME = "same"
+    UNCHANGED = "same"
     RENEWED = "renewed"
     UNUSABLE = "unusable"
 
@@ -41,18 +41,18 @@
         self._tls = tls
         self._keys = self._read()
 
-    def reload(self) -> KeysChange:
+    def reload(self) -> ReloadOutcome:
         """Read the files again; unusable files leave the current keys in use."""
         try:
             keys = self._read()
         except OSError:
-            return KeysChange.UNUSABLE
+            return ReloadOutcome.UNUSABLE
         if keys == self._keys:
-            return KeysChange.SAME
+            return ReloadOutcome.UNCHANGED
         self._keys = keys
-        return KeysChange.RENEWED
+        return ReloadOutcome.RENEWED
 
-    def config(self, server: bool) -> "pynng.TLSConfig":
+    def tls_config(self, server: bool) -> "pynng.TLSConfig":
         """Return the TLS configuration of one side, which verifies the other side."""
         mode = pynng.TLSConfig.MODE_SERVER if server else pynng.TLSConfig.MODE_CLIENT
         return pynng.TLSConfig(
--- a/packages/runhatch-server/src/runhatch_server/peers/_links.py
+++ b/packages/runhatch-server/src/runhatch_server/peers/_links.py
@@ -11,18 +11,24 @@
 
 from runhatch_coordination import InvariantError
 from runhatch_server.observability import Metrics, log_change
-from runhatch_server.peers._keys import KeysChange, PeerKeys
-from runhatch_server.peers._messages import VERSION, Envelope, Fact, LinkClosed, Member
+from runhatch_server.peers._keys import PeerKeys, ReloadOutcome
+from runhatch_server.peers._messages import (
+    PROTOCOL_VERSION,
+    Envelope,
+    Fact,
+    LinkClosed,
+    Member,
+)
 
 if TYPE_CHECKING:
     # Gateways do not use these settings; importing them takes 0.1 s at start.
     from runhatch_server.settings import PeerTls
 
 SEND_TIMEOUT = timedelta(seconds=1)
-RECONNECT = timedelta(milliseconds=200)
-LONGEST_RECONNECT = timedelta(seconds=5)
+MIN_RECONNECT_INTERVAL = timedelta(milliseconds=200)
+MAX_RECONNECT_INTERVAL = timedelta(seconds=5)
 QUEUE_LIMIT = 4_096
-MOST_UNREADABLE_LOGGED = 10
+MAX_UNREADABLE_LOGGED = 10
 """Unreadable messages logged with their cause; further ones are only counted."""
 ENCODER = msgspec.msgpack.Encoder()
 DECODER = msgspec.msgpack.Decoder(Envelope)
@@ -40,8 +46,8 @@
         return DECODER.decode(message)
     except msgspec.MsgspecError as error:
         metrics.peer_messages.labels("unreadable").inc()
-        count = metrics.count(metrics.peer_messages, "unreadable")
-        if count <= MOST_UNREADABLE_LOGGED:
+        count = metrics.counter_value(metrics.peer_messages, "unreadable")
+        if count <= MAX_UNREADABLE_LOGGED:
             log_change("message_unreadable", why=str(error), count=round(count))
         return None
 
@@ -49,17 +55,17 @@
 class Links(Protocol):
     """Sends facts to other nodes."""
 
-    def keep(self, addresses: frozenset[str]) -> None:
+    def set_peers(self, addresses: frozenset[str]) -> None:
         """Link to exactly ``addresses``."""
 
-    def tell_all(self, fact: Fact) -> None:
+    def publish(self, fact: Fact) -> None:
         """Send ``fact`` to every linked peer."""
 
-    def tell(self, address: str, facts: list[Fact]) -> None:
+    def send(self, address: str, facts: list[Fact]) -> None:
         """Send ``facts`` to one address, linked or not."""
 
-    def hold(self, address: str) -> None:
-        """Keep a link to ``address`` that only :meth:`tell` uses."""
+    def set_direct_peer(self, address: str) -> None:
+        """Keep a link to ``address`` that only :meth:`send` uses."""
 
 
 class PeerLinks:
@@ -78,10 +84,10 @@
         interval: timedelta,
         max_message: int,
         tls: "PeerTls | None",
-        on_broken: Callable[[InvariantError], None],
+        on_invariant_error: Callable[[InvariantError], None],
     ) -> None:
         self._own = own
-        self._on_broken = on_broken
+        self._on_broken = on_invariant_error
         self._on_envelope = on_envelope
         self._metrics = metrics
         self._interval = interval
@@ -104,7 +110,7 @@
         """The address at which other nodes reach this one."""
         return str(self._listener.local_address)
 
-    def keep(self, addresses: frozenset[str]) -> None:
+    def set_peers(self, addresses: frozenset[str]) -> None:
         """Link to exactly ``addresses``: open new links and close others."""
         with self._lock:
             for address in set(self._links) - addresses:
@@ -114,14 +120,14 @@
             for address in addresses - set(self._links):
                 self._links[address] = self._open(address, self._interval)
 
-    def tell_all(self, fact: Fact) -> None:
+    def publish(self, fact: Fact) -> None:
         """Send ``fact`` to every linked peer."""
         with self._lock:
             links = list(self._links.values())
         for link in links:
             link.put(fact)
 
-    def tell(self, address: str, facts: list[Fact]) -> None:
+    def send(self, address: str, facts: list[Fact]) -> None:
         """Send ``facts`` to one address, by its link or a temporary one."""
         with self._lock:
             direct = self._direct_link if address == self._direct_address else None
@@ -135,8 +141,8 @@
             temporary.put(fact)
         temporary.close()
 
-    def hold(self, address: str) -> None:
-        """Keep one link that only :meth:`tell` uses; replaces the previous one.
+    def set_direct_peer(self, address: str) -> None:
+        """Keep one link that only :meth:`send` uses; replaces the previous one.
 
         An empty ``address`` closes it.  Without it, a node that sends to one address
         several times a second would open a connection and a task each time.
@@ -157,12 +163,12 @@
         No queued fact is lost, because a closed link still sends its queue.  Unusable
         files change nothing.
         """
-        change = KeysChange.SAME if self._keys is None else self._keys.reload()
-        if change is KeysChange.SAME:
+        change = ReloadOutcome.UNCHANGED if self._keys is None else self._keys.reload()
+        if change is ReloadOutcome.UNCHANGED:
             return
         self._metrics.key_reloads.labels(change.value).inc()
         log_change("keys", outcome=change.value)
-        if change is KeysChange.UNUSABLE:
+        if change is ReloadOutcome.UNUSABLE:
             return
         url = f"{self._scheme}://{self.address.rpartition('/')[2]}"
         self._listener.close()
@@ -172,13 +178,13 @@
                 link.close()
                 self._links[address] = self._open(address, self._interval)
         direct_address = self._direct_address
-        self.hold("")
-        self.hold(direct_address)
+        self.set_direct_peer("")
+        self.set_direct_peer(direct_address)
 
     def close(self) -> None:
         """Have all links send their queues and end, and close the receiving socket."""
-        self.keep(frozenset())
-        self.hold("")
+        self.set_peers(frozenset())
+        self.set_direct_peer("")
         self._socket.close()
 
     def _open(self, address: str, interval: timedelta | None) -> "_Link":
@@ -188,7 +194,7 @@
     def _listen(self, url: str) -> "pynng.Listener":
         """Listen at ``url``; raises ``OSError`` naming the address on failure."""
         if self._keys is not None:
-            self._socket.tls_config = self._keys.config(server=True)
+            self._socket.tls_config = self._keys.tls_config(server=True)
         try:
             return self._socket.listen(url)
         except pynng.NNGException as error:
@@ -245,9 +251,9 @@
 
     def close(self) -> None:
         """Have the task send the queue and end; does not wait for it."""
-        self.put_end()
+        self.put_end_marker()
 
-    def put_end(self) -> None:
+    def put_end_marker(self) -> None:
         """Put the end marker into the queue, dropping facts if it is full."""
         while True:
             try:
@@ -258,11 +264,11 @@
 
     def _run(self) -> None:
         with pynng.Push0() as socket:
-            socket.send_timeout = milliseconds(SEND_TIMEOUT)
-            socket.reconnect_time_min = milliseconds(RECONNECT)
-            socket.reconnect_time_max = milliseconds(LONGEST_RECONNECT)
+            socket.send_timeout = to_milliseconds(SEND_TIMEOUT)
+            socket.reconnect_time_min = to_milliseconds(MIN_RECONNECT_INTERVAL)
+            socket.reconnect_time_max = to_milliseconds(MAX_RECONNECT_INTERVAL)
             if self._keys is not None:
-                socket.tls_config = self._keys.config(server=False)
+                socket.tls_config = self._keys.tls_config(server=False)
             socket.dial(self._url, block=False)
             ended = False
             while not ended:
@@ -288,7 +294,7 @@
 
     def _send(self, socket: "pynng.Push0", facts: list[Fact]) -> None:
         linked = self._interval is not None
-        message = ENCODER.encode(Envelope(VERSION, self._own(), linked, facts))
+        message = ENCODER.encode(Envelope(PROTOCOL_VERSION, self._own(), linked, facts))
         try:
             socket.send(message)
         except pynng.NNGException:
@@ -298,6 +304,6 @@
         self._metrics.peer_bytes.labels("out").inc(len(message))
 
 
-def milliseconds(duration: timedelta) -> int:
+def to_milliseconds(duration: timedelta) -> int:
     """Return ``duration`` in whole milliseconds, as pynng expects."""
     return int(duration.total_seconds() * 1000)
--- a/packages/runhatch-server/src/runhatch_server/peers/_messages.py
+++ b/packages/runhatch-server/src/runhatch_server/peers/_messages.py
@@ -10,14 +10,14 @@
 
 from runhatch_coordination import MemberFact, Standing, StoreVersion, Vm
 
-ROWS_LEVEL = 1
+ROWS_COMPRESSION_LEVEL = 1
 """Fastest level of zlib: 60 rows of 400 bytes shrink to an eighth in 0.2 ms."""
-MOST_ROWS_BYTES = 16_777_216
+MAX_ROWS_BYTES = 16_777_216
 """Maximum size of the unpacked rows of one message.
 
 Tables of the store are far smaller; the limit keeps a peer from exhausting memory.
 """
-VERSION = 7
+PROTOCOL_VERSION = 7
 UNKNOWN_VERSION = StoreVersion(-1)
 """Version of a table of which no state is known."""
 ALL_DOMAINS = "*"
@@ -63,7 +63,7 @@
     units: tuple[str, ...]
 
 
-class PictureDigest(msgspec.Struct, frozen=True, tag="digest", array_like=True):
+class HostingsDigest(msgspec.Struct, frozen=True, tag="digest", array_like=True):
     """Digest of all hostings known to the sender."""
 
     digest: int
@@ -121,9 +121,9 @@
 class DemandOfModel(msgspec.Struct, frozen=True, array_like=True):
     """Requests for a model, optionally with an adapter, since the previous message.
 
-    Their answers must begin within ``goal_ms``.  For ``missed`` of them no target
-    held the model.  ``work_ms`` is the prompt processing that they require.  A new
-    orderer also gets ``missed_for_ms``, the time for which no target has held it.
+    Their answers must begin within ``goal_ms``.  For ``missed_requests`` of them no
+    target held the model.  ``work_ms`` is the prompt processing that they require.  A
+    new orderer also gets ``missed_for_ms``, the time for which no target has held it.
     """
 
     service: str
@@ -132,12 +132,12 @@
     priority: int
     goal_ms: int
     requests: int
-    missed: int
+    missed_requests: int
     work_ms: int
     missed_for_ms: int = 0
 
 
-class ModelDemand(msgspec.Struct, frozen=True, tag="asked", array_like=True):
+class DemandReport(msgspec.Struct, frozen=True, tag="asked", array_like=True):
     """Requests of callers to the sender since its previous message.
 
     A message to a new orderer covers the requests of the last ``age_ms``.
@@ -182,13 +182,13 @@
 class OrdererResigned(msgspec.Struct, frozen=True, tag="resigned", array_like=True):
     """The sender has released the lease for sending orders to targets.
 
-    A successor waits for the seconds in ``waits`` before its first order to a target,
-    and for ``others_wait`` seconds if the target is not in it.
+    A successor waits for the seconds in ``first_order_waits`` before its first order to
+    a target, and for ``default_wait`` seconds if the target is not in it.
     """
 
     epoch: int
-    waits: dict[str, float]
-    others_wait: float
+    first_order_waits: dict[str, float]
+    default_wait: float
 
 
 class TableVersion(msgspec.Struct, frozen=True, tag="version", array_like=True):
@@ -198,7 +198,7 @@
     version: StoreVersion
 
 
-class TableNews(msgspec.Struct, frozen=True, tag="news", array_like=True):
+class TableUpdate(msgspec.Struct, frozen=True, tag="news", array_like=True):
     """Changes of a watched table, and whether the sender can still read it.
 
     ``rows`` are those changed after version ``after`` up to ``version``, packed by
@@ -214,7 +214,7 @@
     rows: bytes = b""
 
 
-class StateAsked(msgspec.Struct, frozen=True, tag="state", array_like=True):
+class TableStateRequest(msgspec.Struct, frozen=True, tag="state", array_like=True):
     """Requests state from the receiver.
 
     The answer has the changes of tables since these versions, and the complete table
@@ -269,13 +269,13 @@
     age_ms: int
 
 
-class RateLimitsTold(msgspec.Struct, frozen=True, tag="limits", array_like=True):
+class RateLimitsUpdate(msgspec.Struct, frozen=True, tag="limits", array_like=True):
     """Rate limits that targets have stated or no longer state."""
 
     limits: list[LimitOfTarget]
 
 
-class PermitAsked(msgspec.Struct, frozen=True, tag="permit_asked", array_like=True):
+class PermitRequest(msgspec.Struct, frozen=True, tag="permit_asked", array_like=True):
     """Requests a permit to send a request of ``tier`` to a target.
 
     ``limit`` is the target's rate limit as known to the sender.
@@ -300,7 +300,7 @@
     """The sender has closed its link; the receiver must not suspect its silence."""
 
 
-class StateWanted(msgspec.Struct, frozen=True, tag="wanted", array_like=True):
+class StateRequest(msgspec.Struct, frozen=True, tag="wanted", array_like=True):
     """Requests the receiver's state, to be sent to the address ``reply_to``.
 
     The answer has all hostings, planners and members that are not alive, and the
@@ -319,22 +319,22 @@
     | DrainingTargets
     | DemandCounts
     | PlannerNotice
-    | PictureDigest
+    | HostingsDigest
     | LinkClosed
-    | StateWanted
+    | StateRequest
     | TargetLoads
-    | ModelDemand
+    | DemandReport
     | TargetHoldings
     | OrdererNotice
     | OrdererResigned
     | TableVersion
-    | TableNews
-    | StateAsked
+    | TableUpdate
+    | TableStateRequest
     | TargetsEnded
     | RequestsCleared
     | SuspectsDigest
-    | RateLimitsTold
-    | PermitAsked
+    | RateLimitsUpdate
+    | PermitRequest
     | PermitAnswer
 )
 
@@ -342,16 +342,16 @@
 class Envelope(msgspec.Struct, frozen=True, array_like=True):
     """One message: its sender and its facts, possibly none.
 
-    ``linked`` means that further messages follow at the heartbeat interval.
+    ``is_linked`` means that further messages follow at the heartbeat interval.
     """
 
     version: int
     sender: Member
-    linked: bool
+    is_linked: bool
     facts: list[Fact]
 
 
-def member_of_fact(fact: MemberFact) -> Member:
+def message_from_fact(fact: MemberFact) -> Member:
     """Return the message for membership fact ``fact``."""
     vm = fact.vm
     return Member(
@@ -364,7 +364,7 @@
     )
 
 
-def fact_of_member(member: Member) -> MemberFact:
+def fact_from_message(member: Member) -> MemberFact:
     """Return the membership fact in ``member``."""
     vm = Vm(
         member.name,
@@ -382,14 +382,14 @@
     >>> unpack_rows(pack_rows([("a", b"1"), ("b", None)]))
     [('a', b'1'), ('b', None)]
     """
-    return zlib.compress(msgspec.msgpack.encode(list(rows)), ROWS_LEVEL)
+    return zlib.compress(msgspec.msgpack.encode(list(rows)), ROWS_COMPRESSION_LEVEL)
 
 
 def unpack_rows(packed: bytes) -> list[tuple[str, bytes | None]]:
     """Return the rows in ``packed``; raises ``ValueError`` if it is malformed."""
     unpacker = zlib.decompressobj()
     try:
-        decompressed = unpacker.decompress(packed, MOST_ROWS_BYTES)
+        decompressed = unpacker.decompress(packed, MAX_ROWS_BYTES)
     except zlib.error as error:
         raise ValueError(f"rows cannot be decompressed: {error}") from None
     if not unpacker.eof:
--- a/packages/runhatch-server/src/runhatch_server/placement/__init__.py
+++ b/packages/runhatch-server/src/runhatch_server/placement/__init__.py
@@ -8,10 +8,10 @@
     Urgency,
 )
 from runhatch_server.placement._ledger import Charge, ChargeState, LedgerRow
-from runhatch_server.placement._planner import explain, plan
+from runhatch_server.placement._planner import explain_placement, plan
 from runhatch_server.placement._reconcile import (
-    Reconciled,
-    TargetView,
+    Reconciliation,
+    TargetSnapshot,
     UnitTimes,
     reconcile,
 )
@@ -19,7 +19,7 @@
 from runhatch_server.placement._shard import (
     LedgerLostError,
     ShardPlanner,
-    hosting_of,
+    hosting_from_row,
 )
 from runhatch_server.placement._state import PoolState
 from runhatch_server.placement._store import LedgerStore, VersionedRow
@@ -34,16 +34,16 @@
     "LoadUnit",
     "PlacementService",
     "PoolState",
-    "Reconciled",
+    "Reconciliation",
     "RetireUnit",
     "ShardPlanner",
     "WorkDistribution",
-    "TargetView",
+    "TargetSnapshot",
     "UnitTimes",
     "Urgency",
     "VersionedRow",
-    "explain",
-    "hosting_of",
+    "explain_placement",
+    "hosting_from_row",
     "plan",
     "reconcile",
     "distribute_work",
--- a/packages/runhatch-server/src/runhatch_server/placement/_actions.py
+++ b/packages/runhatch-server/src/runhatch_server/placement/_actions.py
@@ -28,7 +28,7 @@
     reason: str
     base: str = ""
 
-    def charge(self) -> Charge:
+    def new_charge(self) -> Charge:
         """Return the charge to write to the ledger before the order is sent."""
         return Charge(
             self.unit,
--- a/packages/runhatch-server/src/runhatch_server/placement/_balance.py
+++ b/packages/runhatch-server/src/runhatch_server/placement/_balance.py
@@ -5,7 +5,7 @@
 from runhatch_server.placement._state import PoolState
 
 
-def balance(state: PoolState) -> WorkDistribution:
+def balance_work(state: PoolState) -> WorkDistribution:
     """Distribute the work of a pool over its replicas as the routers would.
 
     Loading replicas count as hosts; otherwise later plans would add further
@@ -16,9 +16,9 @@
         model.name: [
             host
             for host in state.hosts(
-                model.unit, ChargeState.SERVING, ChargeState.LOADING
+                model.unit_name, ChargeState.SERVING, ChargeState.LOADING
             )
-            if host in capacities and host not in state.closed
+            if host in capacities and host not in state.excluded
         ]
         for model in state.models
     }
--- a/packages/runhatch-server/src/runhatch_server/placement/_demand.py
+++ b/packages/runhatch-server/src/runhatch_server/placement/_demand.py
@@ -3,7 +3,7 @@
 from collections import Counter, defaultdict
 from datetime import timedelta
 
-WINDOW = timedelta(seconds=5)
+RATE_WINDOW = timedelta(seconds=5)
 GAIN_UP = 0.6
 GAIN_DOWN = 0.04
 
@@ -12,23 +12,23 @@
     """Requests per second of each model, estimated from the counts of all nodes.
 
     >>> estimate = DemandEstimate()
-    >>> estimate.add({"m": 50})
-    >>> estimate.tick(timedelta(seconds=5))
+    >>> estimate.add_counts({"m": 50})
+    >>> estimate.update_rates(timedelta(seconds=5))
     >>> estimate.rate("m")
     6.0
     """
 
-    def __init__(self, window: timedelta = WINDOW) -> None:
+    def __init__(self, window: timedelta = RATE_WINDOW) -> None:
         self._window = window
         self._counts: Counter[str] = Counter()
         self._rates: dict[str, float] = defaultdict(float)
         self._last_update = timedelta()
 
-    def add(self, counts: dict[str, int]) -> None:
+    def add_counts(self, counts: dict[str, int]) -> None:
         """Add the request counts of one node, by model."""
         self._counts.update(counts)
 
-    def tick(self, now: timedelta) -> None:
+    def update_rates(self, now: timedelta) -> None:
         """Update the rates from the counts, at most once per window."""
         elapsed = now - self._last_update
         if elapsed < self._window:
--- a/packages/runhatch-server/src/runhatch_server/placement/_draft.py
+++ b/packages/runhatch-server/src/runhatch_server/placement/_draft.py
@@ -9,11 +9,11 @@
     RetireUnit,
     Urgency,
 )
-from runhatch_server.placement._balance import balance
+from runhatch_server.placement._balance import balance_work
 from runhatch_server.placement._ledger import ChargeState, LedgerRow
 from runhatch_server.placement._state import PoolState
 
-PRESENT = (ChargeState.SERVING, ChargeState.LOADING)
+PRESENT_STATES = (ChargeState.SERVING, ChargeState.LOADING)
 
 
 class Draft:
@@ -26,22 +26,22 @@
     def __init__(self, state: PoolState) -> None:
         self.state = state
         self.rows: dict[str, LedgerRow] = dict(state.rows)
-        self.balance = balance(state)
+        self.balance = balance_work(state)
         self.actions: list[Action] = []
 
-    def add(self, load: LoadUnit) -> None:
+    def add_load(self, load: LoadUnit) -> None:
         """Add ``load`` to the plan and its charge to the target's row."""
-        self.rows[load.target] = self.rows[load.target].with_charge(load.charge())
+        self.rows[load.target] = self.rows[load.target].with_charge(load.new_charge())
         self.actions.append(load)
 
     def load_on(
         self, target: str, model: ModelSpec, urgency: Urgency, reason: str
     ) -> None:
         """Add a load of ``model`` on ``target``, which must have enough free memory."""
-        self.add(
+        self.add_load(
             LoadUnit(
                 target,
-                model.unit,
+                model.unit_name,
                 model.memory_mb + model.kv_reserve_mb,
                 model.loading_peak_mb,
                 urgency,
@@ -51,10 +51,10 @@
 
     def retire(self, target: str, unit: str, reason: str) -> None:
         """Retire ``unit`` unless it is absent or already being unloaded."""
-        charge = self.rows[target].find(unit)
+        charge = self.rows[target].find_charge(unit)
         if charge is None or charge.state is ChargeState.UNLOADING:
             return
-        self.rows[target] = self.rows[target].with_charge(charge.unloading())
+        self.rows[target] = self.rows[target].with_charge(charge.as_unloading())
         self.actions.append(RetireUnit(target, unit, reason))
 
     def needed_mb(self, model: ModelSpec) -> int:
@@ -66,12 +66,12 @@
         return [
             name
             for name, row in self.rows.items()
-            if self.state.takes_loads(name)
-            and row.find(model.unit) is None
+            if self.state.accepts_loads(name)
+            and row.find_charge(model.unit_name) is None
             and (model.name, name) not in self.state.bans
         ]
 
-    def load_somewhere(
+    def load_on_best_target(
         self,
         model: ModelSpec,
         urgency: Urgency,
@@ -94,12 +94,12 @@
 
     def serves(self, target: str, unit: str) -> bool:
         """Whether ``unit`` serves on ``target`` and this plan does not retire it."""
-        charge = self.rows[target].find(unit)
+        charge = self.rows[target].find_charge(unit)
         return charge is not None and charge.state is ChargeState.SERVING
 
     def is_complete(self, target: str, model: ModelSpec) -> bool:
         """Whether ``model`` and all its adapters serve on ``target``."""
-        units = [model.unit, *(a.unit for a in self.state.adapters_of(model))]
+        units = [model.unit_name, *(a.unit for a in self.state.adapters_of(model))]
         return all(self.serves(target, unit) for unit in units)
 
     def may_retire(self, model: ModelSpec, target: str) -> bool:
@@ -108,9 +108,9 @@
             return False
         others = [
             host
-            for host in self.state.hosts(model.unit, ChargeState.SERVING)
+            for host in self.state.hosts(model.unit_name, ChargeState.SERVING)
             if host != target
-            and host not in self.state.closed
+            and host not in self.state.excluded
             and self.is_complete(host, model)
         ]
         return len(others) >= model.min_replicas
@@ -118,13 +118,13 @@
     def unloading_mb(self, target: str) -> int:
         """Return the memory of the units being unloaded from ``target``."""
         return sum(
-            charge.held_mb
+            charge.reserved_mb
             for charge in self.rows[target].charges
             if charge.state is ChargeState.UNLOADING
         )
 
-    def victims(self, target: str, lacking: int) -> list[ModelSpec] | None:
-        """Return surplus replicas whose removal frees ``lacking`` MB.
+    def find_evictions(self, target: str, lacking_mb: int) -> list[ModelSpec] | None:
+        """Return surplus replicas whose removal frees ``lacking_mb`` MB.
 
         Those with the least work come first.  Memory of units already being unloaded
         counts as freed.  Return ``None`` if all surplus replicas free too little.
@@ -133,16 +133,16 @@
         surplus = [
             model
             for model in self.state.models
-            if self.serves(target, model.unit) and self.may_retire(model, target)
+            if self.serves(target, model.unit_name) and self.may_retire(model, target)
         ]
         surplus.sort(key=lambda model: self.balance.share(model.name, target))
         chosen = []
         for model in surplus:
-            if freed >= lacking:
+            if freed >= lacking_mb:
                 break
             chosen.append(model)
             freed += self.state.footprint_mb(model)
-        return chosen if freed >= lacking else None
+        return chosen if freed >= lacking_mb else None
 
     def _placement_order(
         self, target: str, domains: frozenset[str]
@@ -155,6 +155,6 @@
 
     def _failure_domains(self, model: ModelSpec) -> frozenset[str]:
         """Return the failure domains in which ``model`` is present."""
-        hosts = self.state.hosts(model.unit, *PRESENT)
+        hosts = self.state.hosts(model.unit_name, *PRESENT_STATES)
         declared = [host for host in hosts if host in self.balance.capacities]
         return frozenset(self.state.target(h).failure_domain for h in declared)
--- a/packages/runhatch-server/src/runhatch_server/placement/_ledger.py
+++ b/packages/runhatch-server/src/runhatch_server/placement/_ledger.py
@@ -41,7 +41,7 @@
     base: str = ""
 
     @property
-    def held_mb(self) -> int:
+    def reserved_mb(self) -> int:
         """Memory that the charge currently reserves.
 
         The peak stays reserved until a report shows the unit loaded, also if it is
@@ -49,15 +49,15 @@
         """
         return self.memory_mb + self.peak_mb
 
-    def serving(self) -> "Charge":
+    def as_serving(self) -> "Charge":
         """Return the charge of the unit after a report shows it loaded."""
         return replace(self, state=ChargeState.SERVING, peak_mb=0)
 
-    def unloading(self) -> "Charge":
+    def as_unloading(self) -> "Charge":
         """Return the charge of the unit to be unloaded, without an order yet."""
         return replace(self, state=ChargeState.UNLOADING, order=NOT_ORDERED)
 
-    def lost(self, peak_mb: int) -> "Charge":
+    def as_reloading(self, peak_mb: int) -> "Charge":
         """Return the charge for reloading a unit that its engine no longer holds."""
         return replace(
             self, state=ChargeState.LOADING, order=NOT_ORDERED, peak_mb=peak_mb
@@ -75,18 +75,18 @@
     @property
     def used_mb(self) -> int:
         """Memory reserved by all charges."""
-        return sum(charge.held_mb for charge in self.charges)
+        return sum(charge.reserved_mb for charge in self.charges)
 
     @property
     def free_mb(self) -> int:
         """Memory not reserved by any charge."""
         return self.capacity_mb - self.used_mb
 
-    def find(self, unit: str) -> Charge | None:
+    def find_charge(self, unit: str) -> Charge | None:
         """Return the charge of ``unit``, ``None`` if it has none."""
         return next((c for c in self.charges if c.unit == unit), None)
 
-    def units(self, *states: ChargeState) -> tuple[str, ...]:
+    def units_in_states(self, *states: ChargeState) -> tuple[str, ...]:
         """Return the units whose charges are in one of ``states``."""
         return tuple(c.unit for c in self.charges if c.state in states)
 
@@ -98,16 +98,16 @@
         """
         others = tuple(c for c in self.charges if c.unit != charge.unit)
         changed = replace(self, charges=(*others, charge))
-        changed.check()
+        changed.check_charges()
         return changed
 
-    def without(self, units: Iterable[str]) -> "LedgerRow":
+    def without_units(self, units: Iterable[str]) -> "LedgerRow":
         """Return the row without the charges of ``units``."""
         removed = frozenset(units)
         remaining = tuple(c for c in self.charges if c.unit not in removed)
         return replace(self, charges=remaining)
 
-    def check(self) -> None:
+    def check_charges(self) -> None:
         """Raise ``InvariantError`` unless charges fit and their units are unique."""
         require(
             self.used_mb <= self.capacity_mb,
--- a/packages/runhatch-server/src/runhatch_server/placement/_planner.py
+++ b/packages/runhatch-server/src/runhatch_server/placement/_planner.py
@@ -9,44 +9,44 @@
 from runhatch_server.configuration import ModelSpec
 from runhatch_server.decisions import WorkDistribution
 from runhatch_server.placement._actions import Action, LoadUnit
-from runhatch_server.placement._balance import balance
+from runhatch_server.placement._balance import balance_work
 from runhatch_server.placement._draft import Draft
 from runhatch_server.placement._reachability import (
-    keep_reachable,
     load_adapters,
-    retire_obsolete,
+    load_missing_models,
+    retire_obsolete_units,
 )
 from runhatch_server.placement._state import PoolState
-from runhatch_server.placement._value import add_for_value
+from runhatch_server.placement._value import add_valuable_replicas
 
 
 def plan(state: PoolState) -> list[Action]:
     """Return actions that together fit the current ledger."""
     draft = Draft(state)
-    keep_reachable(draft)
+    load_missing_models(draft)
     load_adapters(draft)
-    retire_obsolete(draft)
+    retire_obsolete_units(draft)
     if not state.policy.paused:
-        add_for_value(draft)
+        add_valuable_replicas(draft)
     return draft.actions
 
 
-def explain(state: PoolState, model: ModelSpec) -> list[str]:
+def explain_placement(state: PoolState, model: ModelSpec) -> list[str]:
     """Return lines on the replicas of ``model`` and the next actions with reasons."""
-    spread: WorkDistribution = balance(state)
+    spread: WorkDistribution = balance_work(state)
     work = state.work.get(model.name, 0.0)
     lines = [f"expected work: {work:.2f} concurrent requests"]
     for name, row in state.rows.items():
-        charge = row.find(model.unit)
+        charge = row.find_charge(model.unit_name)
         if charge is None:
             continue
         utilisation = spread.utilisation(name) if name in spread.capacities else 0.0
         lines.append(
-            f"{name}: {charge.state.value}, {charge.held_mb} MB, "
+            f"{name}: {charge.state.value}, {charge.reserved_mb} MB, "
             f"target at {utilisation:.0%} of its concurrency"
         )
     for action in plan(state):
-        if action.unit == model.unit:
+        if action.unit == model.unit_name:
             verb = "load on" if isinstance(action, LoadUnit) else "retire from"
             lines.append(f"next: {verb} {action.target}: {action.reason}")
     return lines
--- a/packages/runhatch-server/src/runhatch_server/placement/_reachability.py
+++ b/packages/runhatch-server/src/runhatch_server/placement/_reachability.py
@@ -4,31 +4,31 @@
 
 from runhatch_server.configuration import ModelSpec
 from runhatch_server.placement._actions import LoadUnit, Urgency
-from runhatch_server.placement._draft import PRESENT, Draft
+from runhatch_server.placement._draft import PRESENT_STATES, Draft
 from runhatch_server.placement._ledger import Charge, ChargeState
 
 
-def keep_reachable(draft: Draft) -> None:
+def load_missing_models(draft: Draft) -> None:
     """Load models with too few replicas, those without any first, then pins."""
     missing = sorted(_missing_models(draft), key=lambda entry: entry[0])
     for urgency, model, reason in missing:
-        if not draft.load_somewhere(model, urgency, reason):
+        if not draft.load_on_best_target(model, urgency, reason):
             _free_memory(draft, model, draft.targets_for(model))
     for model, target in _missing_pins(draft):
-        if not draft.load_somewhere(model, Urgency.TOO_FEW, "pinned", [target]):
+        if not draft.load_on_best_target(model, Urgency.TOO_FEW, "pinned", [target]):
             _free_memory(draft, model, [target])
 
 
 def load_adapters(draft: Draft) -> None:
     """Load missing adapters on all targets on which their base serves."""
     for model in draft.state.models:
-        for host in draft.state.hosts(model.unit, ChargeState.SERVING):
+        for host in draft.state.hosts(model.unit_name, ChargeState.SERVING):
             for adapter in draft.state.adapters_of(model):
                 row = draft.rows[host]
                 fits = row.free_mb >= adapter.memory_mb
-                if row.find(adapter.unit) is not None or not fits:
+                if row.find_charge(adapter.unit) is not None or not fits:
                     continue
-                draft.add(
+                draft.add_load(
                     LoadUnit(
                         host,
                         adapter.unit,
@@ -36,17 +36,17 @@
                         0,
                         Urgency.ADAPTER,
                         f"adapter of {model.name}",
-                        base=model.unit,
+                        base=model.unit_name,
                     )
                 )
 
 
-def retire_obsolete(draft: Draft) -> None:
+def retire_obsolete_units(draft: Draft) -> None:
     """Retire units that are undeclared, replaced, banned or on a closed target."""
     state = draft.state
-    declared = {model.unit for model in state.models}
+    declared = {model.unit_name for model in state.models}
     declared |= {adapter.unit for adapter in state.adapters}
-    replaced = {pair: m for m in state.models for pair in state.older_units(m)}
+    replaced = {pair: m for m in state.models for pair in state.old_version_units(m)}
     for name, row in state.rows.items():
         for charge in row.charges:
             if charge.unit not in declared:
@@ -59,9 +59,9 @@
     """Yield urgency, model and reason for each model with too few replicas."""
     state = draft.state
     for model in state.models:
-        hosts = state.hosts(model.unit, *PRESENT)
-        present = [host for host in hosts if host not in state.closed]
-        older = state.older_units(model)
+        hosts = state.hosts(model.unit_name, *PRESENT_STATES)
+        present = [host for host in hosts if host not in state.excluded]
+        older = state.old_version_units(model)
         if not present and older:
             yield Urgency.NEW_VERSION, model, "new version"
         elif not present:
@@ -75,10 +75,10 @@
     models = {model.name: model for model in draft.state.models}
     for name, target in sorted(draft.state.pins):
         model = models.get(name)
-        if model is None or not draft.state.takes_loads(target):
+        if model is None or not draft.state.accepts_loads(target):
             continue
         row = draft.rows.get(target)
-        if row is not None and row.find(model.unit) is None:
+        if row is not None and row.find_charge(model.unit_name) is None:
             yield model, target
 
 
@@ -91,12 +91,12 @@
     needed = draft.needed_mb(needing)
     best: tuple[str, list[ModelSpec]] | None = None
     for name in targets:
-        victims = draft.victims(name, needed - draft.rows[name].free_mb)
+        victims = draft.find_evictions(name, needed - draft.rows[name].free_mb)
         if victims is not None and (best is None or len(victims) < len(best[1])):
             best = name, victims
     if best is not None:
         for model in best[1]:
-            draft.retire(best[0], model.unit, f"frees memory for {needing.name}")
+            draft.retire(best[0], model.unit_name, f"frees memory for {needing.name}")
         return
     if not _retire_superseded(draft, needing, needed, targets):
         _load_elsewhere(draft, needing, needed)
@@ -118,7 +118,7 @@
                 break
             if _is_served_without(draft, charge.unit, name, chosen):
                 chosen.append(charge.unit)
-                lacking -= charge.held_mb
+                lacking -= charge.reserved_mb
         if lacking > 0:
             continue
         for unit in chosen:
@@ -129,7 +129,9 @@
 
 def _superseded_charges(draft: Draft, target: str) -> list[Charge]:
     """Return the serving charges of older model versions on ``target``."""
-    older = {pair for m in draft.state.models for pair in draft.state.older_units(m)}
+    older = {
+        pair for m in draft.state.models for pair in draft.state.old_version_units(m)
+    }
     return [
         charge
         for charge in draft.rows[target].charges
@@ -150,7 +152,7 @@
         and charge.unit.rpartition("@")[0] == model
         and not (name == target and charge.unit in (unit, *removed))
         for name, row in draft.rows.items()
-        if name not in draft.state.closed
+        if name not in draft.state.excluded
         for charge in row.charges
     )
 
@@ -162,18 +164,18 @@
     """
     state = draft.state
     for name, row in draft.rows.items():
-        if name in state.closed:
+        if name in state.excluded:
             continue
         for model in state.models:
-            if not draft.serves(name, model.unit):
+            if not draft.serves(name, model.unit_name):
                 continue
             frees_enough = row.free_mb + state.footprint_mb(model) >= needed
-            is_only_replica = len(state.hosts(model.unit, *PRESENT)) == 1
+            is_only_replica = len(state.hosts(model.unit_name, *PRESENT_STATES)) == 1
             reason = f"frees memory for {needing.name} on {name}"
             if (
                 frees_enough
                 and is_only_replica
-                and draft.load_somewhere(model, Urgency.TOO_FEW, reason)
+                and draft.load_on_best_target(model, Urgency.TOO_FEW, reason)
             ):
                 return
 
@@ -193,13 +195,13 @@
     model = replaced.get((target, charge.unit))
     if model is not None and not _is_replaced(draft, model):
         return
-    reason = "not declared" if model is None else f"{model.unit} serves"
+    reason = "not declared" if model is None else f"{model.unit_name} serves"
     draft.retire(target, charge.unit, reason)
 
 
 def _is_replaced(draft: Draft, model: ModelSpec) -> bool:
     """Whether the new version and its adapters serve on a reachable target."""
-    hosts = draft.state.hosts(model.unit, ChargeState.SERVING)
+    hosts = draft.state.hosts(model.unit_name, ChargeState.SERVING)
     return any(
         host not in draft.state.silent and draft.is_complete(host, model)
         for host in hosts
@@ -217,19 +219,21 @@
 
 def _retire_from_closed(draft: Draft) -> None:
     """Retire models from closed, reachable targets once enough others serve."""
-    for name in draft.state.closed - draft.state.silent:
+    for name in draft.state.excluded - draft.state.silent:
         row = draft.state.rows.get(name)
         if row is None:
             continue
         for model in draft.state.models:
-            if row.find(model.unit) is not None and draft.may_retire(model, name):
-                draft.retire(name, model.unit, "the target accepts no new work")
+            if row.find_charge(model.unit_name) is not None and draft.may_retire(
+                model, name
+            ):
+                draft.retire(name, model.unit_name, "the target accepts no new work")
 
 
 def _retire_banned(draft: Draft) -> None:
     """Retire models from targets on which they are banned."""
     for model in draft.state.models:
-        for host in draft.state.hosts(model.unit, ChargeState.SERVING):
+        for host in draft.state.hosts(model.unit_name, ChargeState.SERVING):
             banned = (model.name, host) in draft.state.bans
             if banned and draft.may_retire(model, host):
-                draft.retire(host, model.unit, "banned by an operator")
+                draft.retire(host, model.unit_name, "banned by an operator")
--- a/packages/runhatch-server/src/runhatch_server/placement/_reconcile.py
+++ b/packages/runhatch-server/src/runhatch_server/placement/_reconcile.py
@@ -19,8 +19,8 @@
 )
 from runhatch_server.targets import EngineReport, LoadedUnit, Order, OrderKind
 
-RESEND_AFTER = timedelta(seconds=3)
-RETIRE_GRACE = timedelta(seconds=3)
+RESEND_INTERVAL = timedelta(seconds=3)
+RETIRE_GRACE_PERIOD = timedelta(seconds=3)
 """Time in which nodes stop routing to a unit before it is unloaded."""
 
 
@@ -32,103 +32,111 @@
     order of the previous holder, so it never waits too short a time.
     """
 
-    since: timedelta
-    last_order: timedelta
-    sent: bool = False
+    state_changed_at: timedelta
+    last_order_at: timedelta
+    is_order_sent: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class TargetView:
+class TargetSnapshot:
     """The lease holder's data on one target at time ``now``.
 
-    ``report_started`` is the time at which the report was requested.
+    ``report_requested_at`` is the time at which the report was requested.
     """
 
     spec: TargetSpec
     report: EngineReport
-    report_started: timedelta
+    report_requested_at: timedelta
     now: timedelta
 
 
 @dataclass(slots=True)
-class Reconciled:
+class Reconciliation:
     """The row to write, the orders to send after that, and permits.
 
-    ``permits_wanted`` are charges that need a permit to be loaded, ``permits_done``
-    units whose permits can be returned.  ``unaccounted`` units are loaded on the
-    engine but do not fit into the row.
+    ``loads_awaiting_permit`` are charges that need a permit to be loaded,
+    ``finished_loads`` units whose permits can be returned.  ``unaccounted_units`` units
+    are loaded on the engine but do not fit into the row.
     """
 
     row: LedgerRow
     orders: list[Order] = field(default_factory=list)
-    permits_wanted: list[Charge] = field(default_factory=list)
-    permits_done: set[str] = field(default_factory=set)
-    unaccounted: list[LoadedUnit] = field(default_factory=list)
+    loads_awaiting_permit: list[Charge] = field(default_factory=list)
+    finished_loads: set[str] = field(default_factory=set)
+    unaccounted_units: list[LoadedUnit] = field(default_factory=list)
 
 
 def reconcile(
     row: LedgerRow,
-    view: TargetView,
-    times: Mapping[str, UnitTimes],
-    next_order: int,
-    permitted: frozenset[str],
-) -> Reconciled:
+    snapshot: TargetSnapshot,
+    times_by_unit: Mapping[str, UnitTimes],
+    next_order_number: int,
+    permitted_units: frozenset[str],
+) -> Reconciliation:
     """Return the changes of ``row`` and the orders that follow from the report.
 
-    ``next_order`` is the number of all orders recorded by the next write of the row.
-    ``permitted`` are the units whose load orders may be sent to the engine.
+    ``next_order_number`` is the number of all orders recorded by the next write of the
+    row.
+    ``permitted_units`` are the units whose load orders may be sent to the engine.
     """
-    result = Reconciled(row)
+    result = Reconciliation(row)
     for charge in row.charges:
-        unit_times = times[charge.unit]
+        unit_times = times_by_unit[charge.unit]
         if charge.base and not _base_stays(row, charge):
             # An adapter is removed together with its base.
             continue
         match charge.state:
             case ChargeState.LOADING:
                 _reconcile_loading(
-                    result, charge, view, unit_times, next_order, permitted
+                    result,
+                    charge,
+                    snapshot,
+                    unit_times,
+                    next_order_number,
+                    permitted_units,
                 )
             case ChargeState.SERVING:
-                if not view.report.holds(charge.unit):
+                if not snapshot.report.has_loaded(charge.unit):
                     # The engine restarted or dropped the unit; reload it.
-                    lost = charge.lost(peak_mb=0)
+                    lost = charge.as_reloading(peak_mb=0)
                     result.row = result.row.with_charge(lost)
             case ChargeState.UNLOADING:
-                _reconcile_unloading(result, charge, view, unit_times, next_order)
-    _adopt_unknown(result, view)
+                _reconcile_unloading(
+                    result, charge, snapshot, unit_times, next_order_number
+                )
+    _adopt_unknown(result, snapshot)
     return result
 
 
 def _base_stays(row: LedgerRow, adapter: Charge) -> bool:
     """Whether the adapter's base is charged and not being unloaded."""
-    base = row.find(adapter.base)
+    base = row.find_charge(adapter.base)
     return base is not None and base.state is not ChargeState.UNLOADING
 
 
 def _reconcile_loading(
-    result: Reconciled,
+    result: Reconciliation,
     charge: Charge,
-    view: TargetView,
+    view: TargetSnapshot,
     unit_times: UnitTimes,
     next_order: int,
     permitted: frozenset[str],
 ) -> None:
     """Confirm a load, request its permit, or send its order (again)."""
-    if view.report.holds(charge.unit):
-        result.row = result.row.with_charge(charge.serving())
-        result.permits_done.add(charge.unit)
+    if view.report.has_loaded(charge.unit):
+        result.row = result.row.with_charge(charge.as_serving())
+        result.finished_loads.add(charge.unit)
         return
     if charge.unit in view.report.loading:
         return
-    waited = view.now - unit_times.last_order
+    waited = view.now - unit_times.last_order_at
     lag = timedelta(seconds=view.spec.max_report_lag_seconds)
-    if unit_times.sent and waited < RESEND_AFTER + lag:
+    if unit_times.is_order_sent and waited < RESEND_INTERVAL + lag:
         return
-    if charge.base and not view.report.holds(charge.base):
+    if charge.base and not view.report.has_loaded(charge.base):
         return
     if charge.unit not in permitted:
-        result.permits_wanted.append(charge)
+        result.loads_awaiting_permit.append(charge)
         return
     ordered = replace(charge, order=next_order)
     result.row = result.row.with_charge(ordered)
@@ -145,53 +153,57 @@
 
 
 def _reconcile_unloading(
-    result: Reconciled,
+    result: Reconciliation,
     charge: Charge,
-    view: TargetView,
+    view: TargetSnapshot,
     unit_times: UnitTimes,
     next_order: int,
 ) -> None:
     """Order an unload, repeat the order, or remove the charge of an unloaded unit."""
     if charge.order == NOT_ORDERED:
-        if view.now - unit_times.since >= RETIRE_GRACE:
+        if view.now - unit_times.state_changed_at >= RETIRE_GRACE_PERIOD:
             _order_unload(result, charge, next_order)
         return
     if _is_unloaded(charge, view, unit_times):
         adapters = [c.unit for c in result.row.charges if c.base == charge.unit]
-        if not any(view.report.holds(unit) for unit in adapters):
-            result.row = result.row.without([charge.unit, *adapters])
-            result.permits_done |= {charge.unit, *adapters}
+        if not any(view.report.has_loaded(unit) for unit in adapters):
+            result.row = result.row.without_units([charge.unit, *adapters])
+            result.finished_loads |= {charge.unit, *adapters}
         return
-    is_present = view.report.holds(charge.unit) or charge.unit in view.report.loading
+    is_present = (
+        view.report.has_loaded(charge.unit) or charge.unit in view.report.loading
+    )
     unfenced = view.report.fence < charge.order
-    if (is_present or unfenced) and view.now - unit_times.last_order >= RESEND_AFTER:
+    if (
+        is_present or unfenced
+    ) and view.now - unit_times.last_order_at >= RESEND_INTERVAL:
         _order_unload(result, charge, next_order)
 
 
-def _order_unload(result: Reconciled, charge: Charge, next_order: int) -> None:
+def _order_unload(result: Reconciliation, charge: Charge, next_order: int) -> None:
     result.row = result.row.with_charge(replace(charge, order=next_order))
     result.orders.append(Order(OrderKind.UNLOAD, charge.unit, next_order))
 
 
-def _is_unloaded(charge: Charge, view: TargetView, unit_times: UnitTimes) -> bool:
+def _is_unloaded(charge: Charge, view: TargetSnapshot, unit_times: UnitTimes) -> bool:
     """Whether the unit is unloaded and no earlier order can load it again."""
-    if view.report.holds(charge.unit) or charge.unit in view.report.loading:
+    if view.report.has_loaded(charge.unit) or charge.unit in view.report.loading:
         return False
     if view.spec.fencing is Fencing.REFUSES:
         return view.report.fence >= charge.order
     max_delay = timedelta(
         seconds=view.spec.max_order_delay_seconds + view.spec.max_report_lag_seconds
     )
-    return view.report_started - unit_times.last_order >= max_delay
+    return view.report_requested_at - unit_times.last_order_at >= max_delay
 
 
-def _adopt_unknown(result: Reconciled, view: TargetView) -> None:
+def _adopt_unknown(result: Reconciliation, view: TargetSnapshot) -> None:
     """Add charges for loaded units that have none, so that they are unloaded."""
     for loaded in view.report.units:
-        if result.row.find(loaded.unit) is not None:
+        if result.row.find_charge(loaded.unit) is not None:
             continue
         unknown = Charge(loaded.unit, loaded.memory_mb, 0, ChargeState.UNLOADING)
         if result.row.free_mb < loaded.memory_mb:
-            result.unaccounted.append(loaded)
+            result.unaccounted_units.append(loaded)
             continue
         result.row = result.row.with_charge(unknown)
--- a/packages/runhatch-server/src/runhatch_server/placement/_service.py
+++ b/packages/runhatch-server/src/runhatch_server/placement/_service.py
@@ -14,27 +14,27 @@
     SharedPermits,
     Table,
     Unavailable,
-    rank,
+    rank_names,
 )
 from runhatch_server.configuration import Deployment, PoolSpec
 from runhatch_server.observability import Metrics, log_change
 from runhatch_server.placement._shard import (
     LedgerLostError,
     ShardPlanner,
-    hosting_of,
+    hosting_from_row,
 )
 from runhatch_server.placement._store import LedgerStore
 from runhatch_server.serving import Hosting
 
-REPORT_WORKERS = 8
-CANDIDATES = 3
+REPORT_THREADS = 8
+CANDIDATES_PER_LEASE = 3
 """Number of nodes that watch a pool's lease; suspected ones are replaced."""
-WORKERS_A_SECOND = 8
+TARGETS_PER_SECOND = 8
 """Targets per second that a planner reads and plans for.
 
 A large pool thus uses no larger share of a core than a small one.
 """
-WEIGHT_STORE = "weight-store"
+WEIGHT_STORE_PERMITS = "weight-store"
 
 
 class PlacementService:
@@ -61,7 +61,7 @@
         self._on_hosting = on_hosting
         self._on_lease = on_lease
         self._lease_ttl = lease_ttl
-        self._executor = ThreadPoolExecutor(REPORT_WORKERS, thread_name_prefix="report")
+        self._executor = ThreadPoolExecutor(REPORT_THREADS, thread_name_prefix="report")
         self._leases: dict[str, Lease] = {}
         self._planners: dict[str, ShardPlanner] = {}
         self._next_rounds: dict[str, timedelta] = {}
@@ -70,7 +70,7 @@
         self._epochs: dict[str, int] = {}
         self._lease_lock = threading.Lock()
         self._stopping = False
-        self.leaving: frozenset[str] = frozenset()
+        self.draining_vms: frozenset[str] = frozenset()
         """VMs that the platform lists as draining."""
 
     def watch_leases(self, deployment: Deployment) -> None:
@@ -80,43 +80,45 @@
                 return
             for pool in deployment.pools:
                 self._watch_lease(pool)
-            held = sum(lease.held() is not None for lease in self._leases.values())
-            self._metrics.shards.set(held)
+            held = sum(
+                lease.held_epoch() is not None for lease in self._leases.values()
+            )
+            self._metrics.planning_leases.set(held)
 
     def plan_pools(self, deployment: Deployment) -> None:
         """Run a planning round for each pool that is due and whose lease is held."""
         for pool in deployment.pools:
             self._plan_pool(deployment, pool)
 
-    def refresh(self, deployment: Deployment) -> None:
+    def refresh_hostings(self, deployment: Deployment) -> None:
         """Read the ledgers of pools planned by other nodes and pass their hostings on.
 
         This makes up for lost notifications between nodes.
         """
         for pool in deployment.pools:
             lease = self._leases.get(pool.name)
-            if lease is not None and lease.held() is not None:
+            if lease is not None and lease.held_epoch() is not None:
                 continue
-            rows = LedgerStore(self._table, pool.name, "").read_all()
+            rows = LedgerStore(self._table, pool.name, "").read_rows()
             if isinstance(rows, Unavailable):
                 return
             for row in rows:
-                self._on_hosting(hosting_of(row))
+                self._on_hosting(hosting_from_row(row))
 
-    def demand(self, counts: dict[str, int], deployment: Deployment) -> None:
+    def add_demand(self, counts: dict[str, int], deployment: Deployment) -> None:
         """Add request counts, by model or adapter, for the pools planned here."""
         pools = deployment.pool_by_callable
         for name, count in counts.items():
             planner = self._planners.get(pools.get(name, ""))
             if planner is not None:
-                planner.demand.add({name: count})
+                planner.demand_estimate.add_counts({name: count})
 
-    def leases(self) -> dict[str, LeaseRecord]:
+    def lease_records(self) -> dict[str, LeaseRecord]:
         """Return the newest known record of each pool's lease."""
         with self._records_lock:
             return dict(self._lease_records)
 
-    def learn_lease(self, pool: str, record: LeaseRecord) -> bool:
+    def record_lease(self, pool: str, record: LeaseRecord) -> bool:
         """Record the holder of a pool's lease; return whether its epoch is newer."""
         with self._records_lock:
             previous = self._lease_records.get(pool)
@@ -128,7 +130,7 @@
     def planner(self, pool: str) -> ShardPlanner | None:
         """Return the planner of ``pool`` if this node holds its lease."""
         lease = self._leases.get(pool)
-        held = lease is not None and lease.held() is not None
+        held = lease is not None and lease.held_epoch() is not None
         return self._planners.get(pool) if held else None
 
     def stop(self) -> None:
@@ -144,32 +146,32 @@
         lease = self._lease(pool)
         ranked = self._candidates(pool.name)
         own = self._membership.own.name
-        if own not in ranked and lease.held() is None:
+        if own not in ranked and lease.held_epoch() is None:
             return
         change = lease.step(eager=ranked[0] == own)
         if change is not LeaseChange.NONE:
             self._metrics.leases.labels(change.value).inc()
             log_change("lease", pool=pool.name, change=change.value)
-        if lease.record is not None and self.learn_lease(pool.name, lease.record):
+        if lease.record is not None and self.record_lease(pool.name, lease.record):
             self._on_lease(pool.name, lease.record)
 
     def _plan_pool(self, deployment: Deployment, pool: PoolSpec) -> None:
         """Run a planning round for ``pool`` if it is due and its lease is held."""
         lease = self._leases.get(pool.name)
-        epoch = None if lease is None else lease.held()
+        epoch = None if lease is None else lease.held_epoch()
         planner = self._planner(deployment, pool)
         if epoch is None or epoch.number != self._epochs.get(pool.name):
             # The planner's state is from an earlier epoch.
-            planner.forget()
+            planner.reset()
             self._epochs[pool.name] = 0 if epoch is None else epoch.number
         if epoch is None:
             return
         now = self._clock.elapsed()
         if now < self._next_rounds.get(pool.name, now):
             return
-        self._next_rounds[pool.name] = now + round_interval(len(pool.targets))
+        self._next_rounds[pool.name] = now + min_round_interval(len(pool.targets))
         try:
-            planner.step(deployment, pool, epoch, self.leaving)
+            planner.run_round(deployment, pool, epoch, self.draining_vms)
         except LedgerLostError as error:
             log_change("round_given_up", pool=pool.name, at=str(error))
 
@@ -195,7 +197,7 @@
             permits = SharedPermits(
                 self._table,
                 self._clock,
-                WEIGHT_STORE,
+                WEIGHT_STORE_PERMITS,
                 limits.loads_per_second,
                 limits.at_once,
             )
@@ -218,13 +220,14 @@
         lease, reads of the table would grow with nodes times pools.
         """
         names = [vm.name for vm in self._membership.alive()]
-        return rank(pool, names)[:CANDIDATES]
+        return rank_names(pool, names)[:CANDIDATES_PER_LEASE]
 
 
-def round_interval(workers: int) -> timedelta:
-    """Return the minimum time between two rounds for a pool of ``workers`` targets.
+def min_round_interval(target_count: int) -> timedelta:
+    """Return the minimum time between two rounds for a pool of ``target_count``
+    targets.
 
-    >>> round_interval(9).total_seconds(), round_interval(64).total_seconds()
+    >>> min_round_interval(9).total_seconds(), min_round_interval(64).total_seconds()
     (1.125, 8.0)
     """
-    return timedelta(seconds=workers / WORKERS_A_SECOND)
+    return timedelta(seconds=target_count / TARGETS_PER_SECOND)
