--- a/packages/runhatch-server/src/runhatch_server/placement/_shard.py
+++ b/packages/runhatch-server/src/runhatch_server/placement/_shard.py
@@ -20,8 +20,8 @@
 from runhatch_server.placement._ledger import Charge, ChargeState, LedgerRow
 from runhatch_server.placement._planner import plan
 from runhatch_server.placement._reconcile import (
-    Reconciled,
-    TargetView,
+    Reconciliation,
+    TargetSnapshot,
     UnitTimes,
     reconcile,
 )
@@ -30,17 +30,17 @@
 from runhatch_server.serving import Hosting
 from runhatch_server.targets import EngineClient, EngineReport, Order, OrderKind
 
-SILENT_AFTER = timedelta(seconds=10)
+SILENCE_TIMEOUT = timedelta(seconds=10)
 """Time without a readable report after which a target's replicas do not count."""
 
 OnHosting = Callable[[Hosting], None]
 
 
 @dataclass(frozen=True, slots=True)
-class Reading:
+class TimedReport:
     """One target's report and the time at which it was requested."""
 
-    started: timedelta
+    requested_at: timedelta
     report: EngineReport | Unavailable
 
 
@@ -59,7 +59,7 @@
         executor: Executor,
         metrics: Metrics,
         on_hosting: OnHosting,
-        engine: Callable[[str], EngineClient] = EngineClient,
+        client_factory: Callable[[str], EngineClient] = EngineClient,
     ) -> None:
         self._pool = pool
         self._store = store
@@ -68,7 +68,7 @@
         self._executor = executor
         self._metrics = metrics
         self._on_hosting = on_hosting
-        self._client_factory = engine
+        self._client_factory = client_factory
         self._clients: dict[str, EngineClient] = {}
         self._rows: dict[str, VersionedRow] | None = None
         self._times: dict[str, dict[str, UnitTimes]] = defaultdict(dict)
@@ -76,7 +76,7 @@
         self._urgency: dict[str, Urgency] = {}
         self._permitted: set[tuple[str, str]] = set()
         self._state: PoolState | None = None
-        self.demand = DemandEstimate()
+        self.demand_estimate = DemandEstimate()
 
     @property
     def state(self) -> PoolState | None:
@@ -87,19 +87,19 @@
         """Return the ledger rows as last written or read by this node, by target."""
         return {name: stored.row for name, stored in (self._rows or {}).items()}
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Discard the state of the current epoch; called when the lease is lost."""
         self._rows = None
         self._times.clear()
         self._last_reports.clear()
         self._permitted.clear()
 
-    def step(
+    def run_round(
         self,
         deployment: Deployment,
         pool: PoolSpec,
         epoch: Epoch,
-        leaving: frozenset[str],
+        draining_vms: frozenset[str],
     ) -> None:
         """Run one planning round under the lease ``epoch``.
 
@@ -114,16 +114,18 @@
         for target in pool.targets:
             result = self._reconcile(target, readings[target.name], epoch)
             if result is not None:
-                wanted += [(target.name, charge) for charge in result.permits_wanted]
+                wanted += [
+                    (target.name, charge) for charge in result.loads_awaiting_permit
+                ]
         self._acquire_permits(wanted)
-        self.demand.tick(self._clock.elapsed())
-        self._state = self._pool_state(deployment, pool, readings, leaving)
+        self.demand_estimate.update_rates(self._clock.elapsed())
+        self._state = self._pool_state(deployment, pool, readings, draining_vms)
         for action in plan(self._state):
             self._record_action(action, epoch)
 
     def _take_over(self, pool: PoolSpec) -> bool:
         """Read the ledger after a takeover; return false if it is unavailable."""
-        rows = self._store.read_all()
+        rows = self._store.read_rows()
         if isinstance(rows, Unavailable):
             return False
         self._rows = {stored.row.target: stored for stored in rows}
@@ -139,7 +141,7 @@
         loading = {
             self._permit_user(name, unit)
             for name, row in self.rows().items()
-            for unit in row.units(ChargeState.LOADING)
+            for unit in row.units_in_states(ChargeState.LOADING)
         }
         prefix = f"{pool.name}/"
         stale = {
@@ -163,14 +165,14 @@
                 resized = replace(stored.row, capacity_mb=target.memory_mb)
                 rows[target.name] = replace(stored, row=resized)
 
-    def _read_reports(self, pool: PoolSpec) -> dict[str, Reading]:
+    def _read_reports(self, pool: PoolSpec) -> dict[str, TimedReport]:
         names = [target.name for target in pool.targets]
         readings = self._executor.map(self._read_report, pool.targets)
         return dict(zip(names, readings, strict=True))
 
-    def _read_report(self, target: TargetSpec) -> Reading:
+    def _read_report(self, target: TargetSpec) -> TimedReport:
         started = self._clock.elapsed()
-        return Reading(started, self._client(target).report())
+        return TimedReport(started, self._client(target).fetch_report())
 
     def _client(self, target: TargetSpec) -> EngineClient:
         key = f"{target.name} {target.url}"
@@ -179,8 +181,8 @@
         return self._clients[key]
 
     def _reconcile(
-        self, target: TargetSpec, reading: Reading, epoch: Epoch
-    ) -> Reconciled | None:
+        self, target: TargetSpec, reading: TimedReport, epoch: Epoch
+    ) -> Reconciliation | None:
         """Update a target's row and send orders, as its report requires.
 
         Return ``None`` if the report is unavailable.
@@ -191,14 +193,18 @@
         if isinstance(reading.report, Unavailable):
             return None
         self._last_reports[target.name] = now
-        view = TargetView(target, reading.report, reading.started, now)
+        view = TargetSnapshot(target, reading.report, reading.requested_at, now)
         permitted = frozenset(
             unit for name, unit in self._permitted if name == target.name
         )
         result = reconcile(
-            stored.row, view, self._times[target.name], stored.next_order, permitted
+            stored.row,
+            view,
+            self._times[target.name],
+            stored.next_order_number,
+            permitted,
         )
-        for loaded in result.unaccounted:
+        for loaded in result.unaccounted_units:
             log_change("unaccounted", target=target.name, unit=loaded.unit)
         if result.row != stored.row:
             self._write(result.row, epoch)
@@ -206,9 +212,9 @@
         self._return_permits(target.name, result)
         return result
 
-    def _return_permits(self, target: str, result: Reconciled) -> None:
+    def _return_permits(self, target: str, result: Reconciliation) -> None:
         """Release the permits of loads that have ended."""
-        finished = {(target, unit) for unit in result.permits_done}
+        finished = {(target, unit) for unit in result.finished_loads}
         if not finished:
             return
         users = frozenset(self._permit_user(*pair) for pair in finished)
@@ -235,10 +241,10 @@
     def _send(self, target: TargetSpec, orders: list[Order]) -> None:
         for order in orders:
             unit_times = self._times[target.name][order.unit]
-            unit_times.sent = True
-            outcome = self._client(target).give(order)
+            unit_times.is_order_sent = True
+            outcome = self._client(target).send_order(order)
             # Read after sending, so that the order was not sent later than this.
-            unit_times.last_order = self._clock.elapsed()
+            unit_times.last_order_at = self._clock.elapsed()
             self._metrics.orders.labels(order.kind.value, outcome.value).inc()
             log_change(
                 "order",
@@ -254,13 +260,13 @@
         stored = self._loaded_rows()[action.target]
         if isinstance(action, LoadUnit):
             self._urgency[action.unit] = action.urgency
-            row = stored.row.with_charge(action.charge())
+            row = stored.row.with_charge(action.new_charge())
         else:
-            charge = stored.row.find(action.unit)
+            charge = stored.row.find_charge(action.unit)
             if charge is None:
                 return
             self._require_other_replica(action)
-            row = stored.row.with_charge(charge.unloading())
+            row = stored.row.with_charge(charge.as_unloading())
         self._write(row, epoch)
         kind = OrderKind.LOAD if isinstance(action, LoadUnit) else OrderKind.UNLOAD
         log_change(
@@ -275,14 +281,14 @@
         """Assert that another replica of a declared model serves."""
         state = self._state
         models = () if state is None else state.models
-        declared = {model.unit for model in models}
+        declared = {model.unit_name for model in models}
         if action.unit not in declared:
             return
         others = [
             name
             for name, row in self.rows().items()
             if name != action.target
-            and (charge := row.find(action.unit)) is not None
+            and (charge := row.find_charge(action.unit)) is not None
             and charge.state is ChargeState.SERVING
         ]
         require(bool(others), f"the last replica of {action.unit} is never retired")
@@ -294,7 +300,7 @@
         """
         rows = self._loaded_rows()
         before = rows[row.target]
-        written = self._store.write(row, before, epoch)
+        written = self._store.write_row(row, before, epoch)
         if not isinstance(written, VersionedRow):
             # The row may or may not be written, so the ledger is read again.
             log_change("ledger_write_failed", target=row.target, why=str(written))
@@ -308,7 +314,7 @@
         """Restart the times of changed charges and drop those of removed ones."""
         times = self._times[after.target]
         for charge in after.charges:
-            previous = before.find(charge.unit)
+            previous = before.find_charge(charge.unit)
             if previous is None or previous.state is not charge.state:
                 self._restart_times(after.target, charge.unit)
         for unit in set(times) - {charge.unit for charge in after.charges}:
@@ -319,7 +325,7 @@
         self._times[target][unit] = UnitTimes(now, now)
 
     def _publish_hosting(self, stored: VersionedRow) -> None:
-        self._on_hosting(hosting_of(stored))
+        self._on_hosting(hosting_from_row(stored))
 
     def _loaded_rows(self) -> dict[str, VersionedRow]:
         if self._rows is None:
@@ -330,14 +336,14 @@
         self,
         deployment: Deployment,
         pool: PoolSpec,
-        readings: Mapping[str, Reading],
+        readings: Mapping[str, TimedReport],
         leaving: frozenset[str],
     ) -> PoolState:
         now = self._clock.elapsed()
         silent = frozenset(
             name
             for name, reported in self._last_reports.items()
-            if now - reported >= SILENT_AFTER
+            if now - reported >= SILENCE_TIMEOUT
         )
         draining = {
             name
@@ -366,7 +372,7 @@
             silent,
             frozenset(unread),
             {
-                (name, unit): now - unit_times.since
+                (name, unit): now - unit_times.state_changed_at
                 for name, units in self._times.items()
                 for unit, unit_times in units.items()
             },
@@ -381,7 +387,7 @@
         work: dict[str, float] = {}
         for model in models:
             names = [model.name, *(a.name for a in deployment.adapters_of(model.name))]
-            rate = sum(self.demand.rate(name) for name in names)
+            rate = sum(self.demand_estimate.rate(name) for name in names)
             work[model.name] = rate * model.service_seconds
         return work
 
@@ -390,16 +396,16 @@
     """A write is unconfirmed or the ledger is not loaded; the round is aborted."""
 
 
-def hosting_of(held: VersionedRow) -> Hosting:
+def hosting_from_row(stored: VersionedRow) -> Hosting:
     """Return the units that the target of a ledger row serves, for routing.
 
     An adapter is included only while its base serves.
     """
-    serving = held.row.units(ChargeState.SERVING)
+    serving = stored.row.units_in_states(ChargeState.SERVING)
     units = tuple(
         charge.unit
-        for charge in held.row.charges
+        for charge in stored.row.charges
         if charge.state is ChargeState.SERVING
         and (not charge.base or charge.base in serving)
     )
-    return Hosting(held.row.target, held.version, units)
+    return Hosting(stored.row.target, stored.version, units)
--- a/packages/runhatch-server/src/runhatch_server/placement/_state.py
+++ b/packages/runhatch-server/src/runhatch_server/placement/_state.py
@@ -21,9 +21,9 @@
 class PoolState:
     """Snapshot of a pool.
 
-    ``closed`` are targets whose replicas do not count because the target is drained,
+    ``excluded`` are targets whose replicas do not count because the target is drained,
     draining or silent.  ``silent`` targets have sent no report for some time.
-    ``unread`` targets accept no loads now because their last report is missing.
+    ``unreported`` targets accept no loads now because their last report is missing.
     ``pins`` and ``bans`` are pairs of model and target.  ``work`` is the expected
     number of concurrent requests of each model, ``ages`` the time since the last
     state change of each replica, by target and unit.
@@ -35,16 +35,16 @@
     policy: PolicySpec
     rows: Mapping[str, LedgerRow]
     work: Mapping[str, float]
-    closed: frozenset[str] = frozenset()
+    excluded: frozenset[str] = frozenset()
     silent: frozenset[str] = frozenset()
-    unread: frozenset[str] = frozenset()
+    unreported: frozenset[str] = frozenset()
     ages: Mapping[tuple[str, str], timedelta] = field(default_factory=dict)
     pins: frozenset[tuple[str, str]] = frozenset()
     bans: frozenset[tuple[str, str]] = frozenset()
 
-    def takes_loads(self, name: str) -> bool:
+    def accepts_loads(self, name: str) -> bool:
         """Whether the target ``name`` may be sent a load order now."""
-        return name not in self.closed and name not in self.unread
+        return name not in self.excluded and name not in self.unreported
 
     def target(self, name: str) -> TargetSpec:
         """Return the declared target ``name``; raises ``KeyError`` if there is none."""
@@ -64,12 +64,12 @@
         placements = self._placements.get(unit, ())
         return [name for name, charge in placements if charge.state in states]
 
-    def older_units(self, model: ModelSpec) -> list[tuple[str, str]]:
+    def old_version_units(self, model: ModelSpec) -> list[tuple[str, str]]:
         """Return target and unit of all other versions of ``model`` not unloading."""
         return [
             (target, unit)
             for unit in self._units_by_name.get(model.name, ())
-            if unit != model.unit
+            if unit != model.unit_name
             for target, charge in self._placements[unit]
             if not charge.base and charge.state is not ChargeState.UNLOADING
         ]
--- a/packages/runhatch-server/src/runhatch_server/placement/_store.py
+++ b/packages/runhatch-server/src/runhatch_server/placement/_store.py
@@ -43,7 +43,7 @@
     era: int
 
     @property
-    def next_order(self) -> int:
+    def next_order_number(self) -> int:
         """Fencing number of the orders recorded by the next write."""
         return fence_of(self.era, number_of(StoreVersion(self.version)) + 1)
 
@@ -66,32 +66,32 @@
         """Return an empty row for a target that has none in the table."""
         return VersionedRow(LedgerRow(target, capacity_mb), ABSENT, self._era())
 
-    def read_all(self) -> tuple[VersionedRow, ...] | Unavailable:
+    def read_rows(self) -> tuple[VersionedRow, ...] | Unavailable:
         """Return all rows of the shard, ``Unavailable`` if they cannot be read."""
         rows: QueryOutcome = self._table.query(self._partition)
         if isinstance(rows, Unavailable):
             return rows
         return tuple(decode_row(row) for row in rows)
 
-    def write(
-        self, row: LedgerRow, before: VersionedRow, epoch: Epoch
+    def write_row(
+        self, row: LedgerRow, previous: VersionedRow, epoch: Epoch
     ) -> VersionedRow | Conflict | Unavailable | Unknown:
-        """Replace the row ``before`` by ``row`` if the lease ``epoch`` is still held.
+        """Replace the row ``previous`` by ``row`` if the lease ``epoch`` is still held.
 
         Raises ``InvariantError`` before writing if the charges do not fit.  Returns
         ``Unknown`` if the table was restored meanwhile: orders numbered in an earlier
         era must not be sent, even if the row was written.
         """
-        row.check()
+        row.check_charges()
         body = msgspec.json.encode(_Body(row, f"{self._writer}:{epoch.number}"))
-        put = Put(Key(self._partition, row.target), body, before.version)
+        put = Put(Key(self._partition, row.target), body, previous.version)
         outcome: TransactOutcome = commit(self._table, [put, epoch.guard])
         if not isinstance(outcome, Committed):
             return outcome
-        if self._era() != before.era:
+        if self._era() != previous.era:
             return Unknown("the table was restored from an older copy during the write")
-        count = number_of(StoreVersion(before.version)) + 1
-        return VersionedRow(row, store_version(before.era, count), before.era)
+        count = number_of(StoreVersion(previous.version)) + 1
+        return VersionedRow(row, store_version(previous.era, count), previous.era)
 
     def _era(self) -> int:
         """Return the table's era, known after the first read.
--- a/packages/runhatch-server/src/runhatch_server/placement/_value.py
+++ b/packages/runhatch-server/src/runhatch_server/placement/_value.py
@@ -6,13 +6,13 @@
 
 from runhatch_server.configuration import ModelSpec
 from runhatch_server.placement._actions import LoadUnit, Urgency
-from runhatch_server.placement._draft import PRESENT, Draft
+from runhatch_server.placement._draft import PRESENT_STATES, Draft
 
 MAX_ADDITIONS = 2
 """Replicas added per plan; the next plan takes their effect into account."""
-FULL = 0.95
+MAX_FILLED_SHARE = 0.95
 """Share of a target's concurrency up to which a new replica may load it."""
-LEAST_DIFFERENCE = 0.15
+MIN_UTILISATION_DIFFERENCE = 0.15
 """Minimum difference in utilisation for moving work to another target."""
 
 
@@ -24,7 +24,7 @@
     evicted: tuple[ModelSpec, ...]
 
 
-def add_for_value(draft: Draft) -> None:
+def add_valuable_replicas(draft: Draft) -> None:
     """Add the replicas with the highest value above their cost."""
     for _ in range(MAX_ADDITIONS):
         best = max(
@@ -35,7 +35,7 @@
         if best.evicted:
             for model in best.evicted:
                 reason = f"frees memory for {best.model.name}"
-                draft.retire(best.target, model.unit, reason)
+                draft.retire(best.target, model.unit_name, reason)
             return
         reason = f"adds {best.value:.0f} requests in time above its cost"
         draft.load_on(best.target, best.model, Urgency.VALUE, reason)
@@ -49,7 +49,10 @@
         if overload <= 0 or _is_loading(draft, model):
             continue
         for target in draft.targets_for(model):
-            if draft.balance.utilisation(target) > max_utilisation - LEAST_DIFFERENCE:
+            if (
+                draft.balance.utilisation(target)
+                > max_utilisation - MIN_UTILISATION_DIFFERENCE
+            ):
                 continue
             evicted = _evictions(draft, model, target)
             if evicted is None:
@@ -70,8 +73,8 @@
     spread = draft.balance
     hosts = [
         name
-        for name in draft.state.hosts(model.unit, *PRESENT)
-        if name in spread.loads and name not in draft.state.closed
+        for name in draft.state.hosts(model.unit_name, *PRESENT_STATES)
+        if name in spread.loads and name not in draft.state.excluded
     ]
     overload = sum(
         min(spread.share(model.name, host), spread.overload(host, high))
@@ -82,7 +85,7 @@
 
 def _is_loading(draft: Draft, model: ModelSpec) -> bool:
     return any(
-        isinstance(action, LoadUnit) and action.unit == model.unit
+        isinstance(action, LoadUnit) and action.unit == model.unit_name
         for action in draft.actions
     )
 
@@ -94,7 +97,7 @@
     lacking = draft.needed_mb(model) - draft.rows[target].free_mb
     if lacking <= 0:
         return ()
-    victims = draft.victims(target, lacking)
+    victims = draft.find_evictions(target, lacking)
     if not victims:
         # Either too little can be evicted, or units being unloaded free enough and
         # the next plan loads the model.
@@ -106,7 +109,7 @@
 
 def _is_past_min_residence(draft: Draft, target: str, model: ModelSpec) -> bool:
     """Whether the replica has been present for the minimum residence time."""
-    age = draft.state.ages.get((target, model.unit), timedelta())
+    age = draft.state.ages.get((target, model.unit_name), timedelta())
     return age.total_seconds() >= draft.state.policy.min_residence_seconds
 
 
@@ -119,7 +122,7 @@
     """
     spread = draft.balance
     freed = sum(spread.share(model.name, target) for model in evicted)
-    headroom = spread.headroom(target, FULL) + freed
+    headroom = spread.headroom(target, MAX_FILLED_SHARE) + freed
     lost = sum(_lost_work(draft, model, target) for model in evicted)
     return min(overload, headroom) - lost
 
@@ -129,8 +132,8 @@
     spread = draft.balance
     others = [
         host
-        for host in draft.state.hosts(model.unit, *PRESENT)
+        for host in draft.state.hosts(model.unit_name, *PRESENT_STATES)
         if host != target and host in spread.loads
     ]
-    headroom = sum(spread.headroom(host, FULL) for host in others)
+    headroom = sum(spread.headroom(host, MAX_FILLED_SHARE) for host in others)
     return max(0.0, spread.share(model.name, target) - headroom)
--- a/packages/runhatch-server/src/runhatch_server/refusals.py
+++ b/packages/runhatch-server/src/runhatch_server/refusals.py
@@ -49,14 +49,14 @@
     NO_TARGET = ("no_target", 503, "No target of the service takes work")
     NO_REPLICA = ("no_replica", 503, "No target serves this at the moment")
     TARGETS_BUSY = ("targets_busy", 503, "The targets refused the request unrun")
-    TARGETS_REST = ("targets_rest", 503, "The targets want no requests for a while")
+    TARGETS_BACK_OFF = ("targets_rest", 503, "The targets want no requests for a while")
     TARGETS_LIMITED = (
         "targets_limited",
         503,
         "The targets' rate limits are used up at the moment",
     )
     TARGETS_FAILED = ("targets_failed", 502, "The targets failed")
-    ENDS_TARGETS = ("ends_targets", 500, "Targets that ran the request have ended")
+    CRASHES_TARGETS = ("ends_targets", 500, "Targets that ran the request have ended")
     DEADLINE_PASSED = ("deadline_passed", 504, "The deadline passed during the run")
     STORE_UNAVAILABLE = ("store_unavailable", 503, "The store does not answer")
     FIRST_RUN_OPEN = ("first_run_open", 409, "An earlier run of this key is open")
@@ -74,14 +74,14 @@
 class Prediction:
     """Prediction for the best target when a request was refused; only for logs.
 
-    ``predicted_ms`` is the time to the first byte, ``busy`` the share of the
+    ``predicted_ms`` is the time to the first byte, ``busy_share`` the share of the
     target's time that recently sent prompts take, ``pause_ms`` the longest pause
     that the request would have caused in the target's streams.
     """
 
     target: str
     predicted_ms: float
-    busy: float
+    busy_share: float
     pause_ms: float = 0.0
 
 
@@ -93,7 +93,7 @@
     executed: Executed
     detail: str = ""
     retry_after: timedelta | None = None
-    judged_by: Prediction | None = None
+    prediction: Prediction | None = None
     target: str = ""
     """The target whose answer caused the refusal, if any; for logs."""
 
@@ -129,10 +129,10 @@
 def retry_after_header(refusal: Refusal) -> list[tuple[str, str]]:
     """Return the Retry-After header in whole seconds, rounded up, if any.
 
-    >>> busy = Refusal(
+    >>> refusal = Refusal(
     ...     Reason.QUEUE_FULL, Executed.NO, retry_after=timedelta(seconds=0.2)
     ... )
-    >>> retry_after_header(busy)
+    >>> retry_after_header(refusal)
     [('Retry-After', '1')]
     """
     if refusal.retry_after is None:
--- a/packages/runhatch-server/src/runhatch_server/residency/_control.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_control.py
@@ -189,9 +189,9 @@
         """Record the outcome of ``order``."""
         self.is_calling = False
         match outcome:
-            case OrderOutcome.ACCEPTED | OrderOutcome.ALREADY:
+            case OrderOutcome.ACCEPTED | OrderOutcome.ALREADY_DONE:
                 self.accepted_orders += 1
-                if outcome is OrderOutcome.ALREADY and not order.adapter:
+                if outcome is OrderOutcome.ALREADY_DONE and not order.adapter:
                     # The target may or may not have counted the order; a report shows
                     # which.
                     self._await_report(now)
@@ -199,7 +199,7 @@
                 self._apply_accepted(order, load_time, now)
             case OrderOutcome.NOT_SENT:
                 self._await_report(now)
-            case OrderOutcome.GONE:
+            case OrderOutcome.TARGET_REPLACED:
                 self._await_report(now + UNCERTAIN_POLL)
             case _:
                 self._await_report(now)
--- a/packages/runhatch-server/src/runhatch_server/residency/_lease_log.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_lease_log.py
@@ -9,7 +9,7 @@
 """Logged change of a holder that resigned by itself."""
 
 
-LOGGED_ONCE = (LeaseChange.STORE_DOWN, LeaseChange.BEHIND)
+LOGGED_ONCE = (LeaseChange.STORE_DOWN, LeaseChange.TABLE_BEHIND)
 """Changes that repeat in consecutive steps and are logged once."""
 
 
--- a/packages/runhatch-server/src/runhatch_server/residency/_orderer.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_orderer.py
@@ -148,11 +148,15 @@
 
     def holds_lease(self) -> Epoch | None:
         """Return the epoch if this node holds the lease and is not stopped."""
-        return None if self._stopped else self._lease.held()
+        return None if self._stopped else self._lease.held_epoch()
 
     def _may_send(self) -> Epoch | None:
         """Return the epoch if an order sent now arrives while the lease is held."""
-        return self.holds_lease() if self._lease.left() > MAX_ORDER_DELAY else None
+        return (
+            self.holds_lease()
+            if self._lease.remaining_validity() > MAX_ORDER_DELAY
+            else None
+        )
 
     @property
     def has_work(self) -> bool:
@@ -163,7 +167,7 @@
         """Renew, acquire or watch the lease, whichever is due."""
         if self._stopped:
             return LeaseChange.NONE
-        started_at, left = self._clock.elapsed(), self._lease.left()
+        started_at, left = self._clock.elapsed(), self._lease.remaining_validity()
         change = self._lease.step(eager)
         takeover = None
         if change is LeaseChange.ACQUIRED:
@@ -186,7 +190,7 @@
         Holdings of targets are published until another node holds the lease.
         """
         with self._lock:
-            term, left = self._term, self._lease.left()
+            term, left = self._term, self._lease.remaining_validity()
             if not term.epoch or term.is_resigned or left > RESIGN_MARGIN:
                 return None
             self._term = replace(term, is_resigned=True)
@@ -205,10 +209,10 @@
             if (
                 self._term.epoch
                 and takeover is not None
-                and takeover.predecessor == resignation.epoch
+                and takeover.previous_epoch == resignation.epoch
             ):
                 self._wait_for_last_holder(takeover)
-        self._lease.observe_resigned(resignation.epoch)
+        self._lease.observe_resignation(resignation.epoch)
 
     def stop(self) -> Resignation | None:
         """Stop sending orders; return the resignation if the lease is held.
@@ -298,19 +302,22 @@
 
     def _start_term(self) -> None:
         """Start a new term, in which orders wait for those of the last holder."""
-        epoch, takeover = self._lease.held(), self._lease.takeover
+        epoch, takeover = self._lease.held_epoch(), self._lease.takeover
         with self._lock:
-            if takeover is not None and takeover.vacancy is Vacancy.OWN:
+            if (
+                takeover is not None
+                and takeover.vacancy is Vacancy.OWN_PREVIOUS_PROCESS
+            ):
                 now = self._clock.elapsed()
                 self._times.start_after_restart(takeover.free_since, now)
-            elif takeover is not None and takeover.is_from_another:
+            elif takeover is not None and takeover.is_from_other_node:
                 self._wait_for_last_holder(takeover)
             number = 0 if epoch is None else epoch.number
             self._term = _Term(number, takeover)
 
     def _wait_for_last_holder(self, takeover: Takeover) -> None:
         last = self._last_resignation
-        if last is not None and last[0].epoch == takeover.predecessor:
+        if last is not None and last[0].epoch == takeover.previous_epoch:
             self._times.start_after_resignation(*last)
         elif takeover.free_since is not None:
             self._times.start_after_lapse(takeover.free_since)
--- a/packages/runhatch-server/src/runhatch_server/residency/_permits.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_permits.py
@@ -11,7 +11,7 @@
     """Counts loads from the weight store over a sliding window.
 
     >>> permits = LoadPermits(timedelta(seconds=5), timedelta())
-    >>> [permits.take(0.4, timedelta(seconds=6)) for _ in range(3)]
+    >>> [permits.try_acquire(0.4, timedelta(seconds=6)) for _ in range(3)]
     [True, True, False]
     """
 
--- a/packages/runhatch-server/src/runhatch_server/residency/_round_log.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_round_log.py
@@ -25,7 +25,7 @@
     ) -> None:
         """Record a round over ``targets`` targets, after which ``queue`` is queued."""
         took = ended_at - started_at
-        self._metrics.round_seconds.observe(took.total_seconds())
+        self._metrics.order_round_seconds.observe(took.total_seconds())
         self._rounds += 1
         if took < LONG_ROUND_DURATION or ended_at - self._logged_at < LOG_INTERVAL:
             return
--- a/packages/runhatch-server/src/runhatch_server/serving/__init__.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/__init__.py
@@ -2,13 +2,13 @@
 
 from runhatch_server.serving._app import CallerApp
 from runhatch_server.serving._attempts import Attempter
-from runhatch_server.serving._cache_intake import CacheIntake
+from runhatch_server.serving._cache_intake import CacheEventReader
 from runhatch_server.serving._cancel import Canceller
 from runhatch_server.serving._demand import DemandCounter
 from runhatch_server.serving._dispatch import Dispatcher, Grant
 from runhatch_server.serving._lives import TargetIncarnations
 from runhatch_server.serving._once import OnceGuard
-from runhatch_server.serving._picture import Host, Hosting, Picture
+from runhatch_server.serving._picture import Host, Hosting, PlacementCache
 from runhatch_server.serving._queue import Waiter
 from runhatch_server.serving._reading import RequestReader
 from runhatch_server.serving._request import CallerRequest, Route, RouteKind
@@ -18,7 +18,7 @@
 __all__ = [
     "AnswerStore",
     "Attempter",
-    "CacheIntake",
+    "CacheEventReader",
     "CallerApp",
     "CallerRequest",
     "Canceller",
@@ -28,7 +28,7 @@
     "Host",
     "Hosting",
     "OnceGuard",
-    "Picture",
+    "PlacementCache",
     "RequestReader",
     "Route",
     "RouteKind",
--- a/packages/runhatch-server/src/runhatch_server/serving/_app.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_app.py
@@ -6,14 +6,14 @@
 import msgspec
 
 from runhatch_coordination import Clock, InvariantError
-from runhatch_server._progress import Progress
+from runhatch_server._progress import RequestCounter
 from runhatch_server.http import (
     AbortedStreamError,
-    CountedEvents,
+    ClosingEvents,
     Environ,
     StartResponse,
-    caller_gone,
-    send_whole,
+    caller_disconnect_check,
+    send_response,
 )
 from runhatch_server.observability import Metrics
 from runhatch_server.refusals import Executed, Reason, Refusal
@@ -21,16 +21,16 @@
     CallerAnswer,
     StreamedAnswer,
     WholeAnswer,
-    refused,
+    build_refusal_answer,
 )
-from runhatch_server.serving._picture import Picture
+from runhatch_server.serving._picture import PlacementCache
 from runhatch_server.serving._reading import MODELS_PATH, RequestReader
 from runhatch_server.serving._request import RouteKind
 from runhatch_server.serving._service import ServingService
 
 JSON_HEADERS = (("Content-Type", "application/json"),)
 HEALTH_PATHS = ("/healthz", "/readyz")
-NO_REQUEST = "-"
+NO_REQUEST_ID = "-"
 NOT_READY_RETRY_AFTER = timedelta(seconds=1)
 
 
@@ -53,23 +53,23 @@
         self,
         reader: RequestReader,
         service: ServingService,
-        picture: Picture,
+        placement_cache: PlacementCache,
         metrics: Metrics,
-        progress: Progress,
+        progress: RequestCounter,
         clock: Clock,
         is_ready: Callable[[], bool],
         has_configuration: Callable[[], bool],
-        on_broken: Callable[[InvariantError], None],
+        on_invariant_error: Callable[[InvariantError], None],
     ) -> None:
         self._reader = reader
         self._service = service
-        self._picture = picture
+        self._picture = placement_cache
         self._metrics = metrics
         self._progress = progress
         self._clock = clock
         self._is_ready = is_ready
         self._has_configuration = has_configuration
-        self._on_broken = on_broken
+        self._on_broken = on_invariant_error
         self.draining = False
         """Whether connections are closed after their answers; set on shutdown."""
 
@@ -82,8 +82,8 @@
             return self._send(self._build_health_answer(str(path)), start_response)
         if path == MODELS_PATH:
             return self._send(self._build_models_answer(environ), start_response)
-        self._progress.begin()
-        self._metrics.in_progress.inc()
+        self._progress.record_begin()
+        self._metrics.requests_in_progress.inc()
         stream_started = False
         try:
             answer = self._build_answer(environ)
@@ -91,7 +91,7 @@
                 start_response(_build_status_line(answer), list(answer.headers))
                 stream_started = True
                 events = _GeneratedEvents(answer.events)
-                return CountedEvents(events, self._end_request)
+                return ClosingEvents(events, self._end_request)
             return self._send(answer, start_response)
         except InvariantError as error:
             self._on_broken(error)
@@ -104,14 +104,14 @@
         started = self._clock.elapsed()
         if not self._has_configuration():
             return self._refuse_not_ready()
-        request = self._reader.read(environ)
+        request = self._reader.read_request(environ)
         if isinstance(request, Refusal):
             self._metrics.refusals.labels(request.reason.code).inc()
-            return refused(request, NO_REQUEST)
-        answer = self._service.serve(request, caller_gone(environ))
+            return build_refusal_answer(request, NO_REQUEST_ID)
+        answer = self._service.serve_request(request, caller_disconnect_check(environ))
         duration = self._clock.elapsed() - started
         kind = request.route.kind.value
-        self._metrics.first_byte.labels(kind).observe(duration.total_seconds())
+        self._metrics.first_byte_seconds.labels(kind).observe(duration.total_seconds())
         return answer
 
     def _refuse_not_ready(self) -> CallerAnswer:
@@ -120,16 +120,16 @@
             Reason.NOT_READY, Executed.UNKNOWN, retry_after=NOT_READY_RETRY_AFTER
         )
         self._metrics.refusals.labels(refusal.reason.code).inc()
-        return refused(refusal, NO_REQUEST)
+        return build_refusal_answer(refusal, NO_REQUEST_ID)
 
     def _end_request(self) -> None:
-        self._progress.end()
-        self._metrics.in_progress.dec()
+        self._progress.record_end()
+        self._metrics.requests_in_progress.dec()
 
     def _send(
         self, answer: WholeAnswer, start_response: StartResponse
     ) -> Iterable[bytes]:
-        return send_whole(
+        return send_response(
             _build_status_line(answer),
             answer.headers,
             answer.body,
@@ -145,7 +145,7 @@
     def _build_models_answer(self, environ: Environ) -> WholeAnswer:
         if environ.get("REQUEST_METHOD") != "GET":
             bad_method = Refusal(Reason.BAD_METHOD, Executed.NO, "allowed: GET")
-            return refused(bad_method, NO_REQUEST)
+            return build_refusal_answer(bad_method, NO_REQUEST_ID)
         names = [
             route.name
             for route in self._picture.routes()
--- a/packages/runhatch-server/src/runhatch_server/serving/_attempts.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_attempts.py
@@ -16,7 +16,7 @@
 from runhatch_server.refusals import Executed, Reason, Refusal
 from runhatch_server.serving._dispatch import Dispatcher, Grant
 from runhatch_server.serving._lives import TargetIncarnations
-from runhatch_server.serving._picture import Picture
+from runhatch_server.serving._picture import PlacementCache
 from runhatch_server.serving._request import CallerRequest
 from runhatch_server.serving._target_requests import build_target_request
 from runhatch_server.targets import (
@@ -29,8 +29,8 @@
 )
 
 MAX_ATTEMPTS = 4
-FIRST_BACKOFF = timedelta(milliseconds=20)
-FREE_RETRIES = frozenset({AttemptReason.MODEL_NOT_THERE})
+INITIAL_BACKOFF = timedelta(milliseconds=20)
+FREE_RETRY_REASONS = frozenset({AttemptReason.MODEL_MISSING})
 """Failures caused by a stale picture; retrying them costs the targets nothing."""
 
 
@@ -42,24 +42,24 @@
     fingerprint: str
     trace: RequestTrace
     log: RequestLog
-    caller_gone: Callable[[], bool]
-    maybe_ran: bool = False
+    is_caller_gone: Callable[[], bool]
+    may_have_run: bool = False
     attempts: int = 0
     failed_targets: frozenset[str] = frozenset()
     failed_domains: frozenset[str] = frozenset()
     continuation: dict[str, object] | None = None
-    last_url: str = ""
-    life: str = ""
+    last_target_url: str = ""
+    target_incarnation: str = ""
     """Incarnation of the target of the latest attempt."""
 
 
 @dataclass(frozen=True, slots=True)
-class Opened:
+class OpenedAnswer:
     """An answer whose headers have arrived, and the slot it occupies."""
 
     grant: Grant
     answer: OpenAnswer
-    first_byte: timedelta
+    time_to_first_byte: timedelta
 
 
 class Attempter:
@@ -69,106 +69,112 @@
         self,
         dispatcher: Dispatcher,
         client: TargetClient,
-        picture: Picture,
-        budget: RetryBudget,
+        placement_cache: PlacementCache,
+        retry_budget: RetryBudget,
         metrics: Metrics,
         clock: Clock,
         on_draining: Callable[[str], None],
         crashes: CrashDetector,
-        lives: TargetIncarnations,
+        target_incarnations: TargetIncarnations,
         seed: int | None = None,
     ) -> None:
         self._on_draining = on_draining
         self._crashes = crashes
-        self._lives = lives
+        self._lives = target_incarnations
         self._dispatcher = dispatcher
         self._client = client
-        self._picture = picture
-        self._budget = budget
+        self._picture = placement_cache
+        self._budget = retry_budget
         self._metrics = metrics
         self._clock = clock
         self._random = random.Random(seed)
 
-    def open(self, context: RequestContext) -> Opened | Refusal:
+    def open_answer(self, context: RequestContext) -> OpenedAnswer | Refusal:
         """Return an answer that has started, or a refusal once no retry is allowed."""
         while True:
             crash_refusal = self._crashes.check_request(context.fingerprint)
             if crash_refusal is not None:
                 return (
-                    crash_refusal.as_unknown() if context.maybe_ran else crash_refusal
+                    crash_refusal.as_unknown()
+                    if context.may_have_run
+                    else crash_refusal
                 )
             grant = self._dispatcher.acquire(
                 context.request, context.failed_targets, context.failed_domains
             )
             if isinstance(grant, Refusal):
-                return grant.as_unknown() if context.maybe_ran else grant
+                return grant.as_unknown() if context.may_have_run else grant
             opened = self._attempt(context, grant)
-            if isinstance(opened, Opened):
+            if isinstance(opened, OpenedAnswer):
                 return opened
-            refusal = self.judge(context, grant, opened)
+            refusal = self.handle_failure(context, grant, opened)
             if refusal is not None:
                 return refusal
 
-    def completed(self, opened: Opened, context: RequestContext) -> None:
+    def record_completed(self, opened: OpenedAnswer, context: RequestContext) -> None:
         """Return the slot after the whole answer has arrived."""
-        self._budget.deposit()
+        self._budget.record_success()
         self._record_attempt(context, opened.grant, "answered")
-        self._dispatcher.completed(opened.grant, opened.first_byte, opened.answer.load)
+        self._dispatcher.release_completed(
+            opened.grant, opened.time_to_first_byte, opened.answer.load
+        )
         self._crashes.record_answer(
-            context.fingerprint, context.life, opened.grant.granted_at
+            context.fingerprint, context.target_incarnation, opened.grant.granted_at
         )
         opened.answer.close()
 
-    def judge(
+    def handle_failure(
         self,
         context: RequestContext,
         grant: Grant,
         outcome: NotSent | RefusedNotRun | UnknownResult,
     ) -> Refusal | None:
         """Return the slot; return a refusal unless the request is to be retried."""
-        self._dispatcher.failed(grant, outcome)
+        self._dispatcher.release_failed(grant, outcome)
         self._record_attempt(context, grant, outcome.reason.value)
-        if outcome.reason is AttemptReason.MODEL_NOT_THERE:
-            self._picture.correct(grant.host.target, grant.host.unit)
+        if outcome.reason is AttemptReason.MODEL_MISSING:
+            self._picture.mark_unit_missing(grant.host.target, grant.host.unit)
         if outcome.reason is AttemptReason.TARGET_DRAINING:
             self._on_draining(grant.host.target)
         if isinstance(outcome, UnknownResult):
-            context.maybe_ran = True
+            context.may_have_run = True
             self._record_possible_crash(context, outcome.reason)
         context.failed_targets |= {grant.host.target}
         context.failed_domains |= {grant.host.failure_domain}
         return self._refuse_or_back_off(context, outcome)
 
-    def abandoned(
+    def record_abandoned(
         self, context: RequestContext, grant: Grant, outcome: UnknownResult
     ) -> None:
         """Return the slot without a retry."""
-        context.maybe_ran = True
+        context.may_have_run = True
         self._record_possible_crash(context, outcome.reason)
-        self._dispatcher.failed(grant, outcome)
+        self._dispatcher.release_failed(grant, outcome)
         self._record_attempt(context, grant, outcome.reason.value)
 
     def _attempt(
         self, context: RequestContext, grant: Grant
-    ) -> Opened | NotSent | RefusedNotRun | UnknownResult:
+    ) -> OpenedAnswer | NotSent | RefusedNotRun | UnknownResult:
         context.attempts += 1
-        context.last_url = grant.host.url
-        context.life = self._lives.current_id(grant.host.target, grant.host.url)
+        context.last_target_url = grant.host.url
+        context.target_incarnation = self._lives.current_id(
+            grant.host.target, grant.host.url
+        )
         target_request = build_target_request(
             context.request, grant.host, context.attempts, context.continuation
         )
-        outcome = self._client.send(target_request, context.caller_gone)
+        outcome = self._client.send(target_request, context.is_caller_gone)
         if isinstance(outcome, OpenAnswer):
             first_byte = self._clock.elapsed() - grant.granted_at
-            return Opened(grant, outcome, first_byte)
+            return OpenedAnswer(grant, outcome, first_byte)
         return outcome
 
     def _record_possible_crash(
         self, context: RequestContext, reason: AttemptReason
     ) -> None:
         """Report a broken connection, which may mean that the target crashed."""
-        if reason is AttemptReason.BROKEN:
-            self._crashes.record_abort(context.fingerprint, context.life)
+        if reason is AttemptReason.CONNECTION_BROKEN:
+            self._crashes.record_abort(context.fingerprint, context.target_incarnation)
 
     def _refuse_or_back_off(
         self,
@@ -181,25 +187,30 @@
         backoff = self._choose_backoff(context.attempts)
         if remaining_time <= backoff:
             return self._build_refusal(context, Reason.DEADLINE_PASSED)
-        repeatable = not context.maybe_ran or context.request.idempotent
+        repeatable = not context.may_have_run or context.request.idempotent
         if not repeatable or context.attempts >= MAX_ATTEMPTS:
             return self._build_refusal(context, _choose_final_reason(outcome))
-        if outcome.reason not in FREE_RETRIES and not self._budget.withdraw():
+        if (
+            outcome.reason not in FREE_RETRY_REASONS
+            and not self._budget.try_acquire_retry()
+        ):
             return self._build_refusal(context, _choose_final_reason(outcome))
         self._metrics.retries.labels(outcome.reason.value).inc()
-        if outcome.reason not in FREE_RETRIES:
+        if outcome.reason not in FREE_RETRY_REASONS:
             self._clock.sleep(backoff)
         return None
 
     def _choose_backoff(self, attempts: int) -> timedelta:
-        max_backoff = FIRST_BACKOFF * (1 << (attempts - 1))
+        max_backoff = INITIAL_BACKOFF * (1 << (attempts - 1))
         return max_backoff * self._random.uniform(0.5, 1)
 
     def _build_refusal(self, context: RequestContext, reason: Reason) -> Refusal:
-        executed = Executed.UNKNOWN if context.maybe_ran else Executed.NO
+        executed = Executed.UNKNOWN if context.may_have_run else Executed.NO
         retry_helps = executed is Executed.NO or context.request.idempotent
         retry_delay = (
-            self._dispatcher.retry_after(context.request.route) if retry_helps else None
+            self._dispatcher.estimate_retry_after(context.request.route)
+            if retry_helps
+            else None
         )
         return Refusal(reason, executed, retry_after=retry_delay)
 
@@ -208,13 +219,13 @@
     ) -> None:
         target = grant.host.target
         self._metrics.attempts.labels(outcome).inc()
-        context.log.attempt(target, outcome)
+        context.log.log_attempt(target, outcome)
         explanation = grant.choice.explain()
         context.trace.attempts.append(AttemptTrace(target, explanation, outcome))
 
 
 def _choose_final_reason(outcome: NotSent | RefusedNotRun | UnknownResult) -> Reason:
-    if outcome.reason is AttemptReason.MODEL_NOT_THERE:
+    if outcome.reason is AttemptReason.MODEL_MISSING:
         return Reason.NO_REPLICA
     if isinstance(outcome, RefusedNotRun):
         return Reason.TARGETS_BUSY
--- a/packages/runhatch-server/src/runhatch_server/serving/_cache_intake.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_cache_intake.py
@@ -11,35 +11,35 @@
 from runhatch_coordination import Unavailable
 from runhatch_server.observability import Metrics
 from runhatch_server.serving._dispatch import Dispatcher
-from runhatch_server.serving._picture import Picture
+from runhatch_server.serving._picture import PlacementCache
 from runhatch_server.targets import CacheEvents, EngineClient
 
-EVENTS_A_READ = 250
+MAX_EVENTS_PER_READ = 250
 """Maximum number of events per read, about 15 KB."""
-FAR_BEHIND = 4 * EVENTS_A_READ
+MAX_EVENT_LAG = 4 * MAX_EVENTS_PER_READ
 """Number of unread events above which the oldest are skipped, as if lost."""
 
 
-class CacheIntake:
+class CacheEventReader:
     """Reads cache events of the engines that this node sends prompts to.
 
-    Not thread-safe.  A round reads at most ``targets_a_round`` engines, in rotation,
+    Not thread-safe.  A round reads at most ``targets_per_round`` engines, in rotation,
     so that its cost does not depend on the number of engines.
     """
 
     def __init__(
         self,
         dispatcher: Dispatcher,
-        picture: Picture,
+        placement_cache: PlacementCache,
         metrics: Metrics,
-        targets_a_round: int,
-        engine: Callable[[str], EngineClient] = EngineClient,
+        targets_per_round: int,
+        client_factory: Callable[[str], EngineClient] = EngineClient,
     ) -> None:
         self._dispatcher = dispatcher
-        self._picture = picture
+        self._picture = placement_cache
         self._metrics = metrics
-        self._targets_a_round = targets_a_round
-        self._engine = engine
+        self._targets_a_round = targets_per_round
+        self._engine = client_factory
         self._engines: dict[str, EngineClient] = {}
         self._cursors: dict[str, int] = {}
         self._last_target = ""
@@ -65,29 +65,29 @@
         cursor = self._cursors.get(name)
         if cursor is None:
             # Earlier blocks are already in the index, from this node's answers.
-            response = engine.cache_events(after=-1, limit=0)
+            response = engine.fetch_cache_events(after=-1, limit=0)
             if isinstance(response, CacheEvents):
                 self._cursors[name] = response.last
             return
-        response = engine.cache_events(after=cursor, limit=EVENTS_A_READ)
+        response = engine.fetch_cache_events(after=cursor, limit=MAX_EVENTS_PER_READ)
         if isinstance(response, Unavailable):
             self._metrics.cache_events.labels("unread").inc()
             return
         if response.last < cursor:
             self._cursors[name] = response.last
-            self._dispatcher.cache_lost(name)
+            self._dispatcher.remove_cached_prefixes(name)
             return
         next_cursor = _next_cursor(response)
         missing_count = next_cursor - cursor - len(response.events)
         self._cursors[name] = next_cursor
-        self._dispatcher.cache_news(name, response.events)
+        self._dispatcher.apply_cache_events(name, response.events)
         self._metrics.cache_events.labels("taken").inc(len(response.events))
         self._metrics.cache_events.labels("missing").inc(missing_count)
 
 
 def _next_cursor(response: CacheEvents) -> int:
     """Return the sequence number after which the next read starts."""
-    is_full = len(response.events) == EVENTS_A_READ
+    is_full = len(response.events) == MAX_EVENTS_PER_READ
     next_cursor = response.events[-1].sequence if is_full else response.last
     lag = response.last - next_cursor
-    return response.last - EVENTS_A_READ if lag > FAR_BEHIND else next_cursor
+    return response.last - MAX_EVENTS_PER_READ if lag > MAX_EVENT_LAG else next_cursor
--- a/packages/runhatch-server/src/runhatch_server/serving/_caller_answers.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_caller_answers.py
@@ -14,7 +14,13 @@
 
 REQUEST_ID_HEADER = "X-Request-Id"
 EVENT_STREAM = "text/event-stream"
-PASSED_HEADERS = ("content-type", "location", "etag", "cache-control", "last-modified")
+FORWARDED_HEADERS = (
+    "content-type",
+    "location",
+    "etag",
+    "cache-control",
+    "last-modified",
+)
 """Headers of a target's answer that are forwarded to the caller."""
 
 Headers = tuple[tuple[str, str], ...]
@@ -41,7 +47,7 @@
 CallerAnswer = WholeAnswer | StreamedAnswer
 
 
-def refused(refusal: Refusal, request_id: str) -> WholeAnswer:
+def build_refusal_answer(refusal: Refusal, request_id: str) -> WholeAnswer:
     """Return the problem document of ``refusal`` as an answer."""
     headers = (
         ("Content-Type", PROBLEM_TYPE),
@@ -52,16 +58,16 @@
     return WholeAnswer(refusal.reason.status, headers, body)
 
 
-def passed_headers(answer: Answer | OpenAnswer) -> Headers:
+def select_forwarded_headers(answer: Answer | OpenAnswer) -> Headers:
     """Return the headers of a target's answer that are forwarded to the caller."""
     return tuple(
         (name.title(), answer.headers[name])
-        for name in PASSED_HEADERS
+        for name in FORWARDED_HEADERS
         if name in answer.headers
     )
 
 
-def whole(answer: StoredAnswer, request_id: str) -> WholeAnswer:
+def build_whole_answer(answer: StoredAnswer, request_id: str) -> WholeAnswer:
     """Return ``answer`` as sent to the caller of ``request_id``."""
     headers = (*answer.headers, (REQUEST_ID_HEADER, request_id))
     return WholeAnswer(answer.status, headers, answer.body)
--- a/packages/runhatch-server/src/runhatch_server/serving/_cancel.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_cancel.py
@@ -4,14 +4,14 @@
 
 from runhatch_server.targets import EngineClient
 
-WORKERS = 4
+CANCEL_THREADS = 4
 
 
 class Canceller:
     """Sends cancellations from a thread pool, so that no request waits for one."""
 
     def __init__(self) -> None:
-        self._pool = ThreadPoolExecutor(WORKERS, thread_name_prefix="cancel")
+        self._pool = ThreadPoolExecutor(CANCEL_THREADS, thread_name_prefix="cancel")
 
     def cancel(self, url: str, sent_id: str) -> None:
         """Cancel the request with the id ``sent_id`` at the engine at ``url``."""
@@ -23,4 +23,4 @@
 
 
 def _cancel(url: str, sent_id: str) -> None:
-    EngineClient(url).cancel(sent_id)
+    EngineClient(url).cancel_request(sent_id)
--- a/packages/runhatch-server/src/runhatch_server/serving/_continuation.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_continuation.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from runhatch_server.targets import event_data
+from runhatch_server.targets import parse_event_data
 
-DONE = b"[DONE]"
+DONE_DATA = b"[DONE]"
 PLAIN_DELTA = frozenset({"role", "content"})
 UNCONTINUABLE_FIELDS = ("tools", "response_format", "logprobs", "echo", "suffix")
 
@@ -30,7 +30,7 @@
     choices: list[_ChunkChoice] = []
 
 
-def continue_document(
+def build_continuation(
     document: Mapping[str, object], events: Iterable[bytes]
 ) -> dict[str, object] | None:
     """Return the request for the remaining text, ``None`` if that is impossible.
@@ -67,8 +67,8 @@
 def _extract_text(events: Iterable[bytes]) -> list[str] | None:
     pieces = []
     for event in events:
-        data = event_data(event)
-        if not data or data == DONE:
+        data = parse_event_data(event)
+        if not data or data == DONE_DATA:
             continue
         try:
             chunk = msgspec.json.decode(data, type=_Chunk)
--- a/packages/runhatch-server/src/runhatch_server/serving/_demand.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_demand.py
@@ -7,19 +7,19 @@
 
 
 class DemandCounter:
-    """Counts requests by model since the last call of ``take``; thread-safe."""
+    """Counts requests by model since the last call of ``take_counts``; thread-safe."""
 
     def __init__(self) -> None:
         self._counts: Counter[str] = Counter()
         self._lock = threading.Lock()
 
-    def note(self, route: Route) -> None:
+    def count_request(self, route: Route) -> None:
         """Count one request if ``route`` is a model."""
         if route.kind is RouteKind.MODEL:
             with self._lock:
                 self._counts[route.name] += 1
 
-    def take(self) -> dict[str, int]:
+    def take_counts(self) -> dict[str, int]:
         """Return the counts and reset them."""
         with self._lock:
             counts = dict(self._counts)
--- a/packages/runhatch-server/src/runhatch_server/serving/_dispatch.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_dispatch.py
@@ -11,11 +11,11 @@
 from runhatch_coordination import Clock
 from runhatch_server.decisions._prefixes import PrefixIndex
 from runhatch_server.refusals import Executed, Reason, Refusal
-from runhatch_server.serving._picture import Host, Picture
+from runhatch_server.serving._picture import Host, PlacementCache
 from runhatch_server.serving._queue import Waiter, WaitingRequests
-from runhatch_server.serving._rates import DrainRate, ServiceTime
+from runhatch_server.serving._rates import CompletionRate, MeanServiceTime
 from runhatch_server.serving._request import CallerRequest, Route
-from runhatch_server.serving._router import Choice, Router
+from runhatch_server.serving._router import Router, TargetChoice
 from runhatch_server.serving._target_state import TargetState
 from runhatch_server.targets import (
     AttemptReason,
@@ -26,18 +26,18 @@
     UnknownResult,
 )
 
-SHORTEST_RETRY_AFTER = timedelta(seconds=1)
-LONGEST_RETRY_AFTER = timedelta(seconds=30)
+MIN_RETRY_AFTER = timedelta(seconds=1)
+MAX_RETRY_AFTER = timedelta(seconds=30)
 RETRY_AFTER_JITTER = 0.25
-NO_REPLICA_WAIT = timedelta(seconds=5)
+MAX_NO_REPLICA_WAIT = timedelta(seconds=5)
 """How long a request waits for a model without a known replica."""
-LOOK_AGAIN = timedelta(milliseconds=250)
+QUEUE_POLL_INTERVAL = timedelta(milliseconds=250)
 """How often a waiting request tries to get a slot.  Returned slots wake it, but the
 end of a target's backoff returns none."""
-TARGET_FAULTS = frozenset(
+TARGET_FAULT_REASONS = frozenset(
     {
         AttemptReason.CONNECT_FAILED,
-        AttemptReason.BROKEN,
+        AttemptReason.CONNECTION_BROKEN,
         AttemptReason.WRONG_ANSWER,
         AttemptReason.SERVER_ERROR,
         AttemptReason.STALLED,
@@ -48,12 +48,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """One slot at one target; must be returned by ``completed`` or ``failed``."""
+    """One slot at a target, returned by ``release_completed`` or ``release_failed``."""
 
-    choice: Choice
+    choice: TargetChoice
     route: Route
     granted_at: timedelta
-    usual: timedelta
+    usual_duration: timedelta
     """Mean duration of the route's requests at that time, zero if unknown."""
     prefix: tuple[str, ...] = ()
 
@@ -65,8 +65,8 @@
 
 @dataclass(slots=True)
 class _RouteState:
-    drain_rate: DrainRate = field(default_factory=DrainRate)
-    service_times: ServiceTime = field(default_factory=ServiceTime)
+    drain_rate: CompletionRate = field(default_factory=CompletionRate)
+    service_times: MeanServiceTime = field(default_factory=MeanServiceTime)
 
 
 class Dispatcher:
@@ -74,19 +74,21 @@
 
     def __init__(
         self,
-        picture: Picture,
+        placement_cache: PlacementCache,
         clock: Clock,
         failure_domain: str,
         queue_limit: int,
         caller_share: float,
         seed: int | None = None,
-        affinity: bool = True,
+        use_affinity: bool = True,
     ) -> None:
-        self._picture = picture
+        self._picture = placement_cache
         self._clock = clock
         self._random = random.Random(seed)
         self._prefixes = PrefixIndex()
-        self._router = Router(failure_domain, self._prefixes, self._random, affinity)
+        self._router = Router(
+            failure_domain, self._prefixes, self._random, use_affinity
+        )
         self._lock = threading.Lock()
         self._states: dict[str, TargetState] = {}
         self._routes: dict[Route, _RouteState] = defaultdict(_RouteState)
@@ -97,11 +99,11 @@
         self._sequence = itertools.count()
 
     @property
-    def queued(self) -> int:
+    def queued_count(self) -> int:
         """Number of waiting requests."""
         return len(self._waiting)
 
-    def drain(self, targets: frozenset[str]) -> None:
+    def set_draining(self, targets: frozenset[str]) -> None:
         """Grant no slots at ``targets``, which replace the previously drained ones."""
         with self._lock:
             self._draining = targets
@@ -117,7 +119,7 @@
 
         Refusals have ``Executed.NO``, which applies to this attempt only.
         """
-        admission = self.enter(request, avoided_targets, avoided_domains)
+        admission = self.try_acquire(request, avoided_targets, avoided_domains)
         if not isinstance(admission, Waiter):
             return admission
         wait_until = self._clock.elapsed() + admission.patience
@@ -125,11 +127,13 @@
             remaining = wait_until - self._clock.elapsed()
             if remaining <= timedelta():
                 break
-            if not admission.settled.wait(min(remaining, LOOK_AGAIN).total_seconds()):
-                self.picture_changed()
-        return self.leave(admission)
+            if not admission.settled.wait(
+                min(remaining, QUEUE_POLL_INTERVAL).total_seconds()
+            ):
+                self.grant_free_slots()
+        return self.finish_waiting(admission)
 
-    def enter(
+    def try_acquire(
         self,
         request: CallerRequest,
         avoided_targets: frozenset[str] = frozenset(),
@@ -137,7 +141,7 @@
     ) -> Grant | Refusal | Waiter[Grant]:
         """Return a slot, a refusal or a queued waiter without waiting.
 
-        Call ``leave`` once the waiter is settled or its patience has passed.
+        Call ``finish_waiting`` once the waiter is settled or its patience has passed.
         """
         waiter: Waiter[Grant] = Waiter(
             request.route,
@@ -145,15 +149,17 @@
             request.priority,
             request.deadline,
             next(self._sequence),
-            request.prefix,
+            request.prefix_blocks,
             avoided_targets,
             avoided_domains,
         )
         with self._lock:
             backoff = self._shortest_backoff(waiter)
             if backoff is not None:
-                return Refusal(Reason.TARGETS_REST, Executed.NO, retry_after=backoff)
-            if not self._waiting.ahead(waiter):
+                return Refusal(
+                    Reason.TARGETS_BACK_OFF, Executed.NO, retry_after=backoff
+                )
+            if not self._waiting.count_ahead(waiter):
                 grant = self._try_grant(waiter)
                 if grant is not None:
                     return grant
@@ -164,7 +170,7 @@
             waiter.patience = self._max_wait(waiter)
             return waiter
 
-    def leave(self, waiter: Waiter[Grant]) -> Grant | Refusal:
+    def finish_waiting(self, waiter: Waiter[Grant]) -> Grant | Refusal:
         """Return the waiter's grant, or remove it from the queue and refuse it."""
         with self._lock:
             if waiter.grant is not None:
@@ -174,7 +180,7 @@
             reason = self._refusal_reason(waiter)
             return Refusal(reason, Executed.NO, retry_after=retry_after)
 
-    def completed(
+    def release_completed(
         self,
         grant: Grant,
         first_byte: timedelta,
@@ -185,16 +191,16 @@
             now = self._clock.elapsed()
             state = self._state_of(grant.host)
             duration = now - grant.granted_at
-            state.limit.answered(first_byte, state.outstanding, now)
-            state.reported(load, now)
+            state.limit.record_answer(first_byte, state.outstanding, now)
+            state.record_load(load, now)
             route = self._routes[grant.route]
-            state.succeeded(duration, route.service_times.mean, now)
-            route.drain_rate.note(now)
-            route.service_times.note(duration)
+            state.record_success(duration, route.service_times.mean, now)
+            route.drain_rate.record_completion(now)
+            route.service_times.record_duration(duration)
             self._prefixes.record_blocks(grant.host.target, grant.prefix)
             self._return_slot(state, grant)
 
-    def failed(
+    def release_failed(
         self, grant: Grant, outcome: NotSent | RefusedNotRun | UnknownResult
     ) -> None:
         """Return the slot after an attempt without a complete answer."""
@@ -202,13 +208,13 @@
             now = self._clock.elapsed()
             state = self._state_of(grant.host)
             if outcome.reason is AttemptReason.TARGET_BUSY:
-                state.limit.refused(now)
-            if outcome.reason in TARGET_FAULTS:
-                state.failed(now)
+                state.limit.record_refusal(now)
+            if outcome.reason in TARGET_FAULT_REASONS:
+                state.record_failure(now)
             if isinstance(outcome, RefusedNotRun) and outcome.retry_after is not None:
                 # The target knows best when it can take work again.
                 resume_at = now + outcome.retry_after
-                state.rests_until = max(state.rests_until, resume_at)
+                state.backoff_until = max(state.backoff_until, resume_at)
             self._return_slot(state, grant)
 
     def prefix_targets(self) -> list[str]:
@@ -216,7 +222,7 @@
         with self._lock:
             return self._prefixes.targets()
 
-    def cache_news(self, target: str, events: Iterable[CacheEvent]) -> None:
+    def apply_cache_events(self, target: str, events: Iterable[CacheEvent]) -> None:
         """Apply a target's cache events to the prefix index.
 
         Blocks stored by other nodes' requests are added only if known here.
@@ -228,17 +234,17 @@
                 self._prefixes.remove_block(target, block)
             self._prefixes.record_blocks(target, stored)
 
-    def cache_lost(self, target: str) -> None:
+    def remove_cached_prefixes(self, target: str) -> None:
         """Remove a restarted target from the prefix index."""
         with self._lock:
             self._prefixes.remove_target(target)
 
-    def picture_changed(self) -> None:
+    def grant_free_slots(self) -> None:
         """Grant waiting requests the slots that became available."""
         with self._lock:
             self._grant_to_waiters()
 
-    def loads(self) -> dict[str, tuple[int, int]]:
+    def target_loads(self) -> dict[str, tuple[int, int]]:
         """Return the outstanding requests and the limit of each target in use."""
         with self._lock:
             return {
@@ -246,7 +252,7 @@
                 for name, state in self._states.items()
             }
 
-    def retry_after(self, route: Route) -> timedelta:
+    def estimate_retry_after(self, route: Route) -> timedelta:
         """Return the delay before a retry, from the observed drain rate."""
         with self._lock:
             return self._retry_after(route)
@@ -268,7 +274,7 @@
         hosts = [
             host
             for host in self._undrained_hosts(waiter.route)
-            if now >= self._state_of(host).rests_until
+            if now >= self._state_of(host).backoff_until
         ]
         untried = [host for host in hosts if host.target not in waiter.avoided_targets]
         return untried or hosts
@@ -277,14 +283,14 @@
         """Return the shortest remaining backoff if all hosts of the route back off."""
         now = self._clock.elapsed()
         hosts = self._undrained_hosts(waiter.route)
-        backoffs = [self._state_of(host).rests_until - now for host in hosts]
+        backoffs = [self._state_of(host).backoff_until - now for host in hosts]
         if not backoffs or min(backoffs) <= timedelta():
             return None
         return min(backoffs) * self._random.uniform(1, 1 + RETRY_AFTER_JITTER)
 
     def _try_grant(self, waiter: Waiter[Grant]) -> Grant | None:
         now = self._clock.elapsed()
-        choice = self._router.choose(
+        choice = self._router.choose_host(
             self._available_hosts(waiter),
             self._states,
             waiter.prefix,
@@ -294,12 +300,12 @@
         if choice is None:
             return None
         usual = self._routes[waiter.route].service_times.mean or timedelta()
-        self._state_of(choice.host).granted(now, usual)
+        self._state_of(choice.host).record_grant(now, usual)
         return Grant(choice, waiter.route, now, usual, waiter.prefix)
 
     def _check_admission(self, waiter: Waiter[Grant]) -> Refusal | None:
         missed_deadline = self._predict_missed_deadline(waiter)
-        reason = missed_deadline or self._waiting.refuse(waiter)
+        reason = missed_deadline or self._waiting.make_room(waiter)
         if reason is None:
             return None
         return Refusal(reason, Executed.NO, retry_after=self._retry_after(waiter.route))
@@ -310,7 +316,7 @@
         rate = route.drain_rate.per_second(now)
         if not rate:
             return None
-        wait = timedelta(seconds=(self._waiting.ahead(waiter) + 1) / rate)
+        wait = timedelta(seconds=(self._waiting.count_ahead(waiter) + 1) / rate)
         service = route.service_times.mean or timedelta()
         if now + wait + service > waiter.deadline:
             return Reason.DEADLINE_UNMEETABLE
@@ -321,11 +327,11 @@
         service = self._routes[waiter.route].service_times.mean or timedelta()
         patience = waiter.deadline - service - self._clock.elapsed()
         if not self._picture.hosts(waiter.route):
-            return min(patience, NO_REPLICA_WAIT)
+            return min(patience, MAX_NO_REPLICA_WAIT)
         return patience
 
     def _refusal_reason(self, waiter: Waiter[Grant]) -> Reason:
-        if waiter.shed:
+        if waiter.is_shed:
             return Reason.SHED
         if not self._picture.hosts(waiter.route):
             return Reason.NO_REPLICA
@@ -333,19 +339,19 @@
 
     def _retry_after(self, route: Route) -> timedelta:
         rate = self._routes[route].drain_rate.per_second(self._clock.elapsed())
-        backlog = len(self._waiting.waiting(route)) + 1
-        wait = timedelta(seconds=backlog / rate) if rate else SHORTEST_RETRY_AFTER
-        wait = min(max(wait, SHORTEST_RETRY_AFTER), LONGEST_RETRY_AFTER)
+        backlog = len(self._waiting.waiters(route)) + 1
+        wait = timedelta(seconds=backlog / rate) if rate else MIN_RETRY_AFTER
+        wait = min(max(wait, MIN_RETRY_AFTER), MAX_RETRY_AFTER)
         return wait * self._random.uniform(1, 1 + RETRY_AFTER_JITTER)
 
     def _return_slot(self, state: TargetState, grant: Grant) -> None:
-        state.returned(grant.granted_at, grant.usual)
+        state.record_return(grant.granted_at, grant.usual_duration)
         self._grant_to_waiters()
 
     def _grant_to_waiters(self) -> None:
         """Grant free slots to waiters, in the order of each route's queue."""
         for route in self._waiting.routes():
-            for waiter in self._waiting.waiting(route):
+            for waiter in self._waiting.waiters(route):
                 grant = self._try_grant(waiter)
                 if grant is None:
                     break
--- a/packages/runhatch-server/src/runhatch_server/serving/_headers.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_headers.py
@@ -15,8 +15,8 @@
 KEY_VARIABLE = "HTTP_IDEMPOTENCY_KEY"
 DEFAULT_CALLER = "anonymous"
 DEFAULT_PRIORITY = 3
-MAX_CALLER = 64
-MAX_KEY = 255
+MAX_CALLER_LENGTH = 64
+MAX_KEY_LENGTH = 255
 
 _URGENCY = re.compile(r"(?:^|,)\s*u=([0-7])\s*(?:$|[,;])")
 _ANY_URGENCY = re.compile(r"(?:^|,)\s*u=")
@@ -39,9 +39,9 @@
 ) -> CallerHeaders | Refusal:
     """Return the validated headers of ``environ``, or refuse the first bad one."""
     caller = _parse_caller(environ)
-    if len(caller) > MAX_CALLER:
+    if len(caller) > MAX_CALLER_LENGTH:
         return _refuse_header(
-            Reason.BAD_HEADER, "X-Caller-Id", caller, f"up to {MAX_CALLER}"
+            Reason.BAD_HEADER, "X-Caller-Id", caller, f"up to {MAX_CALLER_LENGTH}"
         )
     priority = _parse_priority(str(environ.get(PRIORITY_VARIABLE, "")))
     if isinstance(priority, Refusal):
@@ -91,8 +91,8 @@
     if value is None:
         return None
     found = _KEY.fullmatch(str(value))
-    if found is None or len(str(value)) > MAX_KEY:
-        allowed = f"1 to {MAX_KEY} printable ASCII characters"
+    if found is None or len(str(value)) > MAX_KEY_LENGTH:
+        allowed = f"1 to {MAX_KEY_LENGTH} printable ASCII characters"
         return _refuse_header(Reason.BAD_HEADER, "Idempotency-Key", value, allowed)
     return found.group(1)
 
--- a/packages/runhatch-server/src/runhatch_server/serving/_limits.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_limits.py
@@ -2,12 +2,12 @@
 
 from datetime import timedelta
 
-INCREASE = 1.0
-DECREASE_BUSY = 0.7
-DECREASE_SLOW = 0.9
+LIMIT_INCREASE = 1.0
+BUSY_DECREASE_FACTOR = 0.7
+SLOW_DECREASE_FACTOR = 0.9
 SLOW_FACTOR = 2.0
 SLOW_SLACK = timedelta(milliseconds=50)
-NEARLY_FULL = 0.8
+SATURATION_SHARE = 0.8
 BASELINE_GAIN = 0.02
 
 
@@ -18,7 +18,7 @@
     for load or when its first byte takes much longer than the baseline.
 
     >>> limit = AdaptiveLimit(10)
-    >>> limit.refused(timedelta(seconds=1)); limit.value
+    >>> limit.record_refusal(timedelta(seconds=1)); limit.value
     7
     """
 
@@ -33,21 +33,23 @@
         """Number of requests allowed at once."""
         return max(1, int(self._limit))
 
-    def answered(self, first_byte: timedelta, outstanding: int, now: timedelta) -> None:
+    def record_answer(
+        self, first_byte: timedelta, outstanding: int, now: timedelta
+    ) -> None:
         """Record the time to the first byte of one answer."""
-        saturated = outstanding >= NEARLY_FULL * self._limit
+        saturated = outstanding >= SATURATION_SHARE * self._limit
         slow = self._is_slow(first_byte)
         self._update_baseline(first_byte)
         if not saturated:
             return
         if slow:
-            self._decrease(DECREASE_SLOW, now)
+            self._decrease(SLOW_DECREASE_FACTOR, now)
         else:
-            self._limit = min(self._ceiling, self._limit + INCREASE / self._limit)
+            self._limit = min(self._ceiling, self._limit + LIMIT_INCREASE / self._limit)
 
-    def refused(self, now: timedelta) -> None:
+    def record_refusal(self, now: timedelta) -> None:
         """Record that the target refused a request for load."""
-        self._decrease(DECREASE_BUSY, now)
+        self._decrease(BUSY_DECREASE_FACTOR, now)
 
     def _is_slow(self, first_byte: timedelta) -> bool:
         if self._baseline is None:
--- a/packages/runhatch-server/src/runhatch_server/serving/_once.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_once.py
@@ -10,15 +10,15 @@
 from datetime import timedelta
 
 from runhatch_coordination import (
+    ClaimAcquired,
+    ClaimDone,
+    ClaimPending,
     Claims,
     Clock,
     Committed,
-    Done,
+    DigestMismatch,
     Membership,
-    Mismatch,
-    Pending,
     Standing,
-    Taken,
     Unavailable,
     require,
 )
@@ -27,14 +27,14 @@
 from runhatch_server.serving._request import CallerRequest
 from runhatch_server.serving._stored import AnswerStore, StoredAnswer
 
-LOOK_EVERY = timedelta(milliseconds=100)
-RECORD_TRIES = 64
-FIRST_RECORD_PAUSE = timedelta(milliseconds=50)
-LONGEST_RECORD_PAUSE = timedelta(seconds=1)
+CLAIM_POLL_INTERVAL = timedelta(milliseconds=100)
+MAX_RECORD_ATTEMPTS = 64
+MIN_RECORD_BACKOFF = timedelta(milliseconds=50)
+MAX_RECORD_BACKOFF = timedelta(seconds=1)
 """Maximum pause between attempts to record an answer; pauses double up to it.  An
 immediate repeat waits for the record, by default about a second."""
 STORE_RETRY_AFTER = timedelta(seconds=2)
-OPEN_RETRY_AFTER = timedelta(seconds=2)
+RUNNING_RETRY_AFTER = timedelta(seconds=2)
 ANSWER_PREFIX = "answers"
 
 
@@ -48,20 +48,22 @@
         membership: Membership,
         metrics: Metrics,
         clock: Clock,
-        wait: timedelta,
+        max_wait: timedelta,
     ) -> None:
         self._claims = claims
         self._answers = answers
         self._membership = membership
         self._metrics = metrics
         self._clock = clock
-        self._wait = wait
+        self._wait = max_wait
         self._recorders = ThreadPoolExecutor(2, thread_name_prefix="record")
         self._closing = threading.Event()
         self._active_attempts: set[str] = set()
         self._lock = threading.Lock()
 
-    def begin(self, request: CallerRequest) -> Taken | StoredAnswer | Refusal:
+    def claim_request(
+        self, request: CallerRequest
+    ) -> ClaimAcquired | StoredAnswer | Refusal:
         """Claim ``request``, or return the answer of its previous run or a refusal.
 
         A repeat of an unfinished run waits for its answer while the node that runs
@@ -69,25 +71,25 @@
         """
         key = claim_key(request)
         digest = request_digest(request)
-        outcome = self._claims.take(key, digest)
+        outcome = self._claims.acquire(key, digest)
         wait_until = self._clock.elapsed() + self._wait
-        while isinstance(outcome, Pending) and self._should_wait(
+        while isinstance(outcome, ClaimPending) and self._should_wait(
             outcome.node, min(wait_until, request.deadline)
         ):
-            self._clock.sleep(LOOK_EVERY)
+            self._clock.sleep(CLAIM_POLL_INTERVAL)
             outcome = self._claims.read(key, digest)
         self._metrics.claims.labels(type(outcome).__name__.lower()).inc()
         match outcome:
-            case Taken():
+            case ClaimAcquired():
                 self._require_first_use(outcome)
                 return outcome
-            case Done(result):
+            case ClaimDone(result):
                 return self._read_recorded(result)
-            case Mismatch():
+            case DigestMismatch():
                 return Refusal(Reason.KEY_REUSED, Executed.NO)
-            case Pending(node):
+            case ClaimPending(node):
                 is_running = self._is_alive(node)
-                retry_delay = OPEN_RETRY_AFTER if is_running else None
+                retry_delay = RUNNING_RETRY_AFTER if is_running else None
                 detail = f"it runs on {node}" if is_running else f"node {node} is gone"
                 return Refusal(
                     Reason.FIRST_RUN_OPEN, Executed.UNKNOWN, detail, retry_delay
@@ -100,25 +102,25 @@
                     STORE_RETRY_AFTER,
                 )
 
-    def finish(self, taken: Taken, answer: StoredAnswer) -> None:
+    def finish_claim(self, claim: ClaimAcquired, answer: StoredAnswer) -> None:
         """Record ``answer`` and finish the claim; retry failures in the background."""
         with self._lock:
-            self._active_attempts.discard(taken.record.attempt)
-        if not self._record_answer(taken, answer):
-            self._recorders.submit(self._retry_recording, taken, answer)
+            self._active_attempts.discard(claim.record.attempt)
+        if not self._record_answer(claim, answer):
+            self._recorders.submit(self._retry_recording, claim, answer)
 
-    def release(self, taken: Taken) -> None:
+    def release_claim(self, claim: ClaimAcquired) -> None:
         """Release a claim whose request certainly did not run."""
         with self._lock:
-            self._active_attempts.discard(taken.record.attempt)
-        self._claims.release(taken)
+            self._active_attempts.discard(claim.record.attempt)
+        self._claims.release(claim)
 
     def close(self) -> None:
         """Record pending answers once more and stop."""
         self._closing.set()
         self._recorders.shutdown()
 
-    def _require_first_use(self, taken: Taken) -> None:
+    def _require_first_use(self, taken: ClaimAcquired) -> None:
         with self._lock:
             require(
                 taken.record.attempt not in self._active_attempts,
@@ -127,7 +129,7 @@
             self._active_attempts.add(taken.record.attempt)
 
     def _read_recorded(self, result: str) -> StoredAnswer | Refusal:
-        answer = self._answers.read(result)
+        answer = self._answers.read_answer(result)
         if answer is not None:
             return answer
         return Refusal(
@@ -137,22 +139,22 @@
             STORE_RETRY_AFTER,
         )
 
-    def _record_answer(self, taken: Taken, answer: StoredAnswer) -> bool:
+    def _record_answer(self, taken: ClaimAcquired, answer: StoredAnswer) -> bool:
         name = f"{ANSWER_PREFIX}/{taken.key}-{taken.record.attempt}"
-        claim_result = self._answers.keep(name, answer)
+        claim_result = self._answers.store_answer(name, answer)
         if claim_result is None:
             return False
         return isinstance(self._claims.finish(taken, claim_result), Committed)
 
-    def _retry_recording(self, taken: Taken, answer: StoredAnswer) -> None:
-        pause = FIRST_RECORD_PAUSE
-        for _ in range(RECORD_TRIES):
+    def _retry_recording(self, taken: ClaimAcquired, answer: StoredAnswer) -> None:
+        pause = MIN_RECORD_BACKOFF
+        for _ in range(MAX_RECORD_ATTEMPTS):
             if self._closing.wait(pause.total_seconds()):
                 self._record_answer(taken, answer)
                 return
             if self._record_answer(taken, answer):
                 return
-            pause = min(LONGEST_RECORD_PAUSE, pause * 2)
+            pause = min(MAX_RECORD_BACKOFF, pause * 2)
         log_change("answer_not_recorded", claim=taken.key)
 
     def _should_wait(self, node: str, wait_until: timedelta) -> bool:
@@ -160,7 +162,7 @@
 
     def _is_alive(self, node: str) -> bool:
         standing = self._membership.standing(node)
-        return standing in (Standing.ALIVE, Standing.LEAVING)
+        return standing in (Standing.ALIVE, Standing.DRAINING)
 
 
 def claim_key(request: CallerRequest) -> str:
--- a/packages/runhatch-server/src/runhatch_server/serving/_picture.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_picture.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from runhatch_coordination import weight
+from runhatch_coordination import compute_weight
 from runhatch_server.configuration import Deployment, TargetSpec
 from runhatch_server.serving._request import Route, RouteKind
 
@@ -30,7 +30,7 @@
     unit: str
 
 
-class Picture:
+class PlacementCache:
     """The placement as known to this node; readers take no lock.
 
     Built from the configuration and the newest known hosting of each target.  Each
@@ -60,7 +60,7 @@
         """The deployment the picture was built for."""
         return self._deployment
 
-    def configure(self, deployment: Deployment) -> None:
+    def set_deployment(self, deployment: Deployment) -> None:
         """Replace the deployment and remove hostings of undeclared targets."""
         with self._lock:
             self._deployment = deployment
@@ -73,7 +73,7 @@
                 self._digest ^= _hash_hosting(self._hostings.pop(name))
             self._rebuild_index()
 
-    def learn(self, hosting: Hosting) -> bool:
+    def apply_hosting(self, hosting: Hosting) -> bool:
         """Apply ``hosting`` if it is newer; return whether it changed the picture.
 
         Ledger rows also change without a change of the served units.
@@ -99,7 +99,7 @@
             self._update_hosts(_unit_name(unit) for unit in changed)
             return True
 
-    def correct(self, target: str, unit: str) -> None:
+    def mark_unit_missing(self, target: str, unit: str) -> None:
         """Stop routing ``unit`` to ``target``, which answered that it lacks the unit.
 
         Applies until a newer hosting of the target is learnt.
@@ -121,7 +121,7 @@
         """Return the hosts that serve ``route``, empty if none is known."""
         return self._hosts.get(route, ())
 
-    def declares(self, route: Route) -> bool:
+    def is_declared(self, route: Route) -> bool:
         """Return whether ``route`` is declared."""
         return route in self._declared_units
 
@@ -131,7 +131,7 @@
 
     def _rebuild_index(self) -> None:
         deployment = self._deployment
-        models = {model.name: model.unit for model in deployment.models}
+        models = {model.name: model.unit_name for model in deployment.models}
         adapters = {adapter.name: adapter.unit for adapter in deployment.adapters}
         declared_units = {
             Route(RouteKind.MODEL, name): unit
@@ -195,7 +195,7 @@
 
 
 def _hash_hosting(hosting: Hosting) -> int:
-    return weight(hosting.target, "\0".join(sorted(hosting.units)))
+    return compute_weight(hosting.target, "\0".join(sorted(hosting.units)))
 
 
 def _unit_name(unit: str) -> str:
--- a/packages/runhatch-server/src/runhatch_server/serving/_queue.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_queue.py
@@ -34,10 +34,10 @@
     patience: timedelta = timedelta()
     settled: threading.Event = field(default_factory=threading.Event)
     grant: GrantT | None = None
-    shed: bool = False
+    is_shed: bool = False
 
     @property
-    def order(self) -> tuple[int, timedelta, int]:
+    def sort_key(self) -> tuple[int, timedelta, int]:
         """Sort key: priority, deadline, arrival; the lowest is served first."""
         return self.priority, self.deadline, self.sequence
 
@@ -59,16 +59,18 @@
         """Return the routes that have waiting requests."""
         return [route for route, queue in self._queues.items() if queue]
 
-    def waiting(self, route: Route) -> list[Waiter[GrantT]]:
+    def waiters(self, route: Route) -> list[Waiter[GrantT]]:
         """Return the queue of ``route`` in the order of service."""
         return list(self._queues.get(route, ()))
 
-    def ahead(self, waiter: Waiter[GrantT]) -> int:
+    def count_ahead(self, waiter: Waiter[GrantT]) -> int:
         """Return how many waiters of its route are served before ``waiter``."""
         queue = self._queues.get(waiter.route, [])
-        return bisect.bisect_left(queue, waiter.order, key=lambda other: other.order)
+        return bisect.bisect_left(
+            queue, waiter.sort_key, key=lambda other: other.sort_key
+        )
 
-    def refuse(self, waiter: Waiter[GrantT]) -> Reason | None:
+    def make_room(self, waiter: Waiter[GrantT]) -> Reason | None:
         """Return why ``waiter`` may not be queued, ``None`` if it may.
 
         A full queue sheds its least urgent waiter in favour of a more urgent one.
@@ -81,7 +83,7 @@
         least_urgent = self._find_least_urgent()
         if least_urgent is None or least_urgent.priority <= waiter.priority:
             return Reason.QUEUE_FULL
-        least_urgent.shed = True
+        least_urgent.is_shed = True
         self.remove(least_urgent)
         least_urgent.settled.set()
         return None
@@ -89,7 +91,7 @@
     def add(self, waiter: Waiter[GrantT]) -> None:
         """Insert ``waiter`` into its route's queue by its order."""
         queue = self._queues[waiter.route]
-        bisect.insort(queue, waiter, key=lambda other: other.order)
+        bisect.insort(queue, waiter, key=lambda other: other.sort_key)
         self._counts_by_caller[waiter.caller] += 1
         self._size += 1
 
@@ -109,4 +111,4 @@
 
     def _find_least_urgent(self) -> Waiter[GrantT] | None:
         last_waiters = [queue[-1] for queue in self._queues.values() if queue]
-        return max(last_waiters, key=lambda waiter: waiter.order, default=None)
+        return max(last_waiters, key=lambda waiter: waiter.sort_key, default=None)
--- a/packages/runhatch-server/src/runhatch_server/serving/_rates.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_rates.py
@@ -2,11 +2,11 @@
 
 from datetime import timedelta
 
-WINDOW = timedelta(seconds=5)
+RATE_WINDOW = timedelta(seconds=5)
 SERVICE_GAIN = 0.1
 
 
-class DrainRate:
+class CompletionRate:
     """Measures completions per second over a sliding window.
 
     The window is interpolated from the current and the previous fixed one.
@@ -17,7 +17,7 @@
         self._count = 0
         self._previous_rate: float | None = None
 
-    def note(self, now: timedelta) -> None:
+    def record_completion(self, now: timedelta) -> None:
         """Record one completion."""
         self._rotate_window(now)
         self._count += 1
@@ -28,7 +28,7 @@
         if self._window_start is None:
             return None
         age = (now - self._window_start) / timedelta(seconds=1)
-        window_seconds = WINDOW.total_seconds()
+        window_seconds = RATE_WINDOW.total_seconds()
         if self._previous_rate is None:
             return self._count / max(age, 0.5)
         elapsed_share = min(1.0, age / window_seconds)
@@ -41,15 +41,17 @@
             self._window_start = now
             return
         age = now - self._window_start
-        if age < WINDOW:
+        if age < RATE_WINDOW:
             return
-        was_idle = age >= 2 * WINDOW
-        self._previous_rate = 0.0 if was_idle else self._count / WINDOW.total_seconds()
+        was_idle = age >= 2 * RATE_WINDOW
+        self._previous_rate = (
+            0.0 if was_idle else self._count / RATE_WINDOW.total_seconds()
+        )
         self._count = 0
         self._window_start = now
 
 
-class ServiceTime:
+class MeanServiceTime:
     """Exponential moving average of request durations."""
 
     def __init__(self) -> None:
@@ -60,9 +62,9 @@
         """The average, ``None`` before the first request."""
         return self._mean
 
-    def note(self, took: timedelta) -> None:
+    def record_duration(self, duration: timedelta) -> None:
         """Record the duration of one request."""
         if self._mean is None:
-            self._mean = took
+            self._mean = duration
         else:
-            self._mean += (took - self._mean) * SERVICE_GAIN
+            self._mean += (duration - self._mean) * SERVICE_GAIN
--- a/packages/runhatch-server/src/runhatch_server/serving/_reading.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_reading.py
@@ -11,7 +11,7 @@
 from pydantic import ValidationError
 
 from runhatch_coordination import Clock
-from runhatch_server.border import fault_lines
+from runhatch_server.border import format_validation_errors
 from runhatch_server.configuration import PathSpec, PlainServiceSpec
 from runhatch_server.decisions._prefixes import prefix_blocks
 from runhatch_server.refusals import Executed, Reason, Refusal
@@ -21,7 +21,7 @@
     CallerHeaders,
     read_headers,
 )
-from runhatch_server.serving._picture import Picture
+from runhatch_server.serving._picture import PlacementCache
 from runhatch_server.serving._request import CallerRequest, Route, RouteKind
 from runhatch_server.settings import ServingSettings
 
@@ -41,9 +41,9 @@
     """Parses and validates callers' requests."""
 
     def __init__(
-        self, picture: Picture, settings: ServingSettings, clock: Clock
+        self, placement_cache: PlacementCache, settings: ServingSettings, clock: Clock
     ) -> None:
-        self._picture = picture
+        self._picture = placement_cache
         self._clock = clock
         self._limits = _Limits(
             timedelta(seconds=settings.default_deadline_seconds),
@@ -51,7 +51,7 @@
             settings.max_body_bytes,
         )
 
-    def read(self, environ: Environ) -> CallerRequest | Refusal:
+    def read_request(self, environ: Environ) -> CallerRequest | Refusal:
         """Return the request in ``environ``, or a refusal if it is invalid."""
         path = str(environ.get("PATH_INFO", ""))
         if path in BODY_MODELS:
@@ -76,7 +76,7 @@
             return document
         name = str(document["model"])
         route = Route(RouteKind.MODEL, name)
-        if not self._picture.declares(route):
+        if not self._picture.is_declared(route):
             return Refusal(Reason.UNKNOWN_MODEL, Executed.NO, f"found {name!r}")
         return self._build_request(
             environ,
@@ -148,7 +148,7 @@
             method=str(environ.get("REQUEST_METHOD")),
             path=path,
             priority=priority,
-            received=now,
+            received_at=now,
             deadline=now + allowed,
             idempotent=idempotent,
             key=headers.key,
@@ -157,7 +157,7 @@
             stream=stream,
             content_type=str(environ.get("CONTENT_TYPE") or "application/octet-stream"),
             unrun_statuses=unrun_statuses,
-            prefix=prefix,
+            prefix_blocks=prefix,
         )
 
     def _read_body(self, environ: Environ) -> bytes | Refusal:
@@ -185,7 +185,9 @@
         BODY_MODELS[path].validate_json(body)
         return msgspec.json.decode(body, type=dict[str, object])
     except ValidationError as error:
-        return Refusal(Reason.BAD_JSON, Executed.NO, "; ".join(fault_lines(error)))
+        return Refusal(
+            Reason.BAD_JSON, Executed.NO, "; ".join(format_validation_errors(error))
+        )
     except msgspec.MsgspecError as error:
         return Refusal(Reason.BAD_JSON, Executed.NO, str(error))
 
--- a/packages/runhatch-server/src/runhatch_server/serving/_relay.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_relay.py
@@ -11,23 +11,23 @@
 from runhatch_server.http import AbortedStreamError
 from runhatch_server.observability import Metrics
 from runhatch_server.refusals import Executed, Reason, Refusal
-from runhatch_server.serving._attempts import Attempter, Opened, RequestContext
+from runhatch_server.serving._attempts import Attempter, OpenedAnswer, RequestContext
 from runhatch_server.serving._cancel import Canceller
-from runhatch_server.serving._continuation import continue_document
-from runhatch_server.serving._target_requests import attempt_id, resume_request
+from runhatch_server.serving._continuation import build_continuation
+from runhatch_server.serving._target_requests import attempt_id, build_resume_request
 from runhatch_server.targets import (
     AttemptReason,
     EventSplitter,
     OpenAnswer,
     TargetClient,
     UnknownResult,
-    event_id,
-    is_terminal,
+    is_terminal_event,
+    parse_event_id,
 )
 
-RESUMES = 2
+MAX_RESUMES = 2
 RESUME_PAUSE = timedelta(milliseconds=50)
-SHORTEST_TIMEOUT = timedelta(milliseconds=1)
+MIN_READ_TIMEOUT = timedelta(milliseconds=1)
 
 
 class StreamEnd(Enum):
@@ -41,20 +41,20 @@
 class StreamRelay:
     """Relays one stream from its first event to its terminal one.
 
-    ``relay`` doesn't yield the terminal event, as its user may have to record the
-    answer first.
+    ``relay_events`` doesn't yield the terminal event, as its user may have to record
+    the answer first.
     """
 
     def __init__(
         self,
         context: RequestContext,
-        opened: Opened,
+        opened: OpenedAnswer,
         attempter: Attempter,
         client: TargetClient,
         canceller: Canceller,
         metrics: Metrics,
         clock: Clock,
-        stall: timedelta,
+        stall_timeout: timedelta,
     ) -> None:
         self._context = context
         self._opened = opened
@@ -63,13 +63,13 @@
         self._canceller = canceller
         self._metrics = metrics
         self._clock = clock
-        self._stall_timeout = stall
+        self._stall_timeout = stall_timeout
         self._splitter = EventSplitter()
         self._ready_events: list[bytes] = []
         self._last_event_id: bytes | None = None
         self._resumes = 0
         self._holds_slot = True
-        self.complete = False
+        self.is_complete = False
         """Whether the terminal event has arrived as the last of ``events``."""
         self.events: list[bytes] = []
         """Events relayed so far, to record the answer or to continue the stream."""
@@ -79,7 +79,7 @@
         """The answer being relayed, with its status and headers."""
         return self._opened.answer
 
-    def start(self) -> Refusal | None:
+    def wait_for_first_event(self) -> Refusal | None:
         """Wait for the first event, retrying on other targets until it arrives."""
         while True:
             failure = self._read_events()
@@ -89,7 +89,7 @@
             if refusal is not None:
                 return refusal
 
-    def relay(self) -> Generator[bytes, None, None]:
+    def relay_events(self) -> Generator[bytes, None, None]:
         """Yield the events before the terminal one.
 
         Raises :class:`AbortedStreamError` after an error event if the stream
@@ -98,15 +98,15 @@
         try:
             while True:
                 for event in self._pop_ready_events():
-                    if is_terminal(event):
+                    if is_terminal_event(event):
                         self._complete()
                         return
                     yield event
-                if self._context.caller_gone():
+                if self._context.is_caller_gone():
                     return
                 failure = self._read_events()
                 if failure is not None and not self._recover_stream(failure):
-                    yield error_event(self._context.request.request_id)
+                    yield build_error_event(self._context.request.request_id)
                     raise AbortedStreamError(self._context.request.request_id)
         finally:
             self._release_slot()
@@ -114,7 +114,7 @@
     def _pop_ready_events(self) -> Iterator[bytes]:
         while self._ready_events:
             event = self._ready_events.pop(0)
-            self._last_event_id = event_id(event) or self._last_event_id
+            self._last_event_id = parse_event_id(event) or self._last_event_id
             self.events.append(event)
             yield event
 
@@ -124,17 +124,17 @@
             remaining = self._context.request.deadline - self._clock.elapsed()
             if remaining <= timedelta():
                 return AttemptReason.TIMED_OUT
-            wait = max(SHORTEST_TIMEOUT, min(remaining, self._stall_timeout))
+            wait = max(MIN_READ_TIMEOUT, min(remaining, self._stall_timeout))
             try:
                 self._opened.answer.set_timeout(wait.total_seconds())
-                chunk = self._opened.answer.read_some()
+                chunk = self._opened.answer.read_chunk()
                 self._ready_events.extend(self._splitter.feed(chunk))
             except TimeoutError:
                 return AttemptReason.STALLED
             except (OSError, ValueError, http.client.HTTPException):
-                return AttemptReason.BROKEN
+                return AttemptReason.CONNECTION_BROKEN
             if not chunk:
-                return AttemptReason.BROKEN
+                return AttemptReason.CONNECTION_BROKEN
         return None
 
     def _recover_stream(self, failure: AttemptReason) -> bool:
@@ -142,7 +142,7 @@
             return False
         if self._resume_stream():
             return True
-        continuation_document = continue_document(
+        continuation_document = build_continuation(
             self._context.request.document, self.events
         )
         if continuation_document is None or not self._context.request.idempotent:
@@ -152,20 +152,20 @@
 
     def _resume_stream(self) -> bool:
         """Request the events after the last relayed one from the same engine."""
-        while self._resumes < RESUMES and self._last_event_id is not None:
+        while self._resumes < MAX_RESUMES and self._last_event_id is not None:
             self._resumes += 1
             self._metrics.retries.labels("resumed").inc()
-            request = resume_request(
+            request = build_resume_request(
                 self._context.request,
                 self._opened.grant.host,
                 attempt_id(self._context.request, self._context.attempts),
                 self._last_event_id,
             )
-            outcome = self._client.send(request, self._context.caller_gone)
+            outcome = self._client.send(request, self._context.is_caller_gone)
             if isinstance(outcome, OpenAnswer):
                 self._opened.answer.close()
-                self._opened = Opened(
-                    self._opened.grant, outcome, self._opened.first_byte
+                self._opened = OpenedAnswer(
+                    self._opened.grant, outcome, self._opened.time_to_first_byte
                 )
                 self._splitter = EventSplitter()
                 return True
@@ -178,10 +178,12 @@
         self._cancel_attempt()
         self._holds_slot = False
         outcome = UnknownResult(failure)
-        refusal = self._attempter.judge(self._context, self._opened.grant, outcome)
+        refusal = self._attempter.handle_failure(
+            self._context, self._opened.grant, outcome
+        )
         if refusal is not None:
             return refusal
-        opened = self._attempter.open(self._context)
+        opened = self._attempter.open_answer(self._context)
         if isinstance(opened, Refusal):
             return opened
         self._opened = opened
@@ -193,8 +195,8 @@
 
     def _complete(self) -> None:
         self._holds_slot = False
-        self.complete = True
-        self._attempter.completed(self._opened, self._context)
+        self.is_complete = True
+        self._attempter.record_completed(self._opened, self._context)
         self._metrics.streams.labels(StreamEnd.COMPLETE.value).inc()
 
     def _release_slot(self) -> None:
@@ -203,13 +205,17 @@
             return
         self._holds_slot = False
         self._opened.answer.close()
-        caller_left = self._context.caller_gone()
+        caller_left = self._context.is_caller_gone()
         if self._context.request.idempotent:
             self._cancel_attempt()
         stream_end = StreamEnd.CALLER_GONE if caller_left else StreamEnd.FAILED
         self._metrics.streams.labels(stream_end.value).inc()
-        reason = AttemptReason.CALLER_GONE if caller_left else AttemptReason.BROKEN
-        self._attempter.abandoned(
+        reason = (
+            AttemptReason.CALLER_GONE
+            if caller_left
+            else AttemptReason.CONNECTION_BROKEN
+        )
+        self._attempter.record_abandoned(
             self._context, self._opened.grant, UnknownResult(reason)
         )
 
@@ -226,7 +232,7 @@
     request_id: str
 
 
-def error_event(request_id: str) -> bytes:
+def build_error_event(request_id: str) -> bytes:
     """Return the event that reports to the caller that the stream is incomplete."""
     error = _StreamError(
         Reason.TARGETS_FAILED.title,
--- a/packages/runhatch-server/src/runhatch_server/serving/_request.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_request.py
@@ -41,7 +41,7 @@
     method: str
     path: str
     priority: int
-    received: timedelta
+    received_at: timedelta
     deadline: timedelta
     idempotent: bool
     key: str | None
@@ -50,7 +50,7 @@
     stream: bool = False
     content_type: str = "application/json"
     unrun_statuses: frozenset[int] = frozenset({429})
-    prefix: tuple[str, ...] = ()
+    prefix_blocks: tuple[str, ...] = ()
 
     @property
     def fingerprint(self) -> str:
--- a/packages/runhatch-server/src/runhatch_server/serving/_router.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_router.py
@@ -5,38 +5,38 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-from runhatch_coordination import weight
+from runhatch_coordination import compute_weight
 from runhatch_server.decisions._prefixes import PrefixIndex
 from runhatch_server.serving._picture import Host
 from runhatch_server.serving._target_state import TargetState
 
-SAMPLE = 3
+SAMPLE_SIZE = 3
 """Number of randomly sampled candidates, so that nodes seldom compare the same."""
-PREFILL_PER_BLOCK = timedelta(milliseconds=20)
+PREFILL_TIME_PER_BLOCK = timedelta(milliseconds=20)
 """Prefill time that a cached block saves."""
-DEFAULT_SERVICE = timedelta(seconds=1)
-REMOTE_COST = timedelta(milliseconds=2)
+DEFAULT_SERVICE_TIME = timedelta(seconds=1)
+REMOTE_DOMAIN_PENALTY = timedelta(milliseconds=2)
 """Score penalty of another failure domain: a network round trip."""
 LIGHT_LOAD_SHARE = 0.1
 """Weight of load below saturation, where no request waits but tokens slow down."""
-JITTER = 0.1
+SCORE_JITTER = 0.1
 
 
 @dataclass(frozen=True, slots=True)
-class Choice:
+class TargetChoice:
     """The chosen host, and the figures behind the choice."""
 
     host: Host
     predicted_wait: timedelta
-    prefix_blocks: int
-    candidates: int
+    cached_block_count: int
+    candidate_count: int
 
     def explain(self) -> str:
         """Return the reason for the choice as one line for operators."""
         wait = self.predicted_wait.total_seconds() * 1000
         return (
-            f"best of {self.candidates}: predicted wait {wait:.0f} ms, "
-            f"{self.prefix_blocks} prefix blocks cached"
+            f"best of {self.candidate_count}: predicted wait {wait:.0f} ms, "
+            f"{self.cached_block_count} prefix blocks cached"
         )
 
 
@@ -48,21 +48,21 @@
         failure_domain: str,
         prefixes: PrefixIndex,
         random_source: random.Random,
-        affinity: bool = True,
+        use_affinity: bool = True,
     ) -> None:
         self._failure_domain = failure_domain
         self._prefixes = prefixes
         self._random = random_source
-        self._affinity = affinity
+        self._affinity = use_affinity
 
-    def choose(
+    def choose_host(
         self,
         hosts: Sequence[Host],
         states: Mapping[str, TargetState],
         prefix: tuple[str, ...],
         avoided_domains: frozenset[str],
         now: timedelta,
-    ) -> Choice | None:
+    ) -> TargetChoice | None:
         """Return the best of ``hosts`` that has room, or ``None``.
 
         Hosts in ``avoided_domains`` are chosen only if no other host has room.
@@ -80,12 +80,12 @@
         sampled = self._sample_hosts(candidates, prefix)
         scored = [self._score(host, states, prefix, now) for host in sampled]
         best = min(scored, key=lambda scored_host: scored_host.score)
-        return Choice(best.host, best.wait, best.matched, len(sampled))
+        return TargetChoice(best.host, best.wait, best.matched, len(sampled))
 
     def _sample_hosts(self, hosts: list[Host], prefix: tuple[str, ...]) -> list[Host]:
-        if len(hosts) <= SAMPLE:
+        if len(hosts) <= SAMPLE_SIZE:
             return hosts
-        sampled = self._random.sample(hosts, SAMPLE)
+        sampled = self._random.sample(hosts, SAMPLE_SIZE)
         if prefix and self._affinity:
             best = max(hosts, key=lambda host: self._affinity_rank(host, prefix))
             if best not in sampled:
@@ -95,7 +95,7 @@
     def _affinity_rank(self, host: Host, prefix: tuple[str, ...]) -> tuple[int, int]:
         # All nodes rank hosts for a prefix equally without coordination.
         matched = self._prefixes.count_matching(host.target, prefix)
-        return matched, weight(prefix[0], host.target)
+        return matched, compute_weight(prefix[0], host.target)
 
     def _score(
         self,
@@ -108,12 +108,12 @@
         matched = (
             self._prefixes.count_matching(host.target, prefix) if self._affinity else 0
         )
-        score = wait * self._random.uniform(1 - JITTER, 1 + JITTER)
+        score = wait * self._random.uniform(1 - SCORE_JITTER, 1 + SCORE_JITTER)
         # The bonus equals the prefill saved, so affinity never adds a longer wait.
-        score -= PREFILL_PER_BLOCK * matched
-        score += states[host.target].excess(now)
+        score -= PREFILL_TIME_PER_BLOCK * matched
+        score += states[host.target].estimate_excess(now)
         if host.failure_domain != self._failure_domain:
-            score += REMOTE_COST
+            score += REMOTE_DOMAIN_PENALTY
         return _Scored(host, score, wait, matched)
 
 
@@ -126,8 +126,8 @@
 
 
 def _predict_wait(host: Host, state: TargetState, now: timedelta) -> timedelta:
-    service = state.service_time or DEFAULT_SERVICE
-    load = state.load(now)
+    service = state.service_time or DEFAULT_SERVICE_TIME
+    load = state.estimate_load(now)
     over_capacity = max(0.0, load + 1 - host.concurrency)
     within_capacity = LIGHT_LOAD_SHARE * min(load, host.concurrency)
     return service * ((over_capacity + within_capacity) / host.concurrency)
--- a/packages/runhatch-server/src/runhatch_server/serving/_service.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_service.py
@@ -5,7 +5,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from datetime import timedelta
 
-from runhatch_coordination import Clock, Taken
+from runhatch_coordination import ClaimAcquired, Clock
 from runhatch_server.http import AbortedStreamError
 from runhatch_server.observability import (
     Metrics,
@@ -14,15 +14,15 @@
     TraceLog,
 )
 from runhatch_server.refusals import Executed, Refusal
-from runhatch_server.serving._attempts import Attempter, Opened, RequestContext
+from runhatch_server.serving._attempts import Attempter, OpenedAnswer, RequestContext
 from runhatch_server.serving._caller_answers import (
     EVENT_STREAM,
     REQUEST_ID_HEADER,
     CallerAnswer,
     StreamedAnswer,
-    passed_headers,
-    refused,
-    whole,
+    build_refusal_answer,
+    build_whole_answer,
+    select_forwarded_headers,
 )
 from runhatch_server.serving._cancel import Canceller
 from runhatch_server.serving._demand import DemandCounter
@@ -33,8 +33,8 @@
 from runhatch_server.serving._target_requests import attempt_id
 from runhatch_server.targets import AttemptReason, TargetClient, UnknownResult
 
-RUN_ON_WORKERS = 8
-SUCCESS = range(200, 300)
+DETACHED_RUN_THREADS = 8
+SUCCESS_STATUSES = range(200, 300)
 
 
 class ServingService:
@@ -45,43 +45,43 @@
         attempter: Attempter,
         client: TargetClient,
         canceller: Canceller,
-        once: OnceGuard,
+        once_guard: OnceGuard,
         demand: DemandCounter,
         metrics: Metrics,
         traces: TraceLog,
         clock: Clock,
-        stall: timedelta,
+        stall_timeout: timedelta,
         log_requests: bool,
     ) -> None:
         self._log_requests = log_requests
         self._attempter = attempter
         self._client = client
         self._canceller = canceller
-        self._once = once
+        self._once = once_guard
         self._demand = demand
         self._metrics = metrics
         self._traces = traces
         self._clock = clock
-        self._stall_timeout = stall
+        self._stall_timeout = stall_timeout
         self._detached_runs = ThreadPoolExecutor(
-            RUN_ON_WORKERS, thread_name_prefix="run-on"
+            DETACHED_RUN_THREADS, thread_name_prefix="run-on"
         )
 
-    def serve(
+    def serve_request(
         self, request: CallerRequest, caller_gone: Callable[[], bool]
     ) -> CallerAnswer:
         """Return the answer to ``request``, which may be a stream still in progress."""
         self._metrics.requests.labels(request.route.kind.value).inc()
-        self._demand.note(request.route)
+        self._demand.count_request(request.route)
         context = self._build_context(request, caller_gone)
         if request.key is None:
             return self._run_request(context, None)
-        claim_outcome = self._once.begin(request)
+        claim_outcome = self._once.claim_request(request)
         if isinstance(claim_outcome, Refusal):
             return self._refuse(context, claim_outcome)
         if isinstance(claim_outcome, StoredAnswer):
             self._record_outcome(context, "repeated", claim_outcome.status)
-            return whole(claim_outcome, request.request_id)
+            return build_whole_answer(claim_outcome, request.request_id)
         return self._run_request(context, claim_outcome)
 
     def close(self) -> None:
@@ -91,10 +91,10 @@
         self._canceller.close()
 
     def _run_request(
-        self, context: RequestContext, claim: Taken | None
+        self, context: RequestContext, claim: ClaimAcquired | None
     ) -> CallerAnswer:
         while True:
-            opened = self._attempter.open(context)
+            opened = self._attempter.open_answer(context)
             if isinstance(opened, Refusal):
                 return self._refuse_run(context, claim, opened)
             if _is_stream(context.request, opened):
@@ -106,38 +106,38 @@
                 return self._finish_whole(context, claim, opened, answer)
 
     def _read_whole(
-        self, context: RequestContext, opened: Opened
+        self, context: RequestContext, opened: OpenedAnswer
     ) -> StoredAnswer | Refusal | None:
         """Return the whole answer, a refusal, or ``None`` if the request is retried."""
         remaining = context.request.deadline - self._clock.elapsed()
         try:
             opened.answer.set_timeout(max(0.001, remaining.total_seconds()))
-            answer = opened.answer.read_whole()
+            answer = opened.answer.read_answer()
         except TimeoutError:
             failure = UnknownResult(AttemptReason.TIMED_OUT)
         except (OSError, http.client.HTTPException):
-            failure = UnknownResult(AttemptReason.BROKEN)
+            failure = UnknownResult(AttemptReason.CONNECTION_BROKEN)
         else:
-            headers = passed_headers(answer)
+            headers = select_forwarded_headers(answer)
             return StoredAnswer(answer.status, headers, answer.body)
         opened.answer.close()
-        return self._attempter.judge(context, opened.grant, failure)
+        return self._attempter.handle_failure(context, opened.grant, failure)
 
     def _finish_whole(
         self,
         context: RequestContext,
-        claim: Taken | None,
-        opened: Opened,
+        claim: ClaimAcquired | None,
+        opened: OpenedAnswer,
         answer: StoredAnswer,
     ) -> CallerAnswer:
-        self._attempter.completed(opened, context)
+        self._attempter.record_completed(opened, context)
         if claim is not None:
-            self._once.finish(claim, answer)
+            self._once.finish_claim(claim, answer)
         self._record_answered(context, answer.status)
-        return whole(answer, context.request.request_id)
+        return build_whole_answer(answer, context.request.request_id)
 
     def _start_stream(
-        self, context: RequestContext, claim: Taken | None, opened: Opened
+        self, context: RequestContext, claim: ClaimAcquired | None, opened: OpenedAnswer
     ) -> CallerAnswer:
         relay = StreamRelay(
             context,
@@ -149,11 +149,11 @@
             self._clock,
             self._stall_timeout,
         )
-        refusal = relay.start()
+        refusal = relay.wait_for_first_event()
         if refusal is not None:
             return self._refuse_run(context, claim, refusal)
         headers = (
-            *passed_headers(relay.answer),
+            *select_forwarded_headers(relay.answer),
             (REQUEST_ID_HEADER, context.request.request_id),
         )
         events: Iterator[bytes] = self._relay_all(context, claim, relay)
@@ -162,21 +162,23 @@
         return StreamedAnswer(relay.answer.status, headers, events)
 
     def _relay_all(
-        self, context: RequestContext, claim: Taken | None, relay: StreamRelay
+        self, context: RequestContext, claim: ClaimAcquired | None, relay: StreamRelay
     ) -> Generator[bytes, None, None]:
         outcome = "cut"
         status = relay.answer.status
-        stream = relay.relay()
+        stream = relay.relay_events()
         try:
             yield from stream
-            if not relay.complete:
+            if not relay.is_complete:
                 outcome = "caller gone"
                 return
             if claim is not None:
                 recorded = StoredAnswer(
-                    status, passed_headers(relay.answer), b"".join(relay.events)
+                    status,
+                    select_forwarded_headers(relay.answer),
+                    b"".join(relay.events),
                 )
-                self._once.finish(claim, recorded)
+                self._once.finish_claim(claim, recorded)
             outcome = "answered"
             yield relay.events[-1]
         except GeneratorExit:
@@ -184,7 +186,7 @@
             raise
         finally:
             stream.close()
-            if relay.complete:
+            if relay.is_complete:
                 self._record_answered(context, status)
             else:
                 self._record_outcome(context, outcome, status)
@@ -203,12 +205,12 @@
                 self._detached_runs.submit(_consume, events)
 
     def _refuse_run(
-        self, context: RequestContext, claim: Taken | None, refusal: Refusal
+        self, context: RequestContext, claim: ClaimAcquired | None, refusal: Refusal
     ) -> CallerAnswer:
         if context.request.is_model and refusal.executed is Executed.UNKNOWN:
             self._cancel_last_attempt(context)
         if claim is not None and refusal.executed is Executed.NO:
-            self._once.release(claim)
+            self._once.release_claim(claim)
         return self._refuse(context, refusal)
 
     def _cancel_last_attempt(self, context: RequestContext) -> None:
@@ -216,12 +218,12 @@
         if not context.request.idempotent or not context.trace.attempts:
             return
         cancelled_id = attempt_id(context.request, context.attempts)
-        self._canceller.cancel(context.last_url, cancelled_id)
+        self._canceller.cancel(context.last_target_url, cancelled_id)
 
     def _refuse(self, context: RequestContext, refusal: Refusal) -> CallerAnswer:
         self._metrics.refusals.labels(refusal.reason.code).inc()
         self._record_outcome(context, refusal.reason.code, refusal.reason.status)
-        return refused(refusal, context.request.request_id)
+        return build_refusal_answer(refusal, context.request.request_id)
 
     def _record_answered(self, context: RequestContext, status: int) -> None:
         self._metrics.answers.labels(context.request.route.kind.value).inc()
@@ -232,7 +234,7 @@
     ) -> None:
         context.trace.outcome = outcome
         context.trace.status = status
-        context.trace.took = self._clock.elapsed() - context.request.received
+        context.trace.duration = self._clock.elapsed() - context.request.received_at
         context.log.finish(outcome, status)
 
     def _build_context(
@@ -258,9 +260,9 @@
     return False
 
 
-def _is_stream(request: CallerRequest, opened: Opened) -> bool:
+def _is_stream(request: CallerRequest, opened: OpenedAnswer) -> bool:
     content_type = opened.answer.headers.get("content-type", "")
-    succeeded = opened.answer.status in SUCCESS
+    succeeded = opened.answer.status in SUCCESS_STATUSES
     return request.stream and succeeded and content_type.startswith(EVENT_STREAM)
 
 
--- a/packages/runhatch-server/src/runhatch_server/serving/_stored.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_stored.py
@@ -38,7 +38,7 @@
         self._objects = objects
         self._inline_bytes = inline_bytes
 
-    def keep(self, name: str, answer: StoredAnswer) -> str | None:
+    def store_answer(self, name: str, answer: StoredAnswer) -> str | None:
         """Return the text for the claim, ``None`` if the answer may not be stored.
 
         ``name`` must be unique to the answer.
@@ -53,9 +53,9 @@
             return None
         return msgspec.json.encode(_Object(name)).decode()
 
-    def read(self, kept: str) -> StoredAnswer | None:
+    def read_answer(self, claim_result: str) -> StoredAnswer | None:
         """Return the answer that a claim refers to, ``None`` if it is unavailable."""
-        found = msgspec.json.decode(kept, type=_Document | _Object)
+        found = msgspec.json.decode(claim_result, type=_Document | _Object)
         if isinstance(found, _Object):
             body = self._objects.get(found.name)
             if body is None:
--- a/packages/runhatch-server/src/runhatch_server/serving/_target_requests.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_target_requests.py
@@ -8,7 +8,7 @@
 from runhatch_server.serving._request import CallerRequest
 from runhatch_server.targets import TargetRequest
 
-ENGINE_UNRUN = frozenset({404, 429, 503})
+ENGINE_NOT_RUN_STATUSES = frozenset({404, 429, 503})
 """Statuses of engines that mean that the request was not run."""
 LOAD_FORMAT_HEADER = "endpoint-load-metrics-format"
 
@@ -43,7 +43,7 @@
         attempt_id(request, attempt),
         request.deadline,
         request.unrun_statuses,
-        must_echo_id=False,
+        requires_id_echo=False,
     )
 
 
@@ -67,11 +67,11 @@
         headers,
         sent_id,
         request.deadline,
-        ENGINE_UNRUN,
+        ENGINE_NOT_RUN_STATUSES,
     )
 
 
-def resume_request(
+def build_resume_request(
     request: CallerRequest, host: Host, sent_id: str, last_event: bytes
 ) -> TargetRequest:
     """Return the request for the events of a stream after ``last_event``."""
@@ -83,5 +83,5 @@
         {"Last-Event-ID": last_event.decode("latin-1")},
         sent_id,
         request.deadline,
-        ENGINE_UNRUN,
+        ENGINE_NOT_RUN_STATUSES,
     )
--- a/packages/runhatch-server/src/runhatch_server/serving/_target_state.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_target_state.py
@@ -8,12 +8,12 @@
 from runhatch_server.targets import ReportedLoad
 
 FAILURES_TO_EJECT = 3
-FIRST_EJECTION = timedelta(seconds=1)
-LONGEST_EJECTION = timedelta(seconds=30)
-MOST_DOUBLINGS = 5
+MIN_EJECTION_TIME = timedelta(seconds=1)
+MAX_EJECTION_TIME = timedelta(seconds=30)
+MAX_EJECTION_DOUBLINGS = 5
 REPORT_HALF_LIFE = timedelta(seconds=1)
 SERVICE_GAIN = 0.1
-TOLERATED = 4.5
+TOLERATED_SLOWDOWN = 4.5
 """Multiple of the usual service time that is not excess; answer lengths vary."""
 EXCESS_GAIN = 0.3
 EXCESS_HALF_LIFE = timedelta(seconds=3)
@@ -39,7 +39,7 @@
         """Sum over the outstanding requests, like ``_granted_at_sum``."""
         self._excess = timedelta()
         self._excess_at = timedelta()
-        self.rests_until = timedelta()
+        self.backoff_until = timedelta()
         """End of the backoff that the target requested by Retry-After."""
         self.limit = AdaptiveLimit(ceiling)
         self.outstanding = 0
@@ -58,19 +58,19 @@
         """Return whether the limit allows one more request."""
         return self.outstanding < self.limit.value
 
-    def granted(self, now: timedelta, usual: timedelta) -> None:
-        """Count a request granted at ``now``, whose usual duration is ``usual``."""
+    def record_grant(self, now: timedelta, usual_duration: timedelta) -> None:
+        """Count a request granted at ``now`` that usually takes ``usual_duration``."""
         self.outstanding += 1
         self._granted_at_sum += now
-        self._usual_sum += usual
+        self._usual_sum += usual_duration
 
-    def returned(self, granted_at: timedelta, usual: timedelta) -> None:
-        """Count one request less; the arguments equal those of its ``granted`` call."""
+    def record_return(self, granted_at: timedelta, usual_duration: timedelta) -> None:
+        """Count one request less; arguments as in its ``record_grant`` call."""
         self.outstanding -= 1
         self._granted_at_sum -= granted_at
-        self._usual_sum -= usual
+        self._usual_sum -= usual_duration
 
-    def excess(self, now: timedelta) -> timedelta:
+    def estimate_excess(self, now: timedelta) -> timedelta:
         """Return how much longer than usual requests take at this target.
 
         Learnt from answers, and from the age of outstanding requests before those
@@ -82,9 +82,9 @@
             return learnt_excess
         mean_age = now - self._granted_at_sum / self.outstanding
         mean_usual = self._usual_sum / self.outstanding
-        return max(learnt_excess, mean_age - mean_usual * TOLERATED)
+        return max(learnt_excess, mean_age - mean_usual * TOLERATED_SLOWDOWN)
 
-    def load(self, now: timedelta) -> float:
+    def estimate_load(self, now: timedelta) -> float:
         """Return the target's requests: this node's, and other nodes' as reported.
 
         The reported ones decay with the age of the report, so that nodes with the
@@ -97,35 +97,37 @@
         age = (now - self._reported_at) / REPORT_HALF_LIFE
         return self.outstanding + others * math.pow(0.5, age)
 
-    def reported(self, load: ReportedLoad | None, now: timedelta) -> None:
+    def record_load(self, load: ReportedLoad | None, now: timedelta) -> None:
         """Record a load report, if there is one."""
         if load is not None:
             self._reported = load
             self._reported_at = now
             self._outstanding_at_report = self.outstanding
 
-    def succeeded(
-        self, took: timedelta, usual: timedelta | None, now: timedelta
+    def record_success(
+        self, duration: timedelta, usual_duration: timedelta | None, now: timedelta
     ) -> None:
         """Record a complete answer, its duration and the usual duration."""
-        expected = took if usual is None else usual
-        measured_excess = max(timedelta(), took - expected * TOLERATED)
-        previous = self.excess(now)
+        expected = duration if usual_duration is None else usual_duration
+        measured_excess = max(timedelta(), duration - expected * TOLERATED_SLOWDOWN)
+        previous = self.estimate_excess(now)
         self._excess = previous + (measured_excess - previous) * EXCESS_GAIN
         self._excess_at = now
         self._failures = 0
         self._ejections = 0
         if self.service_time is None:
-            self.service_time = took
+            self.service_time = duration
         else:
-            self.service_time += (took - self.service_time) * SERVICE_GAIN
+            self.service_time += (duration - self.service_time) * SERVICE_GAIN
 
-    def failed(self, now: timedelta) -> bool:
+    def record_failure(self, now: timedelta) -> bool:
         """Record a failure; return whether the target is now ejected."""
         self._failures += 1
         if self._failures < FAILURES_TO_EJECT:
             return False
-        ejection_time = min(LONGEST_EJECTION, FIRST_EJECTION * (1 << self._ejections))
-        self._ejections = min(self._ejections + 1, MOST_DOUBLINGS)
+        ejection_time = min(
+            MAX_EJECTION_TIME, MIN_EJECTION_TIME * (1 << self._ejections)
+        )
+        self._ejections = min(self._ejections + 1, MAX_EJECTION_DOUBLINGS)
         self._ejected_until = now + ejection_time * self._random.uniform(0.75, 1.25)
         return True
--- a/packages/runhatch-server/src/runhatch_server/settings/_load.py
+++ b/packages/runhatch-server/src/runhatch_server/settings/_load.py
@@ -7,7 +7,7 @@
 from pydantic import ValidationError
 
 from runhatch_server._errors import SettingsError
-from runhatch_server.border import fault_lines
+from runhatch_server.border import format_validation_errors
 from runhatch_server.settings._models import Settings
 
 SECRET_FIELDS = frozenset({"token"})
@@ -28,7 +28,7 @@
     try:
         settings = Settings.model_validate(document)
     except ValidationError as error:
-        raise SettingsError(fault_lines(error, SECRET_FIELDS)) from None
+        raise SettingsError(format_validation_errors(error, SECRET_FIELDS)) from None
     missing = _missing_files(settings)
     if missing:
         raise SettingsError(missing)
--- a/packages/runhatch-server/src/runhatch_server/settings/_models.py
+++ b/packages/runhatch-server/src/runhatch_server/settings/_models.py
@@ -13,7 +13,7 @@
 
 Name = Annotated[str, Field(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$")]
 Seconds = Annotated[float, Field(gt=0, le=86_400)]
-HEARTBEATS_IN_SILENCE = 3
+MIN_HEARTBEATS_PER_SUSPICION = 3
 """Minimum ratio of ``suspect_seconds`` to ``heartbeat_seconds``.
 
 With a lower ratio, a few lost heartbeats would get a live peer suspected.
@@ -157,11 +157,11 @@
 
     @model_validator(mode="after")
     def _check_suspect_seconds(self) -> "PeerSettings":
-        minimum = HEARTBEATS_IN_SILENCE * self.heartbeat_seconds
+        minimum = MIN_HEARTBEATS_PER_SUSPICION * self.heartbeat_seconds
         if self.suspect_seconds < minimum:
             raise ValueError(
                 f"suspect_seconds {self.suspect_seconds:g} must be at least "
-                f"{HEARTBEATS_IN_SILENCE} times heartbeat_seconds, {minimum:g}"
+                f"{MIN_HEARTBEATS_PER_SUSPICION} times heartbeat_seconds, {minimum:g}"
             )
         return self
 
@@ -189,7 +189,7 @@
             raise ValueError("exactly one of token, token_file, token_env")
         return self
 
-    def secret(self) -> str:
+    def read_secret(self) -> str:
         """Return the token, read from its configured source.
 
         Raises ``OSError`` if the file cannot be read and ``KeyError`` if the variable
--- a/packages/runhatch-server/src/runhatch_server/settings/_reference.py
+++ b/packages/runhatch-server/src/runhatch_server/settings/_reference.py
@@ -4,7 +4,7 @@
 
 from runhatch_server.settings._models import Settings
 
-HEAD = """# Settings
+PAGE_HEADER = """# Settings
 
 Generated from the models by `make settings-reference`. Durations are in
 seconds, sizes in bytes. Unknown fields are faults.
@@ -13,7 +13,7 @@
 
 def settings_reference() -> str:
     """Return the Markdown page that lists all fields of the settings file."""
-    sections = [HEAD]
+    sections = [PAGE_HEADER]
     for name, field in Settings.model_fields.items():
         model = field.annotation
         if isinstance(model, type) and issubclass(model, BaseModel):
--- a/packages/runhatch-server/src/runhatch_server/targets/__init__.py
+++ b/packages/runhatch-server/src/runhatch_server/targets/__init__.py
@@ -4,7 +4,7 @@
 from runhatch_server.targets._cache_events import (
     CacheEvent,
     CacheEvents,
-    block_names,
+    compute_block_names,
 )
 from runhatch_server.targets._client import TargetClient, TargetRequest
 from runhatch_server.targets._engine import (
@@ -19,19 +19,19 @@
 from runhatch_server.targets._outcomes import (
     AttemptOutcome,
     AttemptReason,
+    InvalidRateLimit,
     NotSent,
     RefusedNotRun,
     UnknownResult,
-    UnreadableLimit,
-    limit_named,
-    rest_asked,
+    decode_rate_limit,
+    decode_retry_after,
 )
 from runhatch_server.targets._probe import refuses_connections
 from runhatch_server.targets._stream import (
     EventSplitter,
-    event_data,
-    event_id,
-    is_terminal,
+    is_terminal_event,
+    parse_event_data,
+    parse_event_id,
 )
 
 __all__ = [
@@ -54,12 +54,12 @@
     "TargetClient",
     "TargetRequest",
     "UnknownResult",
-    "UnreadableLimit",
-    "limit_named",
+    "InvalidRateLimit",
+    "decode_rate_limit",
     "refuses_connections",
-    "rest_asked",
-    "block_names",
-    "event_data",
-    "event_id",
-    "is_terminal",
+    "decode_retry_after",
+    "compute_block_names",
+    "parse_event_data",
+    "parse_event_id",
+    "is_terminal_event",
 ]
--- a/packages/runhatch-server/src/runhatch_server/targets/_answers.py
+++ b/packages/runhatch-server/src/runhatch_server/targets/_answers.py
@@ -41,7 +41,7 @@
         """Whether a complete body can be distinguished from a truncated one."""
         return self._response.chunked or self._response.length is not None
 
-    def read_some(self) -> bytes:
+    def read_chunk(self) -> bytes:
         """Return the next available bytes, or ``b""`` at the end of the body.
 
         Raises ``OSError`` or ``HTTPException`` if the connection breaks.
@@ -49,10 +49,10 @@
         chunk: bytes = self._response.read1(READ_SIZE)
         return chunk
 
-    def read_whole(self) -> Answer:
+    def read_answer(self) -> Answer:
         """Read the rest of the body.
 
-        Raises the errors of :meth:`read_some` if the body is incomplete.
+        Raises the errors of :meth:`read_chunk` if the body is incomplete.
         """
         body = self._response.read()
         return Answer(self.status, self.headers, body)
--- a/packages/runhatch-server/src/runhatch_server/targets/_cache_events.py
+++ b/packages/runhatch-server/src/runhatch_server/targets/_cache_events.py
@@ -2,7 +2,7 @@
 
 Each engine numbers its events from 0; events arrive late, and some are lost.  The
 name of a block is a hash of the model's name and of all text up to the end of the
-block, see :func:`block_names`.
+block, see :func:`compute_block_names`.
 """
 
 import hashlib
@@ -30,17 +30,17 @@
     last: int
 
 
-def block_names(model: str, text: str, most: int) -> Iterator[str]:
-    """Yield the names of the first ``most`` complete blocks of ``text``.
+def compute_block_names(model: str, text: str, max_blocks: int) -> Iterator[str]:
+    """Yield the names of the first ``max_blocks`` complete blocks of ``text``.
 
-    >>> long = list(block_names("m", "x" * 600, 16))
-    >>> len(long), long[:1] == list(block_names("m", "x" * 300, 16))
+    >>> long = list(compute_block_names("m", "x" * 600, 16))
+    >>> len(long), long[:1] == list(compute_block_names("m", "x" * 300, 16))
     (2, True)
-    >>> long[0] in block_names("other", "x" * 600, 16)
+    >>> long[0] in compute_block_names("other", "x" * 600, 16)
     False
     """
     digest = hashlib.blake2b(f"{model}\0".encode(), digest_size=DIGEST_BYTES)
-    for index in range(min(len(text) // BLOCK_CHARACTERS, most)):
+    for index in range(min(len(text) // BLOCK_CHARACTERS, max_blocks)):
         start = index * BLOCK_CHARACTERS
         digest.update(text[start : start + BLOCK_CHARACTERS].encode())
         yield digest.hexdigest()
--- a/packages/runhatch-server/src/runhatch_server/targets/_client.py
+++ b/packages/runhatch-server/src/runhatch_server/targets/_client.py
@@ -15,16 +15,16 @@
     NotSent,
     RefusedNotRun,
     UnknownResult,
-    rest_asked,
+    decode_retry_after,
 )
 
 REQUEST_ID = "X-Request-Id"
 CONNECT_TIMEOUT = timedelta(seconds=1)
-WATCH_SLICE = timedelta(milliseconds=250)
+CALLER_CHECK_INTERVAL = timedelta(milliseconds=250)
 """Interval at which a wait for a response checks that the caller is connected."""
-UNRUN_REASONS: Mapping[int, AttemptReason] = {
-    404: AttemptReason.MODEL_NOT_THERE,
-    409: AttemptReason.MODEL_NOT_THERE,
+NOT_RUN_REASONS: Mapping[int, AttemptReason] = {
+    404: AttemptReason.MODEL_MISSING,
+    409: AttemptReason.MODEL_MISSING,
     429: AttemptReason.TARGET_BUSY,
     503: AttemptReason.TARGET_DRAINING,
 }
@@ -35,8 +35,8 @@
     """An attempt to send a request, and how to interpret its response.
 
     ``deadline`` is a value of the clock's elapsed time.  A response with one of
-    ``unrun_statuses`` proves that the target did not run the request.  With
-    ``must_echo_id``, a response that lacks this request's id is rejected.
+    ``not_run_statuses`` proves that the target did not run the request.  With
+    ``requires_id_echo``, a response that lacks this request's id is rejected.
     """
 
     url: str
@@ -46,8 +46,8 @@
     headers: Mapping[str, str]
     request_id: str
     deadline: timedelta
-    unrun_statuses: frozenset[int] = field(default=frozenset({429}))
-    must_echo_id: bool = True
+    not_run_statuses: frozenset[int] = field(default=frozenset({429}))
+    requires_id_echo: bool = True
 
 
 def _never_disconnected() -> bool:
@@ -63,7 +63,7 @@
     def send(
         self,
         request: TargetRequest,
-        caller_gone: Callable[[], bool] = _never_disconnected,
+        is_caller_gone: Callable[[], bool] = _never_disconnected,
     ) -> AttemptOutcome:
         """Send ``request`` and return the open response, or how the attempt failed.
 
@@ -73,7 +73,7 @@
         connection = self._connect(request)
         if isinstance(connection, NotSent):
             return connection
-        outcome = self._exchange(connection, request, caller_gone)
+        outcome = self._exchange(connection, request, is_caller_gone)
         if not isinstance(outcome, OpenAnswer):
             connection.close()
         return outcome
@@ -112,7 +112,7 @@
         except TimeoutError:
             return UnknownResult(AttemptReason.TIMED_OUT)
         except (OSError, http.client.HTTPException):
-            return UnknownResult(AttemptReason.BROKEN)
+            return UnknownResult(AttemptReason.CONNECTION_BROKEN)
         return self._classify_response(OpenAnswer(connection, response), request)
 
     def _await_head(
@@ -131,7 +131,7 @@
             remaining = request.deadline - self._clock.elapsed()
             if remaining <= timedelta():
                 return AttemptReason.TIMED_OUT
-            wait = min(remaining, WATCH_SLICE)
+            wait = min(remaining, CALLER_CHECK_INTERVAL)
             if poller.poll(wait.total_seconds() * 1000):
                 connection.sock.settimeout(max(remaining.total_seconds(), 0.001))
                 return None
@@ -141,13 +141,17 @@
     def _classify_response(
         self, answer: OpenAnswer, request: TargetRequest
     ) -> AttemptOutcome:
-        if answer.status in request.unrun_statuses:
+        if answer.status in request.not_run_statuses:
             answer.close()
-            reason = UNRUN_REASONS.get(answer.status, AttemptReason.TARGET_BUSY)
-            return RefusedNotRun(reason, rest_asked(answer.headers.get("retry-after")))
+            reason = NOT_RUN_REASONS.get(answer.status, AttemptReason.TARGET_BUSY)
+            return RefusedNotRun(
+                reason, decode_retry_after(answer.headers.get("retry-after"))
+            )
         echoed_id = answer.headers.get(REQUEST_ID.lower())
         expected_id = request.request_id
-        if echoed_id != expected_id and (echoed_id is not None or request.must_echo_id):
+        if echoed_id != expected_id and (
+            echoed_id is not None or request.requires_id_echo
+        ):
             answer.close()
             return UnknownResult(AttemptReason.WRONG_ANSWER)
         if not answer.is_framed:
--- a/packages/runhatch-server/src/runhatch_server/targets/_engine.py
+++ b/packages/runhatch-server/src/runhatch_server/targets/_engine.py
@@ -44,13 +44,13 @@
     """Result of sending an order."""
 
     ACCEPTED = "accepted"
-    ALREADY = "already"
+    ALREADY_DONE = "already"
     """The engine is already in the requested state."""
     CONFLICT = "conflict"
     """Another order is running, or has run since the one that this order follows."""
-    GONE = "gone"
+    TARGET_REPLACED = "gone"
     """The address now belongs to another target."""
-    REFUSED_OLD = "refused_old"
+    REFUSED_STALE = "refused_old"
     REFUSED = "refused"
     NOT_SENT = "not_sent"
     UNKNOWN = "unknown"
@@ -80,7 +80,7 @@
     draining: bool = False
     loading: tuple[str, ...] = ()
 
-    def holds(self, unit: str) -> bool:
+    def has_loaded(self, unit: str) -> bool:
         """Return whether ``unit`` is loaded."""
         return any(loaded.unit == unit for loaded in self.units)
 
@@ -91,11 +91,11 @@
     def __init__(self, url: str, timeout: timedelta = ENGINE_TIMEOUT) -> None:
         self._http = HttpClient(url, timeout)
 
-    def give(self, order: Order) -> OrderOutcome:
+    def send_order(self, order: Order) -> OrderOutcome:
         """Send ``order`` once, without retries."""
         body = msgspec.json.encode(order)
         headers = {"Content-Type": "application/json"}
-        reply = self._http.call("POST", "/v1/orders", body, headers)
+        reply = self._http.send_request("POST", "/v1/orders", body, headers)
         match reply:
             case Unavailable():
                 return OrderOutcome.NOT_SENT
@@ -104,28 +104,28 @@
         if reply.status in (200, 202):
             return OrderOutcome.ACCEPTED
         if reply.status == 412:
-            return OrderOutcome.REFUSED_OLD
+            return OrderOutcome.REFUSED_STALE
         return OrderOutcome.REFUSED if reply.status < 500 else OrderOutcome.UNKNOWN
 
-    def report(self) -> EngineReport | Unavailable:
+    def fetch_report(self) -> EngineReport | Unavailable:
         """Read the engine's report."""
         return self._read("/v1/state", EngineReport)
 
-    def cache_events(self, after: int, limit: int) -> CacheEvents | Unavailable:
+    def fetch_cache_events(self, after: int, limit: int) -> CacheEvents | Unavailable:
         """Read at most ``limit`` cache events numbered above ``after``."""
         return self._read(f"/v1/cache_events?after={after}&limit={limit}", CacheEvents)
 
-    def cancel(self, request_id: str) -> None:
+    def cancel_request(self, request_id: str) -> None:
         """Request the engine to stop a request; failures are ignored."""
-        self._http.call("DELETE", f"/v1/requests/{request_id}", b"", {})
+        self._http.send_request("DELETE", f"/v1/requests/{request_id}", b"", {})
 
     def _read(
         self, path: str, document_type: type[DocumentT]
     ) -> DocumentT | Unavailable:
         """Read and decode a document; retry once if the response was lost."""
-        reply = self._http.call("GET", path, b"", {})
+        reply = self._http.send_request("GET", path, b"", {})
         if isinstance(reply, Unknown):
-            reply = self._http.call("GET", path, b"", {})
+            reply = self._http.send_request("GET", path, b"", {})
         if not isinstance(reply, Reply):
             return Unavailable(reply.reason)
         if reply.status != 200:
--- a/packages/runhatch-server/src/runhatch_server/targets/_probe.py
+++ b/packages/runhatch-server/src/runhatch_server/targets/_probe.py
@@ -3,7 +3,7 @@
 import socket
 from datetime import timedelta
 
-REFUSED_WITHIN = timedelta(milliseconds=200)
+REFUSAL_TIMEOUT = timedelta(milliseconds=200)
 """Longest wait for a target to accept or refuse a connection: the host of a process
 that has ended refuses within one round trip."""
 
@@ -14,7 +14,7 @@
     A timeout is no refusal, since the network path may be interrupted.
     """
     try:
-        with socket.create_connection((host, port), REFUSED_WITHIN.total_seconds()):
+        with socket.create_connection((host, port), REFUSAL_TIMEOUT.total_seconds()):
             return False
     except ConnectionRefusedError:
         return True
--- a/packages/runhatch-server/src/runhatch_server/targets/_stream.py
+++ b/packages/runhatch-server/src/runhatch_server/targets/_stream.py
@@ -5,11 +5,11 @@
 EVENT_END = b"\n\n"
 TERMINAL_EVENT = b"data: [DONE]"
 ID_FIELD = b"id: "
-MAX_EVENT = 1_048_576
+MAX_EVENT_BYTES = 1_048_576
 
 
 class EventTooLongError(ValueError):
-    """Raised for an event of more than ``MAX_EVENT`` bytes."""
+    """Raised for an event of more than ``MAX_EVENT_BYTES`` bytes."""
 
 
 class EventSplitter:
@@ -26,7 +26,7 @@
         self._buffer = b""
 
     @property
-    def rest(self) -> bytes:
+    def incomplete_event(self) -> bytes:
         """The received bytes of an incomplete event."""
         return self._buffer
 
@@ -39,14 +39,14 @@
         *events, self._buffer = self._buffer.split(EVENT_END)
         for event in events:
             yield event + EVENT_END
-        if len(self._buffer) > MAX_EVENT:
-            raise EventTooLongError(f"event exceeds {MAX_EVENT} bytes")
+        if len(self._buffer) > MAX_EVENT_BYTES:
+            raise EventTooLongError(f"event exceeds {MAX_EVENT_BYTES} bytes")
 
 
-def is_terminal(event: bytes) -> bool:
+def is_terminal_event(event: bytes) -> bool:
     """Return whether ``event`` ends a complete stream.
 
-    >>> is_terminal(b"id: 7\\ndata: [DONE]\\n\\n")
+    >>> is_terminal_event(b"id: 7\\ndata: [DONE]\\n\\n")
     True
     """
     return TERMINAL_EVENT in event and any(
@@ -54,10 +54,10 @@
     )
 
 
-def event_id(event: bytes) -> bytes | None:
+def parse_event_id(event: bytes) -> bytes | None:
     r"""Return the event's id, ``None`` if it has none.
 
-    >>> event_id(b"event: x\nid: 7\ndata: y\n\n")
+    >>> parse_event_id(b"event: x\nid: 7\ndata: y\n\n")
     b'7'
     """
     for line in event.split(b"\n"):
@@ -66,7 +66,7 @@
     return None
 
 
-def event_data(event: bytes) -> bytes:
+def parse_event_data(event: bytes) -> bytes:
     """Return the event's data lines, joined by newlines."""
     prefix = b"data: "
     lines = [line for line in event.split(b"\n") if line.startswith(prefix)]
--- a/packages/runhatch-server/tests/gateway_cases.py
+++ b/packages/runhatch-server/tests/gateway_cases.py
@@ -69,7 +69,7 @@
 
 def make_directory(clock, *targets):
     directory = TargetDirectory(clock)
-    directory.listed(tuple(Entry(t.name, t) for t in targets))
+    directory.replace_entries(tuple(Entry(t.name, t) for t in targets))
     return directory
 
 
@@ -80,10 +80,10 @@
 def make_balancer(directory, clock, failure_domain="d1", seed=1, **callbacks):
     """Return a balancer; callbacks that are not given do nothing."""
     defaults = {
-        "on_missing": do_nothing,
+        "on_missing_model": do_nothing,
         "has_connection": lambda target: True,
         "on_change": do_nothing,
-        "on_leaving": do_nothing,
+        "on_draining": do_nothing,
     }
     limits = RateLimits(clock, Metrics())
     balancer = Balancer(
--- a/packages/runhatch-server/tests/late_world.py
+++ b/packages/runhatch-server/tests/late_world.py
@@ -71,7 +71,7 @@
         self.vm = vm
         self.waiting = []
         membership = Membership(vm, cluster.clock)
-        membership.learn(MemberFact(each, Standing.ALIVE) for each in vms)
+        membership.merge_facts(MemberFact(each, Standing.ALIVE) for each in vms)
         fleet = [make_target(name, "plain", ()) for name in targets]
         directory = make_directory(cluster.clock, *fleet)
         self.balancer = make_balancer(directory, cluster.clock, seed=int(vm.name[1:]))
@@ -113,7 +113,7 @@
         """Return the counts of all permits by outcome."""
         counted = Counter()
         for node in self.nodes.values():
-            for metric in node.limits._metrics.permits.collect():
+            for metric in node.limits._metrics.permit_requests.collect():
                 for sample in metric.samples:
                     if sample.name.endswith("_total"):
                         counted[sample.labels["outcome"]] += int(sample.value)
--- a/packages/runhatch-server/tests/rate_limit_cases.py
+++ b/packages/runhatch-server/tests/rate_limit_cases.py
@@ -12,7 +12,7 @@
     seconds,
 )
 
-from runhatch_coordination import MemberFact, Membership, Standing, Vm, rank
+from runhatch_coordination import MemberFact, Membership, Standing, Vm, rank_names
 from runhatch_server.decisions import TriedTargets
 from runhatch_server.gateway._grant import Grant
 from runhatch_server.gateway._permits import PermitExchange
@@ -63,11 +63,11 @@
                 continue
             self.messages += 1
             member = Member(sender.vm.name, "d", sender.vm.name, 1, Standing.ALIVE)
-            receiver.exchange.take_in(fact, member)
+            receiver.exchange.handle_message(fact, member)
         self.delivering = False
 
     def allocator(self):
-        return self.nodes[rank("t1", self.nodes)[0]]
+        return self.nodes[rank_names("t1", self.nodes)[0]]
 
 
 class Node:
@@ -77,7 +77,7 @@
         self.vm = vm
         self.silent = False
         self.membership = Membership(vm, cluster.clock)
-        self.membership.learn(MemberFact(each, Standing.ALIVE) for each in vms)
+        self.membership.merge_facts(MemberFact(each, Standing.ALIVE) for each in vms)
         directory = make_directory(cluster.clock, make_target("t1"))
         self.balancer = make_balancer(directory, cluster.clock)
         self.limits = self.balancer.limits
@@ -99,4 +99,4 @@
 
     def suspect(self, vms):
         """Record other nodes as suspected to have failed."""
-        self.membership.learn(MemberFact(vm, Standing.SUSPECT) for vm in vms)
+        self.membership.merge_facts(MemberFact(vm, Standing.SUSPECT) for vm in vms)
--- a/packages/runhatch-server/tests/server_cases.py
+++ b/packages/runhatch-server/tests/server_cases.py
@@ -17,7 +17,7 @@
         method="POST",
         path="/",
         priority=priority,
-        received=now,
+        received_at=now,
         deadline=now + timedelta(seconds=seconds),
         idempotent=True,
         key=None,
--- a/packages/runhatch-server/tests/test_admission.py
+++ b/packages/runhatch-server/tests/test_admission.py
@@ -88,10 +88,10 @@
         case.report_peer_load("t1", waiting_ms, busy=busy)
         if not is_admitted:
             request = make_request(clock, route, tokens=300)
-            delayed = replace(request, received=request.received_at - seconds(0.2))
+            delayed = replace(request, received_at=request.received_at - seconds(0.2))
             answer = case.balancer.acquire(delayed, TriedTargets(), never_disconnected)
             assert answer.reason is Reason.TOO_BUSY
-            assert answer.judged_by.pause_ms > MAX_GAP / milliseconds(1) * 0.85
+            assert answer.prediction.pause_ms > MAX_GAP / milliseconds(1) * 0.85
         else:
             assert isinstance(case.acquire(route), Grant)
 
--- a/packages/runhatch-server/tests/test_attempts.py
+++ b/packages/runhatch-server/tests/test_attempts.py
@@ -17,7 +17,7 @@
     Attempter,
     Dispatcher,
     Hosting,
-    Picture,
+    PlacementCache,
     TargetIncarnations,
 )
 from runhatch_server.serving._attempts import RequestContext
@@ -30,7 +30,7 @@
 
 FAILED = NotSent(AttemptReason.CONNECT_FAILED)
 BUSY = RefusedNotRun(AttemptReason.TARGET_BUSY)
-BROKEN = UnknownResult(AttemptReason.BROKEN)
+BROKEN = UnknownResult(AttemptReason.CONNECTION_BROKEN)
 
 
 class ScriptedClient:
@@ -47,10 +47,10 @@
 
 @pytest.fixture
 def picture(deployment):
-    picture = Picture()
-    picture.configure(deployment)
+    picture = PlacementCache()
+    picture.set_deployment(deployment)
     for index in range(3):
-        picture.learn(Hosting(f"w{index}", 1, ("m0@1",)))
+        picture.apply_hosting(Hosting(f"w{index}", 1, ("m0@1",)))
     return picture
 
 
@@ -95,7 +95,7 @@
         trace = RequestTrace("r", "m", "c", 3, clock.now())
         log = RequestLog("r", "m", "c")
         context = RequestContext(request, "x", trace, log, lambda: False)
-        refusals.append(attempter.open(context))
+        refusals.append(attempter.open_answer(context))
     return refusals, client
 
 
@@ -149,14 +149,14 @@
         refusals, client = open_requests(picture, [BROKEN], requests=6, crashes=crashes)
 
         assert len(client.urls) == 2
-        assert {refusal.reason for refusal in refusals} == {Reason.ENDS_TARGETS}
+        assert {refusal.reason for refusal in refusals} == {Reason.CRASHES_TARGETS}
         assert refusals[0].executed is Executed.UNKNOWN
         assert refusals[-1].executed is Executed.NO
 
     def test_incarnations_of_one_target_count_separately(self, picture):
         """Two crashes of one restarting target count like those of two targets."""
-        picture.learn(Hosting("w1", 2, ()))
-        picture.learn(Hosting("w2", 2, ()))
+        picture.apply_hosting(Hosting("w1", 2, ()))
+        picture.apply_hosting(Hosting("w2", 2, ()))
         crashes = make_crash_watch(SystemClock(), FakeTargetLives("w0"))
 
         _, client = open_requests(
--- a/packages/runhatch-server/tests/test_balancer.py
+++ b/packages/runhatch-server/tests/test_balancer.py
@@ -46,8 +46,8 @@
         self.balancer = make_balancer(
             self.directory,
             clock,
-            on_missing=self.missing.append,
-            on_leaving=self.draining_targets.append,
+            on_missing_model=self.missing.append,
+            on_draining=self.draining_targets.append,
         )
 
     def acquire(
@@ -94,8 +94,8 @@
 
     def test_prompt_goes_to_target_with_cached_prefix(self, two_targets):
         first = two_targets.acquire()
-        two_targets.balancer.started(first)
-        two_targets.balancer.released(first, faulty=False)
+        two_targets.balancer.record_first_byte(first)
+        two_targets.balancer.release(first, target_failed=False)
 
         again = two_targets.acquire()
 
@@ -103,7 +103,7 @@
 
     def test_target_that_failed_a_request_is_avoided(self, two_targets):
         grant = two_targets.acquire()
-        two_targets.balancer.released(grant, faulty=True)
+        two_targets.balancer.release(grant, target_failed=True)
 
         chosen = [two_targets.acquire().target for _ in range(2)]
 
@@ -114,7 +114,7 @@
         two_targets.clock.advance(seconds(1.5))
         for _ in range(3):
             fresh = two_targets.acquire()
-            two_targets.balancer.started(fresh)
+            two_targets.balancer.record_first_byte(fresh)
             assert fresh.target != waiting.target
 
     def test_previously_tried_target_is_chosen_last(self, two_targets):
@@ -123,7 +123,7 @@
 
     def test_unreachable_target_is_excluded_temporarily(self, two_targets):
         grant = two_targets.acquire()
-        two_targets.balancer.unreachable(grant)
+        two_targets.balancer.release_unreachable(grant)
 
         assert two_targets.acquire().target != grant.target
         assert not two_targets.balancer.is_down(grant.target.incarnation)
@@ -162,7 +162,7 @@
         assert isinstance(answer, Grant) is taken
         if not taken:
             assert answer.reason is Reason.TOO_BUSY
-            assert answer.judged_by.busy == pytest.approx(busy)
+            assert answer.prediction.busy_share == pytest.approx(busy)
 
     def test_target_with_short_queue_accepts_despite_high_busy_share(self, clock):
         harness = BalancerHarness(clock, make_target())
@@ -196,7 +196,7 @@
         harness = BalancerHarness(clock, make_target())
         harness.report_peer_load("t1", waiting_ms=1_000.0, waiting=5, busy=0.9)
         request = make_request(clock)
-        work = replace(request.work, expected_output=200)
+        work = replace(request.work, expected_output_tokens=200)
 
         answer = harness.acquire(replace(request, work=work))
 
@@ -233,7 +233,7 @@
 
     def announce_load(self, harness, model, at):
         load = ExpectedLoad("t1", model, harness.clock.elapsed() + seconds(at))
-        harness.directory.told("t1", HeldModels({"m0": frozenset()}), (load,))
+        harness.directory.record_report("t1", HeldModels({"m0": frozenset()}), (load,))
 
     def test_missing_model_is_reported_at_once(self, clock):
         harness = BalancerHarness(clock, make_target())
@@ -316,13 +316,13 @@
         grant = harness.acquire()
         harness.balancer.back_off_target(grant, seconds(10))
         harness.balancer.release(grant, target_failed=False)
-        harness.directory.listed(())
+        harness.directory.replace_entries(())
         harness.directory.remove_expired()
         clock.advance(seconds(3))
         harness.directory.remove_expired()
         harness.balancer.delete_unknown_targets()
-        harness.directory.listed((Entry("t1", target),))
+        harness.directory.replace_entries((Entry("t1", target),))
 
-        assert harness.acquire().reason is Reason.TARGETS_REST
+        assert harness.acquire().reason is Reason.TARGETS_BACK_OFF
         clock.advance(seconds(8))
         assert isinstance(harness.acquire(), Grant)
--- a/packages/runhatch-server/tests/test_cache_intake.py
+++ b/packages/runhatch-server/tests/test_cache_intake.py
@@ -4,8 +4,8 @@
 
 from runhatch_coordination import SystemClock, Unavailable
 from runhatch_server.observability import Metrics
-from runhatch_server.serving import CacheIntake, Dispatcher, Picture
-from runhatch_server.serving._cache_intake import EVENTS_A_READ
+from runhatch_server.serving import CacheEventReader, Dispatcher, PlacementCache
+from runhatch_server.serving._cache_intake import MAX_EVENTS_PER_READ
 from runhatch_server.targets import CacheEvent, CacheEvents
 
 BLOCKS = tuple(f"b{i}" for i in range(4))
@@ -26,7 +26,7 @@
             self.published.append(CacheEvent(self.last, block, stored))
         self.last += lost
 
-    def cache_events(self, after, limit):
+    def fetch_cache_events(self, after, limit):
         self.reads += 1
         if self.is_unavailable:
             return Unavailable("silent")
@@ -46,8 +46,8 @@
 
 @pytest.fixture
 def dispatcher(deployment):
-    picture = Picture()
-    picture.configure(deployment)
+    picture = PlacementCache()
+    picture.set_deployment(deployment)
     dispatcher = Dispatcher(picture, SystemClock(), "d0", 8, 0.5, seed=1)
     dispatcher._prefixes.record_blocks("w0", BLOCKS)
     return dispatcher
@@ -55,7 +55,7 @@
 
 @pytest.fixture
 def intake(dispatcher, engines):
-    intake = CacheIntake(
+    intake = CacheEventReader(
         dispatcher, dispatcher._picture, Metrics(), 2, engines.__getitem__
     )
     intake.read_round()
@@ -82,16 +82,16 @@
         """Dropped blocks are removed; missing events change nothing."""
         engine.publish(*events, lost=lost)
         intake.read_round()
-        assert dispatcher._prefixes.matched("w0", BLOCKS) == matched
+        assert dispatcher._prefixes.count_matching("w0", BLOCKS) == matched
 
     def test_blocks_of_other_nodes_are_added_only_if_known(
         self, dispatcher, intake, engine
     ):
         """A block stored by another node's request is added only if known here."""
-        dispatcher._prefixes.stored("w1", ("shared",))
+        dispatcher._prefixes.record_blocks("w1", ("shared",))
         engine.publish(("shared", True), ("never met", True))
         intake.read_round()
-        assert dispatcher._prefixes.matched("w0", ("shared",)) == 1
+        assert dispatcher._prefixes.count_matching("w0", ("shared",)) == 1
         assert not dispatcher._prefixes.is_known("never met")
 
     def test_restart_removes_the_engine_from_the_index(
@@ -109,20 +109,20 @@
         """The entries of an engine that cannot be read stay in the index."""
         engine.is_unavailable = True
         intake.read_round()
-        assert dispatcher._prefixes.matched("w0", BLOCKS) == 4
+        assert dispatcher._prefixes.count_matching("w0", BLOCKS) == 4
 
     def test_reader_far_behind_skips_the_oldest_events(
         self, dispatcher, intake, engine
     ):
         """A reader that cannot keep up continues with the newest events."""
-        engine.publish(*[("x", True)] * 10 * EVENTS_A_READ)
+        engine.publish(*[("x", True)] * 10 * MAX_EVENTS_PER_READ)
         intake.read_round()
-        assert intake._cursors["w0"] == engine.last - EVENTS_A_READ
+        assert intake._cursors["w0"] == engine.last - MAX_EVENTS_PER_READ
 
     def test_round_reads_a_limited_number_of_engines(self, dispatcher, intake, engines):
         """A round reads two of three engines, and the rounds rotate over all."""
         for name in ("w1", "w2"):
-            dispatcher._prefixes.stored(name, BLOCKS)
+            dispatcher._prefixes.record_blocks(name, BLOCKS)
         before = sum(engine.reads for engine in engines.values())
         for _ in range(3):
             intake.read_round()
--- a/packages/runhatch-server/tests/test_candidates.py
+++ b/packages/runhatch-server/tests/test_candidates.py
@@ -13,7 +13,7 @@
 from runhatch_server.refusals import Reason
 
 NOW = seconds(100)
-BACKING_OFF = Reason.TARGETS_REST
+BACKING_OFF = Reason.TARGETS_BACK_OFF
 TARGETS = {name: make_target(name) for name in ("a", "b", "c")}
 
 
--- a/packages/runhatch-server/tests/test_configuration.py
+++ b/packages/runhatch-server/tests/test_configuration.py
@@ -6,13 +6,13 @@
 from server_cases import deployment_document
 
 from runhatch_coordination import RevisionFeed, RevisionLog, Unavailable
-from runhatch_coordination.testing import MemoryObjects, MemoryTable
+from runhatch_coordination.testing import MemoryObjectStore, MemoryTable
 from runhatch_server._errors import DeploymentError
 from runhatch_server.configuration import (
     Applied,
     ConfigurationService,
     Invalid,
-    Overruled,
+    RevisionConflict,
     parse_deployment,
 )
 
@@ -63,7 +63,7 @@
 
     @pytest.fixture
     def objects(self):
-        return MemoryObjects()
+        return MemoryObjectStore()
 
     @pytest.fixture
     def service(self, objects, clock):
@@ -72,19 +72,21 @@
 
     def test_invalid_document_changes_nothing(self, service):
         """An invalid document publishes no revision."""
-        assert isinstance(service.apply(b'{"x": 1}', 0, "o", ""), Invalid)
+        assert isinstance(service.publish_document(b'{"x": 1}', 0, "o", ""), Invalid)
         assert service.feed.number == 0
 
     def test_conflict_returns_difference(self, service):
         """A conflicting change returns the difference to the published revision."""
-        assert service.apply(encode_document(), 0, "a", "") == Applied(1)
-        outcome = service.apply(encode_document(adapters=[]), 0, "b", "")
-        assert isinstance(outcome, Overruled)
+        assert service.publish_document(encode_document(), 0, "a", "") == Applied(1)
+        outcome = service.publish_document(encode_document(adapters=[]), 0, "b", "")
+        assert isinstance(outcome, RevisionConflict)
         assert outcome.head == 1
         assert '-      "name": "a0"' in outcome.difference
 
     def test_object_store_outage_changes_nothing(self, service, objects):
         """A change is rejected while the object store is unavailable."""
-        objects.down = True
-        assert isinstance(service.apply(encode_document(), 0, "a", ""), Unavailable)
+        objects.is_down = True
+        assert isinstance(
+            service.publish_document(encode_document(), 0, "a", ""), Unavailable
+        )
         assert service.feed.number == 0
--- a/packages/runhatch-server/tests/test_copies.py
+++ b/packages/runhatch-server/tests/test_copies.py
@@ -55,7 +55,9 @@
 
 
 def as_tuples(planner, view):
-    return [(load.model, load.target, load.evict) for load in planner.plan(view)]
+    return [
+        (load.model, load.target, load.evictions) for load in planner.plan_copies(view)
+    ]
 
 
 def make_two_targets():
--- a/packages/runhatch-server/tests/test_crashes.py
+++ b/packages/runhatch-server/tests/test_crashes.py
@@ -55,38 +55,38 @@
 
     def test_request_that_ended_two_targets_is_refused(self, case):
         case.end_target("t0")
-        assert case.watch.judge("x") is None
+        assert case.watch.check_request("x") is None
         case.end_target("t1")
 
-        refusal = case.watch.judge("x")
+        refusal = case.watch.check_request("x")
 
-        assert refusal.reason is Reason.ENDS_TARGETS
+        assert refusal.reason is Reason.CRASHES_TARGETS
         assert refusal.executed is Executed.NO
         assert refusal.retry_after is None
-        assert case.watch.judge("another") is None
-        assert case.targets.ends == ["t0", "t1"]
+        assert case.watch.check_request("another") is None
+        assert case.targets.ended_targets == ["t0", "t1"]
 
     def test_aborts_by_a_running_target_are_ignored(self, clock, case):
         """A target may abort many connections and still answer other requests."""
         for _ in range(23):
             for target in TARGETS:
-                case.watch.cut_off("x", target)
+                case.watch.record_abort("x", target)
             clock.advance(seconds(2))
             for target in TARGETS:
                 case.answer_request(target, "y")
-            case.watch.settle()
+            case.watch.check_targets()
 
-        assert case.watch.judge("x") is None
+        assert case.watch.check_request("x") is None
 
     def test_requests_aborted_together_cause_one_probe(self, clock, case):
         for number in range(15):
             case.end_target("t0", f"x{number}")
 
-        assert case.targets.looks == 1
-        assert b"ended_targets_total 1.0" in case.metrics.exposition()
+        assert case.targets.check_count == 1
+        assert b"ended_targets_total 1.0" in case.metrics.render_exposition()
         clock.advance(PROBE_TTL)
         case.end_target("t1")
-        assert case.targets.looks == 2
+        assert case.targets.check_count == 2
 
     @pytest.mark.parametrize(
         "standing", [TargetStanding.DRAINING, TargetStanding.REMOVED]
@@ -95,10 +95,10 @@
         for target in TARGETS[:2]:
             case.targets.standings[target] = standing
             case.end_target(target)
-            case.watch.unfinished("x", target)
-        case.watch.settle()
+            case.watch.record_abandoned("x", target)
+        case.watch.check_targets()
 
-        assert case.watch.judge("x") is None
+        assert case.watch.check_request("x") is None
 
 
 class TestDelayedDetection:
@@ -118,49 +118,49 @@
         for target in TARGETS[:2]:
             report_abort(case.watch, "x", target)
             clock.advance(delay)
-            case.watch.settle()
+            case.watch.check_targets()
             case.targets.standings[target] = TargetStanding.REMOVED
-            case.watch.settle()
+            case.watch.check_targets()
 
-        assert (case.watch.judge("x") is not None) == held
+        assert (case.watch.check_request("x") is not None) == held
 
     def test_target_that_stops_listening_later_counts(self, clock, case):
         for target in TARGETS[:2]:
-            case.watch.cut_off("x", target)
-            assert case.watch.doubts.is_set()
+            case.watch.record_abort("x", target)
+            assert case.watch.recheck_requested.is_set()
             case.targets.refusing.add(target)
             clock.advance(REPROBE_DELAY)
-            case.watch.settle()
+            case.watch.check_targets()
 
-        assert case.watch.judge("x") is not None
+        assert case.watch.check_request("x") is not None
 
     def test_target_that_drains_first_ends_as_planned(self, case):
         for target in TARGETS[:2]:
-            case.watch.unfinished("x", target)
+            case.watch.record_abandoned("x", target)
             for standing in (TargetStanding.DRAINING, TargetStanding.REMOVED):
                 case.targets.standings[target] = standing
-                case.watch.settle()
+                case.watch.check_targets()
 
-        assert case.watch.judge("x") is None
+        assert case.watch.check_request("x") is None
 
     def test_abandoned_request_causes_no_probe(self, case):
-        case.watch.unfinished("x", "t0")
-        case.watch.settle()
+        case.watch.record_abandoned("x", "t0")
+        case.watch.check_targets()
 
-        assert case.targets.looks == 0
+        assert case.targets.check_count == 0
 
     def test_number_of_probes_of_a_target_is_limited(self, clock, case):
         for _ in range(40):
-            case.watch.cut_off("x", "t0")
+            case.watch.record_abort("x", "t0")
             clock.advance(REPROBE_DELAY)
-            case.watch.settle()
-        assert case.targets.looks <= 2 * 40 * REPROBE_DELAY / PROBE_TTL
-        case.targets.looks = 0
+            case.watch.check_targets()
+        assert case.targets.check_count <= 2 * 40 * REPROBE_DELAY / PROBE_TTL
+        case.targets.check_count = 0
         for _ in range(200):
             clock.advance(REPROBE_DELAY)
-            case.watch.settle()
+            case.watch.check_targets()
 
-        assert case.targets.looks <= 2 * PROBE_WINDOW / PROBE_TTL
+        assert case.targets.check_count <= 2 * PROBE_WINDOW / PROBE_TTL
 
 
 class TestUpdates:
@@ -168,18 +168,18 @@
 
     def test_updates_are_returned_once(self, case):
         case.end_target("t0")
-        ends, cleared = case.watch.take_news()
+        ends, cleared = case.watch.take_updates()
 
         assert [(end.fingerprint, end.target) for end in ends] == [("x", "t0")]
         assert cleared == []
-        assert case.watch.take_news() == ([], [])
+        assert case.watch.take_updates() == ([], [])
 
     def test_only_new_ends_from_peers_are_forwarded(self, clock, case):
         end = ObservedEnd("x", "elsewhere", clock.elapsed())
-        case.watch.told([end])
-        case.watch.told([end])
+        case.watch.receive_ends([end])
+        case.watch.receive_ends([end])
 
-        assert case.watch.take_news() == ([end], [])
+        assert case.watch.take_updates() == ([end], [])
         assert case.notifications == 1
 
     def test_answer_clears_a_request_on_all_nodes(self, clock, case):
@@ -189,10 +189,10 @@
                 [ObservedEnd("x", f"t{i}", clock.elapsed()) for i in range(2)]
             )
         case.answer_request("t3", "x")
-        _, cleared = case.watch.take_news()
+        _, cleared = case.watch.take_updates()
         other.watch.receive_cleared(cleared)
 
-        assert case.watch.judge("x") is other.watch.check_request("x") is None
+        assert case.watch.check_request("x") is other.watch.check_request("x") is None
 
 
 class TestKnownTargets:
@@ -211,7 +211,7 @@
         directory = make_directory(clock, target)
         clock.advance(seconds(5))
         value = None if state is None else replace(target, state=state)
-        directory.changed((Entry(target.name, value),))
+        directory.apply_entries((Entry(target.name, value),))
         known = KnownTargets(directory, ConnectionPool(clock))
 
         assert known.standing("t1") is standing
--- a/packages/runhatch-server/tests/test_directory.py
+++ b/packages/runhatch-server/tests/test_directory.py
@@ -31,7 +31,7 @@
     def test_draining_target_gets_no_more_work(self, clock):
         directory = make_directory(clock, make_target())
 
-        directory.changed((make_entry(make_target(state=TargetState.DRAINING)),))
+        directory.apply_entries((make_entry(make_target(state=TargetState.DRAINING)),))
 
         assert directory.ready_targets("engine") == ()
 
@@ -39,7 +39,7 @@
         directory = make_directory(clock, make_target())
         clock.advance(seconds(10))
 
-        directory.changed((Entry("t1", None),))
+        directory.apply_entries((Entry("t1", None),))
 
         assert directory.get("t1") is None
 
@@ -47,7 +47,7 @@
         directory = make_directory(clock, make_target("t1"))
         clock.advance(seconds(10))
 
-        directory.changed(
+        directory.apply_entries(
             (Entry("t1", None), make_entry(make_target("t2", service="plain")))
         )
 
@@ -66,7 +66,7 @@
         directory = make_directory(clock, make_target())
 
         assert directory.record_draining("t1")
-        directory.changed((make_entry(make_target()),))
+        directory.apply_entries((make_entry(make_target()),))
 
         assert directory.ready_targets("engine") == ()
         assert directory.holders("engine", "m0", "") == []
@@ -85,17 +85,17 @@
         """
         directory = make_directory(clock, make_target())
         directory.record_draining("t1")
-        directory.listed(())
+        directory.replace_entries(())
         clock.advance(seconds(3))
         directory.remove_expired()
-        directory.listed((make_entry(make_target()),))
+        directory.replace_entries((make_entry(make_target()),))
 
         assert directory.ready_targets("engine") == ()
 
     def test_drain_known_before_listing_applies_to_the_entry(self, clock):
         directory = make_directory(clock)
         directory.record_draining("t1")
-        directory.changed((make_entry(make_target()),))
+        directory.apply_entries((make_entry(make_target()),))
 
         assert directory.ready_targets("engine") == ()
 
@@ -111,7 +111,7 @@
         directory = make_directory(clock, make_target(started_at_seconds=1))
         directory.record_draining("t1@1000")
 
-        directory.changed((make_entry(make_target(started_at_seconds=2)),))
+        directory.apply_entries((make_entry(make_target(started_at_seconds=2)),))
 
         assert incarnations(directory.ready_targets("engine")) == ["t1@2000"]
 
@@ -126,7 +126,7 @@
         directory.record_report("t1@100000", HeldModels({"m5": frozenset()}), ())
         load = ExpectedLoad("t1@100000", "m7", seconds(9))
         directory.record_report("t1@100000", HeldModels({"m5": frozenset()}), (load,))
-        directory.changed(
+        directory.apply_entries(
             (make_entry(make_target(models=["m1"], started_at_seconds=born)),)
         )
         return directory
@@ -172,7 +172,7 @@
 
     def test_overwritten_older_entry_is_discarded(self, clock):
         directory = self.directory_after_restart(clock, born=50)
-        directory.changed(
+        directory.apply_entries(
             (make_entry(make_target(models=["m0"], started_at_seconds=100)),)
         )
         clock.advance(seconds(5))
@@ -188,10 +188,10 @@
     def directory_after_outage(self, clock):
         directory = make_directory(clock, make_target())
         clock.advance(seconds(10))
-        directory.unreachable("down")
+        directory.handle_outage("down")
         clock.advance(seconds(5))
-        directory.reachable()
-        directory.listed(())
+        directory.handle_recovery()
+        directory.replace_entries(())
         return directory
 
     def test_missing_target_stays_during_grace_period(self, clock):
@@ -212,7 +212,7 @@
 
     def test_relisted_target_stays(self, clock):
         directory = self.directory_after_outage(clock)
-        directory.changed((make_entry(make_target()),))
+        directory.apply_entries((make_entry(make_target()),))
 
         clock.advance(seconds(2))
         directory.remove_expired()
@@ -246,7 +246,7 @@
         assert directory.holders("engine", "m0", "") == []
 
         clock.advance(seconds(9))
-        directory.changed((make_entry(make_target()),))
+        directory.apply_entries((make_entry(make_target()),))
 
         assert incarnations(directory.holders("engine", "m0", "")) == ["t1"]
 
@@ -307,7 +307,7 @@
         directory = self.directory(clock)
         directory.record_report("t2", HeldModels({"m7": frozenset()}), ())
 
-        directory.changed((make_entry(make_target("t9")),))
+        directory.apply_entries((make_entry(make_target("t9")),))
 
         assert incarnations(directory.holders("engine", "m7", "")) == ["t2"]
         assert incarnations(directory.ready_targets("engine")) == [
@@ -321,7 +321,9 @@
 
     def test_report_does_not_make_draining_target_ready(self, clock):
         directory = self.directory(clock)
-        directory.changed((make_entry(make_target("t2", state=TargetState.DRAINING)),))
+        directory.apply_entries(
+            (make_entry(make_target("t2", state=TargetState.DRAINING)),)
+        )
 
         directory.record_report("t2", HeldModels({"m7": frozenset()}), ())
 
@@ -335,8 +337,8 @@
         directory = make_directory(clock, make_target("t1"), make_target("t2"))
         clock.advance(seconds(10))
 
-        directory.restored()
-        directory.listed((make_entry(make_target("t1")),))
+        directory.handle_restoration()
+        directory.replace_entries((make_entry(make_target("t1")),))
         assert incarnations(directory.ready_targets("engine")) == ["t1", "t2"]
 
         clock.advance(seconds(2))
@@ -345,10 +347,12 @@
 
     def test_draining_target_stays_draining(self, clock):
         directory = make_directory(clock, make_target("t1"))
-        directory.changed((make_entry(make_target("t1", state=TargetState.DRAINING)),))
+        directory.apply_entries(
+            (make_entry(make_target("t1", state=TargetState.DRAINING)),)
+        )
 
-        directory.restored()
-        directory.listed((make_entry(make_target("t1")),))
+        directory.handle_restoration()
+        directory.replace_entries((make_entry(make_target("t1")),))
 
         assert directory.ready_targets("engine") == ()
 
@@ -356,14 +360,16 @@
     def test_removed_target_returns_only_if_it_writes_again(self, clock, writes_again):
         directory = make_directory(clock, make_target("t1"), make_target("t2"))
         clock.advance(seconds(10))
-        directory.changed((Entry("t1", None),))
+        directory.apply_entries((Entry("t1", None),))
 
-        directory.restored()
-        directory.listed((make_entry(make_target("t1")), make_entry(make_target("t2"))))
+        directory.handle_restoration()
+        directory.replace_entries(
+            (make_entry(make_target("t1")), make_entry(make_target("t2")))
+        )
         assert incarnations(directory.ready_targets("engine")) == ["t2"]
 
         changed = make_entry(make_target("t1")) if writes_again else Entry("t1", None)
-        directory.changed((changed,))
+        directory.apply_entries((changed,))
         clock.advance(seconds(10))
         directory.remove_expired()
         assert ("t1" in incarnations(directory.ready_targets("engine"))) is writes_again
--- a/packages/runhatch-server/tests/test_dispatch.py
+++ b/packages/runhatch-server/tests/test_dispatch.py
@@ -9,15 +9,15 @@
 
 from runhatch_coordination import SystemClock
 from runhatch_server.refusals import Reason, Refusal
-from runhatch_server.serving import Dispatcher, Grant, Hosting, Picture
+from runhatch_server.serving import Dispatcher, Grant, Hosting, PlacementCache
 from runhatch_server.targets import AttemptReason, NotSent, RefusedNotRun
 
 
 @pytest.fixture
 def picture(deployment):
-    picture = Picture()
-    picture.configure(deployment)
-    picture.learn(Hosting("w0", 1, ("m0@1",)))
+    picture = PlacementCache()
+    picture.set_deployment(deployment)
+    picture.apply_hosting(Hosting("w0", 1, ("m0@1",)))
     return picture
 
 
@@ -36,9 +36,9 @@
 
 def wait_until_queued(dispatcher, count):
     wait_until = time.monotonic() + QUEUE_TIMEOUT
-    while dispatcher.queued < count:
+    while dispatcher.queued_count < count:
         assert time.monotonic() < wait_until, (
-            f"{dispatcher.queued} of {count} are queued"
+            f"{dispatcher.queued_count} of {count} are queued"
         )
         time.sleep(0.001)
 
@@ -74,8 +74,8 @@
             threads.append(acquire_in_thread(dispatcher, request, results))
             wait_until_queued(dispatcher, count)
         for grant in grants[:3]:
-            dispatcher.completed(grant, timedelta(), None)
-            still_queued = dispatcher.queued
+            dispatcher.release_completed(grant, timedelta(), None)
+            still_queued = dispatcher.queued_count
             while len(results) < 3 - still_queued:
                 time.sleep(0.001)
         for thread in threads:
@@ -114,14 +114,14 @@
         refused = dispatcher.acquire(make_request("more", "greedy"))
         assert refused.reason is Reason.CALLER_SHARE
         for grant in grants:
-            dispatcher.completed(grant, timedelta(), None)
+            dispatcher.release_completed(grant, timedelta(), None)
         for thread in threads:
             thread.join()
         assert all(isinstance(grant, Grant) for _, grant in results)
 
     def test_draining_target_gets_no_requests(self, dispatcher):
         """A draining target gets no new request."""
-        dispatcher.drain(frozenset({"w0"}))
+        dispatcher.set_draining(frozenset({"w0"}))
         refused = dispatcher.acquire(make_request(seconds=0.05))
         assert isinstance(refused, Refusal)
 
@@ -131,8 +131,8 @@
         results = []
         thread = acquire_in_thread(dispatcher, make_request("w"), results)
         wait_until_queued(dispatcher, 1)
-        picture.learn(Hosting("w1", 1, ("m0@1",)))
-        dispatcher.picture_changed()
+        picture.apply_hosting(Hosting("w1", 1, ("m0@1",)))
+        dispatcher.grant_free_slots()
         thread.join()
         assert results[0][1].host.target == "w1"
 
@@ -140,19 +140,19 @@
         """A target that refuses for load gets fewer requests."""
         grants = acquire_slots(dispatcher)
         busy = RefusedNotRun(AttemptReason.TARGET_BUSY)
-        dispatcher.failed(grants[0], busy)
-        assert dispatcher.loads()["w0"] == (3, 2)
+        dispatcher.release_failed(grants[0], busy)
+        assert dispatcher.target_loads()["w0"] == (3, 2)
 
     def test_failing_target_is_ejected(self, dispatcher, picture):
         """After three failures requests go to the other replica."""
-        picture.learn(Hosting("w1", 1, ("m0@1",)))
+        picture.apply_hosting(Hosting("w1", 1, ("m0@1",)))
         failed = 0
         while failed < 3:
             grant = dispatcher.acquire(make_request())
             if grant.host.target == "w1":
-                dispatcher.completed(grant, timedelta(), None)
+                dispatcher.release_completed(grant, timedelta(), None)
                 continue
-            dispatcher.failed(grant, NotSent(AttemptReason.CONNECT_FAILED))
+            dispatcher.release_failed(grant, NotSent(AttemptReason.CONNECT_FAILED))
             failed += 1
         grants = acquire_slots(dispatcher)
         assert {grant.host.target for grant in grants} == {"w1"}
@@ -162,7 +162,7 @@
         for _ in range(10):
             grant = dispatcher.acquire(make_request())
             assert isinstance(grant, Grant)
-            dispatcher.failed(grant, NotSent(AttemptReason.CONNECT_FAILED))
+            dispatcher.release_failed(grant, NotSent(AttemptReason.CONNECT_FAILED))
 
 
 class TestBackoff:
@@ -172,7 +172,7 @@
         busy = RefusedNotRun(
             AttemptReason.TARGET_BUSY, timedelta(seconds=backoff_seconds)
         )
-        dispatcher.failed(grant, busy)
+        dispatcher.release_failed(grant, busy)
 
     def test_requests_are_refused_with_the_backoff_as_retry_after(self, dispatcher):
         """If all targets back off, the refusal says how long, plus jitter."""
@@ -181,12 +181,12 @@
 
         refusal = dispatcher.acquire(make_request("r"))
 
-        assert refusal.reason is Reason.TARGETS_REST
+        assert refusal.reason is Reason.TARGETS_BACK_OFF
         assert timedelta(seconds=29) < refusal.retry_after < timedelta(seconds=38)
 
     def test_another_replica_serves_during_the_backoff(self, dispatcher, picture):
         """Requests go to replicas that do not back off."""
-        picture.learn(Hosting("w1", 1, ("m0@1",)))
+        picture.apply_hosting(Hosting("w1", 1, ("m0@1",)))
         (grant,) = acquire_slots(dispatcher, 1)
         self.back_off(dispatcher, grant, 30)
 
--- a/packages/runhatch-server/tests/test_follower.py
+++ b/packages/runhatch-server/tests/test_follower.py
@@ -3,7 +3,7 @@
 import pytest
 
 from runhatch_coordination import RevisionFeed, RevisionLog
-from runhatch_coordination.testing import ManualClock, MemoryObjects, MemoryTable
+from runhatch_coordination.testing import ManualClock, MemoryObjectStore, MemoryTable
 from runhatch_server.configuration import ConfigurationService, RevisionFollower
 
 
@@ -23,7 +23,7 @@
                     outer.callbacks_during_read.pop()()
                 return super().get(key)
 
-        self.objects = MemoryObjects()
+        self.objects = MemoryObjectStore()
         self.log = RevisionLog(Table(), self.objects, "configuration")
         self.feed = RevisionFeed(lambda _: None)
         service = ConfigurationService(self.log, self.feed, ManualClock())
@@ -34,7 +34,7 @@
 
     def publish(self):
         """Publish the next revision, reset the read count and return its number."""
-        number = self.log.head() + 1
+        number = self.log.read_head_number() + 1
         self.log.publish(number - 1, b"body %d" % number, "o", "", "")
         self.reads = 0
         return number
@@ -50,40 +50,42 @@
 
     def test_change_takes_one_read(self, store):
         """The head row holds everything but the body, so one table read is enough."""
-        store.follower.notice(store.publish())
-        assert store.follower.wake.is_set()
-        store.follower.poll()
+        store.follower.record_position(store.publish())
+        assert store.follower.read_requested.is_set()
+        store.follower.read_store()
         assert (store.feed.number, store.reads) == (1, 1)
 
     def test_notice_of_same_revision_during_read_is_ignored(self, store):
         """A notice of the revision that is being read causes no second read."""
         number = store.publish()
-        store.callbacks_during_read.append(lambda: store.follower.notice(number))
-        store.follower.poll()
-        assert not store.follower.wake.is_set()
+        store.callbacks_during_read.append(
+            lambda: store.follower.record_position(number)
+        )
+        store.follower.read_store()
+        assert not store.follower.read_requested.is_set()
 
     def test_notice_of_newer_revision_during_read_causes_read(self, store):
         """A notice of a newer revision during a read causes another read."""
         store.publish()
-        store.callbacks_during_read.append(lambda: store.follower.notice(2))
-        store.follower.poll()
-        assert store.follower.wake.is_set()
+        store.callbacks_during_read.append(lambda: store.follower.record_position(2))
+        store.follower.read_store()
+        assert store.follower.read_requested.is_set()
 
     def test_unavailable_store_requests_from_peer(self, store):
         """While the store is unavailable each catch-up sends a request to a peer."""
         number = store.publish()
-        store.objects.down = True
-        store.follower.notice(number)
-        store.follower.poll()
-        assert not store.follower.wake.is_set()
+        store.objects.is_down = True
+        store.follower.record_position(number)
+        store.follower.read_store()
+        assert not store.follower.read_requested.is_set()
         for _ in range(3):
-            store.follower.catch_up()
+            store.follower.read_if_behind()
         assert store.peer_requests == 3
 
     def test_current_node_sends_no_requests(self, store):
         """A node that is up to date neither reads nor sends requests."""
         store.publish()
-        store.follower.poll()
+        store.follower.read_store()
         store.reads = 0
-        store.follower.catch_up()
+        store.follower.read_if_behind()
         assert (store.reads, store.peer_requests) == (0, 0)
--- a/packages/runhatch-server/tests/test_gateway_peers.py
+++ b/packages/runhatch-server/tests/test_gateway_peers.py
@@ -23,14 +23,14 @@
 from runhatch_server.observability import Metrics
 from runhatch_server.peers import (
     DemandOfModel,
+    DemandReport,
     DrainingTargets,
     Envelope,
     Member,
-    ModelDemand,
     OrdererNotice,
     TargetHoldings,
 )
-from runhatch_server.peers._messages import VERSION
+from runhatch_server.peers._messages import PROTOCOL_VERSION
 from runhatch_server.residency import Holding, Resignation
 
 OWN = Vm("a", "d1", "10.0.0.1:1", 5)
@@ -43,16 +43,16 @@
     def __init__(self):
         self.sent = []
 
-    def keep(self, addresses):
+    def set_peers(self, addresses):
         pass
 
-    def tell_all(self, fact):
+    def publish(self, fact):
         self.sent.append(("all", fact))
 
-    def tell(self, address, facts):
+    def send(self, address, facts):
         self.sent += [(address, fact) for fact in facts]
 
-    def hold(self, address):
+    def set_direct_peer(self, address):
         self.held = address
 
 
@@ -67,8 +67,8 @@
         Metrics(),
         threading.Event(),
         seconds(2),
-        lambda address, fact: links.tell(address, [fact]),
-        links.tell_all,
+        lambda address, fact: links.send(address, [fact]),
+        links.publish,
         tuple,
     )
     peers = GatewayPeers(
@@ -84,7 +84,7 @@
         tables,
         CrashDetector(clock, FakeTargets(), Metrics(), do_nothing),
     )
-    peers.attach(links)
+    peers.attach_links(links)
     return peers, links
 
 
@@ -108,8 +108,8 @@
         peers.send_demand(demand)
         (message,) = links.sent
         assert message[0] == PEER.address
-        assert isinstance(message[1], ModelDemand)
-        assert [each.missed for each in message[1].demand] == [1]
+        assert isinstance(message[1], DemandReport)
+        assert [each.missed_requests for each in message[1].demand] == [1]
 
     def test_demand_without_orderer_expires(self, clock):
         peers, links = make_peers(clock)
@@ -174,7 +174,7 @@
     def test_lease_record_without_newer_holder_is_ignored(self, clock, record):
         peers, links = make_peers(clock)
         notice = OrdererNotice(3, 1)
-        peers.receive(Envelope(VERSION, PEER, True, [notice]))
+        peers.receive(Envelope(PROTOCOL_VERSION, PEER, True, [notice]))
 
         peers.record_lease(record)
 
@@ -184,8 +184,10 @@
     @pytest.mark.parametrize(
         "report",
         [
-            lambda peers, fact: peers.receive(Envelope(VERSION, PEER, True, [fact])),
-            lambda peers, fact: peers.learn_orderer(
+            lambda peers, fact: peers.receive(
+                Envelope(PROTOCOL_VERSION, PEER, True, [fact])
+            ),
+            lambda peers, fact: peers.record_lease(
                 LeaseRecord("c", fact.epoch, 9, "10.0.0.9:1")
             ),
         ],
@@ -206,7 +208,7 @@
 
     def test_resignation_of_earlier_orderer_is_ignored(self, clock):
         peers, _ = make_peers(clock)
-        peers.receive(Envelope(VERSION, PEER, True, [OrdererNotice(3, 1)]))
+        peers.receive(Envelope(PROTOCOL_VERSION, PEER, True, [OrdererNotice(3, 1)]))
 
         peers.publish_resignation(Resignation(2))
 
@@ -219,7 +221,7 @@
     def receive_miss(self, peers, adapter="a1"):
         goal_ms = 400
         each = DemandOfModel("engine", "m0", adapter, 0, goal_ms, 1, 1, 10)
-        peers.receive(Envelope(VERSION, PEER, True, [ModelDemand([each])]))
+        peers.receive(Envelope(PROTOCOL_VERSION, PEER, True, [DemandReport([each])]))
 
     def holding(self, adapters=("a1",)):
         return Holding("t1", HeldModels({"m0": frozenset(adapters)}), ())
@@ -254,8 +256,8 @@
     def test_linked_node_is_not_sent_holders_separately(self, clock):
         peers, links = make_peers(clock, make_target("t1", adapters=["a1"]))
         peers.publish_renewal(3, 1)
-        peers.receive(Envelope(VERSION, PEER, False, []))
-        peers.keep_links()
+        peers.receive(Envelope(PROTOCOL_VERSION, PEER, False, []))
+        peers.update_links()
         self.receive_miss(peers)
         assert self.sent_directly(links) == []
 
@@ -276,11 +278,11 @@
 
     def test_repeated_notice_is_not_a_renewal(self, clock):
         peers, _ = make_peers(clock)
-        peers.receive(Envelope(VERSION, PEER, True, [OrdererNotice(3, 1)]))
+        peers.receive(Envelope(PROTOCOL_VERSION, PEER, True, [OrdererNotice(3, 1)]))
         assert peers.has_active_orderer()
 
         clock.advance(ORDERER_TIMEOUT)
-        peers.receive(Envelope(VERSION, PEER, True, [OrdererNotice(3, 1)]))
+        peers.receive(Envelope(PROTOCOL_VERSION, PEER, True, [OrdererNotice(3, 1)]))
 
         assert not peers.has_active_orderer()
 
@@ -291,18 +293,18 @@
     def test_first_message_of_member_sets_event(self, clock):
         peers, _ = make_peers(clock)
 
-        peers.receive(Envelope(VERSION, PEER, False, []))
+        peers.receive(Envelope(PROTOCOL_VERSION, PEER, False, []))
 
-        assert peers.met_member.is_set()
+        assert peers.new_member_seen.is_set()
 
     def test_message_of_known_member_does_not_set_event(self, clock):
         peers, _ = make_peers(clock)
-        peers.receive(Envelope(VERSION, PEER, False, []))
-        peers.met_member.clear()
+        peers.receive(Envelope(PROTOCOL_VERSION, PEER, False, []))
+        peers.new_member_seen.clear()
 
-        peers.receive(Envelope(VERSION, PEER, True, []))
+        peers.receive(Envelope(PROTOCOL_VERSION, PEER, True, []))
 
-        assert not peers.met_member.is_set()
+        assert not peers.new_member_seen.is_set()
 
 
 class TestDrainingTargets:
@@ -312,7 +314,7 @@
         peers, links = make_peers(clock, make_target("t1"))
         fact = DrainingTargets(("t1",))
         for _ in range(2):
-            peers.receive(Envelope(VERSION, PEER, True, [fact]))
+            peers.receive(Envelope(PROTOCOL_VERSION, PEER, True, [fact]))
 
         forwarded = [
             fact for _, fact in links.sent if isinstance(fact, DrainingTargets)
--- a/packages/runhatch-server/tests/test_gateway_run.py
+++ b/packages/runhatch-server/tests/test_gateway_run.py
@@ -37,7 +37,7 @@
 BUSY = RefusedNotRun(AttemptReason.TARGET_BUSY)
 BACKING_OFF = RefusedNotRun(AttemptReason.TARGET_BUSY, retry_after=seconds(3))
 DRAINING = RefusedNotRun(AttemptReason.TARGET_BUSY, draining=True)
-BROKEN = UnknownResult(AttemptReason.BROKEN)
+BROKEN = UnknownResult(AttemptReason.CONNECTION_BROKEN)
 TIMED_OUT = UnknownResult(AttemptReason.TIMED_OUT)
 CALLER_GONE = UnknownResult(AttemptReason.CALLER_GONE)
 
@@ -51,7 +51,7 @@
     def set_timeout(self, timeout):
         pass
 
-    def read_whole(self):
+    def read_body(self):
         if self._body is None:
             raise ConnectionResetError
         return self._body
@@ -73,10 +73,10 @@
         self.targets.append(grant.target.incarnation)
         return self._results.pop(0)
 
-    def finished(self, opened):
+    def recycle_connection(self, opened):
         pass
 
-    def abandon(self, opened):
+    def discard_answer(self, opened):
         pass
 
 
@@ -181,8 +181,8 @@
         [
             (BUSY, 1, 1, Reason.TARGETS_BUSY),
             (BUSY, 2, 2, Reason.TARGETS_BUSY),
-            (BACKING_OFF, 1, 1, Reason.TARGETS_REST),
-            (BACKING_OFF, 2, 2, Reason.TARGETS_REST),
+            (BACKING_OFF, 1, 1, Reason.TARGETS_BACK_OFF),
+            (BACKING_OFF, 2, 2, Reason.TARGETS_BACK_OFF),
             (DRAINING, 1, 1, Reason.NO_TARGET),
         ],
     )
@@ -202,7 +202,7 @@
         assert seconds(3) <= outcome.retry_after <= seconds(3.75)
 
     def test_backoff_and_draining_in_answer_are_applied(self, clock):
-        head = replace(answer(503).head, rest=seconds(3), leaving=True)
+        head = replace(answer(503).head, backoff=seconds(3), draining=True)
         _, _, balancer = run(
             clock, NON_IDEMPOTENT, [OpenedAnswer(FakeConnection(b""), head)], count=1
         )
--- a/packages/runhatch-server/tests/test_http_threads.py
+++ b/packages/runhatch-server/tests/test_http_threads.py
@@ -9,8 +9,8 @@
 
 from runhatch_server.http import HttpServer, ServerLimits
 from runhatch_server.http._dispatcher import (
-    JUDGED_EVERY,
-    LEAST_THREADS,
+    MIN_THREADS,
+    REQUESTS_PER_CHECK,
     SPARE_THREADS,
     GrowingDispatcher,
 )
@@ -64,7 +64,7 @@
         """Below the limit no request waits until another one ends."""
         tasks, release = add_blocked_tasks(dispatcher, concurrent)
         assert all(task.begun.wait(TIMEOUT_SECONDS) for task in tasks)
-        needed = max(LEAST_THREADS, concurrent)
+        needed = max(MIN_THREADS, concurrent)
         assert dispatcher.thread_count <= min(MAX_THREADS, needed + SPARE_THREADS)
         release.set()
 
@@ -80,11 +80,11 @@
         """After a burst the number of threads shrinks to what is used."""
         _, release = add_blocked_tasks(dispatcher, 40)
         release.set()
-        for _ in range(2 * JUDGED_EVERY + 40):
+        for _ in range(2 * REQUESTS_PER_CHECK + 40):
             (task,), done = add_blocked_tasks(dispatcher, 1)
             done.set()
             assert task.begun.wait(TIMEOUT_SECONDS)
-        wait_until(lambda: dispatcher.thread_count <= LEAST_THREADS + SPARE_THREADS)
+        wait_until(lambda: dispatcher.thread_count <= MIN_THREADS + SPARE_THREADS)
 
 
 class TestHttpServer:
@@ -101,7 +101,7 @@
 
         server = HttpServer(app, "127.0.0.1", 0, 200, ServerLimits(1_000, 10_000))
         server.start()
-        assert server.thread_count == LEAST_THREADS
+        assert server.thread_count == MIN_THREADS
 
         def send_request(_):
             connection = http.client.HTTPConnection("127.0.0.1", server.port)
--- a/packages/runhatch-server/tests/test_known_orderer.py
+++ b/packages/runhatch-server/tests/test_known_orderer.py
@@ -25,12 +25,12 @@
 
 @pytest.mark.parametrize(("epoch", "behind"), [(4, True), (5, False), (6, False)])
 def test_node_with_lower_epoch_is_behind(known, epoch, behind):
-    assert known.is_behind(epoch, "10.0.0.3:1") is behind
+    assert known.is_outdated(epoch, "10.0.0.3:1") is behind
 
 
 def test_each_outdated_epoch_of_a_node_is_logged_once(known, lines):
     for epoch in (3, 3, 4, 4):
-        known.is_behind(epoch, "10.0.0.3:1")
+        known.is_outdated(epoch, "10.0.0.3:1")
 
     assert orderer_behind_entries(lines) == [("10.0.0.3:1", 3, 5), ("10.0.0.3:1", 4, 5)]
 
@@ -41,7 +41,7 @@
 def test_holder_counts_as_heard_until_renewals_stop(
     known, clock, elapsed, expected_heard
 ):
-    assert known.renewed(5, 1)
+    assert known.record_renewal(5, 1)
     clock.advance(elapsed)
-    assert known.is_heard is expected_heard
-    assert not known.renewed(5, 1)
+    assert known.renewed_recently is expected_heard
+    assert not known.record_renewal(5, 1)
--- a/packages/runhatch-server/tests/test_late_permits.py
+++ b/packages/runhatch-server/tests/test_late_permits.py
@@ -40,7 +40,7 @@
         limits.remove_expired(lambda target: True)
         limits.remove_expired(lambda target: True)
 
-        (counted,) = metrics.permits.collect()
+        (counted,) = metrics.permit_requests.collect()
         assert {
             sample.labels["outcome"]: sample.value
             for sample in counted.samples
