--- a/packages/runhatch-server/tests/test_load_exchange.py
+++ b/packages/runhatch-server/tests/test_load_exchange.py
@@ -15,8 +15,8 @@
     seconds,
 )
 
-from runhatch_coordination import Membership, Standing, Vm, choose_readers, role_of
-from runhatch_coordination._peers import FULL_MESH, Role
+from runhatch_coordination import Membership, Standing, Vm, choose_readers, choose_role
+from runhatch_coordination._peers import MAX_FULL_MESH_NODES, Role
 from runhatch_server.decisions import LoadShare, TriedTargets
 from runhatch_server.gateway._load_exchange import (
     FIRST_READER_TIMEOUT,
@@ -38,18 +38,18 @@
 class Tables:
     """Fake of the tables: the reader role of a node, and its broadcasts."""
 
-    broadcasts = True
+    can_broadcast = True
 
     def __init__(self, cluster, vm):
         self._cluster = cluster
         self._vm = vm
 
     @property
-    def reads(self):
-        return role_of(self._vm, self._cluster.vms) is Role.READER
+    def is_reader(self):
+        return choose_role(self._vm, self._cluster.vms) is Role.READER
 
     @property
-    def is_second(self):
+    def is_second_reader(self):
         readers = choose_readers(self._vm.failure_domain, self._cluster.vms)
         return readers[0].name != self._vm.name
 
@@ -209,7 +209,7 @@
 
 
 def test_small_cluster_exchanges_loads_directly(clock):
-    cluster = Cluster(clock, FULL_MESH)
+    cluster = Cluster(clock, MAX_FULL_MESH_NODES)
     list(cluster.nodes.values())[4].begin(1)
 
     cluster.advance(seconds(2))
--- a/packages/runhatch-server/tests/test_metrics.py
+++ b/packages/runhatch-server/tests/test_metrics.py
@@ -21,4 +21,4 @@
         """Every metric of the reference page is in the exposition."""
         base = family.name.removesuffix("_total")
 
-        assert f"# HELP {base}" in Metrics().exposition().decode()
+        assert f"# HELP {base}" in Metrics().render_exposition().decode()
--- a/packages/runhatch-server/tests/test_once.py
+++ b/packages/runhatch-server/tests/test_once.py
@@ -7,16 +7,16 @@
 from server_cases import make_request
 
 from runhatch_coordination import (
+    ClaimAcquired,
     Claims,
     GroupCommitter,
     Membership,
     SystemClock,
-    Taken,
     Vm,
 )
 from runhatch_coordination.testing import (
     FaultyTable,
-    MemoryObjects,
+    MemoryObjectStore,
     MemoryTable,
     TableFault,
 )
@@ -36,7 +36,7 @@
         self.table = FaultyTable(table)
         members = Membership(Vm("n2", "d1", "10.0.0.2:1", 1), clock)
         claims = Claims(self.table, GroupCommitter(self.table), name, clock)
-        answers = AnswerStore(MemoryObjects(), 10_000)
+        answers = AnswerStore(MemoryObjectStore(), 10_000)
         self.guard = OnceGuard(claims, answers, members, Metrics(), clock, CLAIM_WAIT)
 
 
@@ -69,10 +69,10 @@
     def test_immediate_repeat_gets_the_recorded_answer(self, nodes, fault, writes):
         """With a pause of a second before the retry, repeats were refused meanwhile."""
         runner, other = nodes
-        claim = runner.guard.begin(make_keyed_request())
-        assert isinstance(claim, Taken)
+        claim = runner.guard.claim_request(make_keyed_request())
+        assert isinstance(claim, ClaimAcquired)
 
         runner.table.inject(fault, writes)
-        runner.guard.finish(claim, ANSWER)
+        runner.guard.finish_claim(claim, ANSWER)
 
-        assert other.guard.begin(make_keyed_request()) == ANSWER
+        assert other.guard.claim_request(make_keyed_request()) == ANSWER
--- a/packages/runhatch-server/tests/test_orderer.py
+++ b/packages/runhatch-server/tests/test_orderer.py
@@ -250,7 +250,7 @@
         reports = case.targets.reports
 
         restarted = make_target("t1", models=(), started_at_seconds=200)
-        case.directory.changed((Entry("t1", restarted),))
+        case.directory.apply_entries((Entry("t1", restarted),))
         case.request_model("m1")
         for _ in range(3):
             case.run_round()
@@ -268,14 +268,14 @@
         memory = MemoryTable()
         first = OrdererCase(clock, FaultyTable(memory), "n0")
         first.orderer.keep_lease(eager=True)
-        memory.copy()
+        memory.save_copy()
         last = OrdererCase(clock, FaultyTable(memory), "n2")
         successor = OrdererCase(clock, FaultyTable(memory), "n1")
         successor.orderer.record_resignation(first.orderer.stop())
         first.orderer.release()
         last.orderer.keep_lease(eager=True)
         assert last.orderer.holds_lease() is not None
-        memory.restore()
+        memory.restore_copy()
 
         successor.orderer.keep_lease(eager=True)
         clock.advance(TTL * 1.3)
@@ -295,7 +295,7 @@
         self, clock, lines
     ):
         memory = MemoryTable()
-        memory.copy()
+        memory.save_copy()
         table = FaultyTable(memory)
         targets = SlowTargets("m0")
         case = OrdererCase(clock, table, targets=targets)
@@ -304,8 +304,8 @@
         for _ in range(3):
             case.run_round()
         assert targets.sent.acquire(timeout=ANSWER_WAIT)
-        memory.restore()
-        table.learn_era()
+        memory.restore_copy()
+        table.update_era()
 
         case.orderer.keep_lease(eager=True)
         for _ in range(3):
--- a/packages/runhatch-server/tests/test_orders_at_size.py
+++ b/packages/runhatch-server/tests/test_orders_at_size.py
@@ -148,11 +148,11 @@
         super().__init__()
         self.lookups = 0
 
-    def model(self, service, model, now):
+    def model_demand(self, service, model, now):
         self.lookups += 1
         return super().model_demand(service, model, now)
 
-    def adapter(self, service, model, adapter, now):
+    def adapter_demand(self, service, model, adapter, now):
         self.lookups += 1
         return super().adapter_demand(service, model, adapter, now)
 
--- a/packages/runhatch-server/tests/test_peers.py
+++ b/packages/runhatch-server/tests/test_peers.py
@@ -68,7 +68,7 @@
         b = open_links("b", received, tls_b)
         opened.extend([a, b])
         received.links = b
-        a.keep(frozenset({address(b)}))
+        a.set_peers(frozenset({address(b)}))
         return a, received
 
     yield make
@@ -98,7 +98,7 @@
         a, received = pair()
         facts = [HostingFact(f"w{i}", i, ("m@1",)) for i in range(50)]
         for fact in facts:
-            a.tell_all(fact)
+            a.publish(fact)
         assert received.wait(50)
         assert received.facts == facts
         assert received.senders == {"a"}
@@ -106,7 +106,7 @@
     def test_closed_link_is_announced(self, pair):
         """A closed link is announced; otherwise the peer would suspect the silence."""
         a, received = pair()
-        a.keep(frozenset())
+        a.set_peers(frozenset())
         assert received.wait(1)
         assert received.facts == [LinkClosed()]
 
@@ -130,26 +130,26 @@
         """A direct link sends no heartbeats or facts to all, and stays open."""
         a, received = pair()
         target = next(iter(a._links))
-        a.keep(frozenset())
+        a.set_peers(frozenset())
         assert received.wait(1)
-        a.hold(target)
+        a.set_direct_peer(target)
         link = a._direct_link
-        a.tell_all(RevisionNotice(1))
+        a.publish(RevisionNotice(1))
         for number in (7, 8):
-            a.tell(target, [RevisionNotice(number)])
+            a.send(target, [RevisionNotice(number)])
 
         assert received.wait(3)
         assert received.facts == [LinkClosed(), RevisionNotice(7), RevisionNotice(8)]
         assert a._direct_link is link
-        a.hold("")
+        a.set_direct_peer("")
         assert a._direct_link is None
 
     def test_fact_to_unlinked_address(self, pair):
         """A fact can be sent to an address without a link."""
         a, received = pair()
         target = next(iter(a._links))
-        a.keep(frozenset())
-        a.tell(target, [RevisionNotice(7)])
+        a.set_peers(frozenset())
+        a.send(target, [RevisionNotice(7)])
         assert received.wait(2)
         assert RevisionNotice(7) in received.facts
 
@@ -159,7 +159,7 @@
         a, received = pair(
             write_keys(tmp_path / "a", authority), write_keys(tmp_path / "b", authority)
         )
-        a.tell_all(RevisionNotice(1))
+        a.publish(RevisionNotice(1))
         assert received.wait(1)
 
     @pytest.mark.parametrize("sender_keys", ["other authority", "no keys"])
@@ -168,7 +168,7 @@
         own = write_keys(tmp_path / "b", trustme.CA())
         other = write_keys(tmp_path / "a", trustme.CA())
         a, received = pair(other if sender_keys == "other authority" else None, own)
-        a.tell_all(RevisionNotice(1))
+        a.publish(RevisionNotice(1))
         time.sleep(1)
         assert received.facts == []
 
@@ -178,15 +178,15 @@
         folders = tmp_path / "a", tmp_path / "b"
         a, received = pair(*(write_keys(folder, old) for folder in folders))
         b = received.links
-        a.tell_all(RevisionNotice(1))
+        a.publish(RevisionNotice(1))
         assert received.wait(1)
         write_keys(folders[1], new)
         b.renew_keys()
-        a.tell_all(RevisionNotice(2))
+        a.publish(RevisionNotice(2))
         assert not received.wait(2, seconds=1)
         write_keys(folders[0], new)
         a.renew_keys()
-        a.tell_all(RevisionNotice(3))
+        a.publish(RevisionNotice(3))
         assert received.wait(2)
         assert received.facts[-1] == RevisionNotice(3)
 
@@ -200,7 +200,7 @@
         content = other_key if broken == "key" else b"-----BEGIN"
         (folders[1] / f"{broken}.pem").write_bytes(content)
         received.links.renew_keys()
-        a.tell_all(RevisionNotice(1))
+        a.publish(RevisionNotice(1))
         assert received.wait(1)
 
     def test_unusable_keys_prevent_start(self, tmp_path):
--- a/packages/runhatch-server/tests/test_picture.py
+++ b/packages/runhatch-server/tests/test_picture.py
@@ -6,15 +6,15 @@
 from server_cases import deployment_document
 
 from runhatch_server.configuration import Deployment, parse_deployment
-from runhatch_server.serving import Hosting, Picture, Route, RouteKind
+from runhatch_server.serving import Hosting, PlacementCache, Route, RouteKind
 
 M0 = Route(RouteKind.MODEL, "m0")
 
 
 @pytest.fixture
 def picture(deployment):
-    picture = Picture()
-    picture.configure(deployment)
+    picture = PlacementCache()
+    picture.set_deployment(deployment)
     return picture
 
 
@@ -39,27 +39,29 @@
         self, picture, hostings, changes, hosts
     ):
         """An older version is ignored; a newer one with equal units is no change."""
-        results = [picture.learn(Hosting(t, v, tuple(u))) for t, v, u in hostings]
+        results = [
+            picture.apply_hosting(Hosting(t, v, tuple(u))) for t, v, u in hostings
+        ]
         assert results == changes
         assert target_names(picture) == hosts
 
     def test_version_without_changes_keeps_the_digest(self, picture, deployment):
         """Nodes have equal digests if one missed a version with equal units."""
-        other = Picture()
-        other.configure(deployment)
-        picture.learn(Hosting("w0", 1, ("m0@1", "m1@1")))
-        picture.learn(Hosting("w0", 2, ("m1@1", "m0@1")))
-        other.learn(Hosting("w0", 1, ("m0@1", "m1@1")))
+        other = PlacementCache()
+        other.set_deployment(deployment)
+        picture.apply_hosting(Hosting("w0", 1, ("m0@1", "m1@1")))
+        picture.apply_hosting(Hosting("w0", 2, ("m1@1", "m0@1")))
+        other.apply_hosting(Hosting("w0", 1, ("m0@1", "m1@1")))
         assert picture.digest == other.digest
-        other.learn(Hosting("w1", 1, ("m2@1",)))
+        other.apply_hosting(Hosting("w1", 1, ("m2@1",)))
         assert picture.digest != other.digest
 
     def test_correction_applies_until_the_next_version(self, picture):
         """A target that lacks the unit is skipped until its row has a newer version."""
-        picture.learn(Hosting("w0", 1, ("m0@1",)))
-        picture.correct("w0", "m0@1")
+        picture.apply_hosting(Hosting("w0", 1, ("m0@1",)))
+        picture.mark_unit_missing("w0", "m0@1")
         assert target_names(picture) == []
-        assert picture.learn(Hosting("w0", 2, ("m0@1",)))
+        assert picture.apply_hosting(Hosting("w0", 2, ("m0@1",)))
         assert target_names(picture) == ["w0"]
 
     def test_previous_version_serves_until_the_new_one_does(self, picture):
@@ -67,17 +69,17 @@
         document = deployment_document()
         document["models"][0]["version"] = "2"
         body = json.dumps(document).encode()
-        picture.learn(Hosting("w0", 1, ("m0@1",)))
-        picture.configure(parse_deployment(body))
+        picture.apply_hosting(Hosting("w0", 1, ("m0@1",)))
+        picture.set_deployment(parse_deployment(body))
         assert target_names(picture) == ["w0"]
-        picture.learn(Hosting("w1", 1, ("m0@2",)))
+        picture.apply_hosting(Hosting("w1", 1, ("m0@2",)))
         assert target_names(picture) == ["w1"]
 
     def test_undeclared_targets_are_removed(self, picture):
         """A target that is no longer declared has no part in hosts and digest."""
-        picture.learn(Hosting("w2", 1, ("m0@1",)))
+        picture.apply_hosting(Hosting("w2", 1, ("m0@1",)))
         document = deployment_document()
         del document["pools"][0]["targets"][2]
-        picture.configure(Deployment.model_validate(document))
+        picture.set_deployment(Deployment.model_validate(document))
         assert target_names(picture) == []
         assert picture.digest == 0
--- a/packages/runhatch-server/tests/test_places.py
+++ b/packages/runhatch-server/tests/test_places.py
@@ -84,12 +84,12 @@
     """Return the best place, found by weighing every target."""
     places = [
         place
-        for candidate in draft.open_sites
-        if (place := draft.place(candidate, need)) is not None
+        for candidate in draft.unused_candidates
+        if (place := draft.evaluate_option(candidate, need)) is not None
     ]
     return min(
         places,
-        key=lambda place: (not place.is_worth_it, -place.value, place.target),
+        key=lambda place: (not place.is_worthwhile, -place.value, place.target),
         default=None,
     )
 
--- a/packages/runhatch-server/tests/test_planner.py
+++ b/packages/runhatch-server/tests/test_planner.py
@@ -30,7 +30,7 @@
     }
     body = json.dumps(deployment_document(**changes)).encode()
     deployment = parse_deployment(body)
-    sizes = {model.unit: model.memory_mb for model in deployment.models}
+    sizes = {model.unit_name: model.memory_mb for model in deployment.models}
     ledger = {}
     for name, units in zip(NAMES, rows, strict=True):
         charges = tuple(
--- a/packages/runhatch-server/tests/test_prefixes.py
+++ b/packages/runhatch-server/tests/test_prefixes.py
@@ -36,23 +36,23 @@
 
     def test_counts_matching_leading_blocks(self, index):
         """Blocks after the first missing one are not counted."""
-        assert index.matched("w0", BLOCKS) == 4
-        index.dropped("w0", BLOCKS[1])
-        assert index.matched("w0", BLOCKS) == 1
-        assert index.matched("w1", BLOCKS) == 0
+        assert index.count_matching("w0", BLOCKS) == 4
+        index.remove_block("w0", BLOCKS[1])
+        assert index.count_matching("w0", BLOCKS) == 1
+        assert index.count_matching("w1", BLOCKS) == 0
 
     def test_forgets_one_target(self, index):
         """Forgetting a restarted target keeps the blocks of the others."""
-        index.stored("w1", BLOCKS[:2])
-        index.forget("w0")
+        index.record_blocks("w1", BLOCKS[:2])
+        index.remove_target("w0")
         assert index.targets() == ["w1"]
-        assert index.matched("w1", BLOCKS) == 2
+        assert index.count_matching("w1", BLOCKS) == 2
         assert index.is_known(BLOCKS[1])
         assert not index.is_known(BLOCKS[2])
 
     def test_is_bounded(self, index):
         """The newest blocks are kept, and targets without blocks are removed."""
-        index.stored("w1", [f"b{i}" for i in range(10)])
+        index.record_blocks("w1", [f"b{i}" for i in range(10)])
         assert index.targets() == ["w1"]
-        assert index.matched("w1", ("b9",)) == 1
-        assert index.matched("w1", ("b0",)) == 0
+        assert index.count_matching("w1", ("b9",)) == 1
+        assert index.count_matching("w1", ("b0",)) == 0
--- a/packages/runhatch-server/tests/test_rate_limits.py
+++ b/packages/runhatch-server/tests/test_rate_limits.py
@@ -17,9 +17,9 @@
 from runhatch_server.gateway._grant import Grant
 from runhatch_server.gateway._rate_limits import RateLimits
 from runhatch_server.observability import Metrics
-from runhatch_server.peers import LimitOfTarget, Member, PermitAnswer, PermitAsked
+from runhatch_server.peers import LimitOfTarget, Member, PermitAnswer, PermitRequest
 from runhatch_server.refusals import Reason
-from runhatch_server.targets import UnreadableLimit, limit_named
+from runhatch_server.targets import InvalidRateLimit, decode_rate_limit
 
 URGENT, USUAL, LATE = 0, 1, 3
 TRIAL_RATE = 0.2
@@ -61,14 +61,14 @@
             ("4, 2.5", 2.5),
             ("999999999999", 999999999999.0),
             *[
-                (value, UnreadableLimit(value))
+                (value, InvalidRateLimit(value))
                 for value in ("", "-1", "nan", "inf", "1e3", "ten", "1;2", "4,", "٣")
             ],
-            ("9" * 60, UnreadableLimit("9" * 40)),
+            ("9" * 60, InvalidRateLimit("9" * 40)),
         ],
     )
     def test_header_value_is_parsed(self, value, named):
-        assert limit_named(value) == named
+        assert decode_rate_limit(value) == named
 
 
 class TestOutOfOrderAnswers:
@@ -106,7 +106,7 @@
         limits = RateLimits(clock, Metrics())
         limits.apply_answer("t1", 2.0, clock.elapsed())
         clock.advance(seconds(1))
-        limits.apply_answer("t1", UnreadableLimit("many"), clock.elapsed())
+        limits.apply_answer("t1", InvalidRateLimit("many"), clock.elapsed())
         assert limits.latest_limit("t1").rate == 2.0
 
 
@@ -262,7 +262,7 @@
         sent_facts = []
         other.exchange._send = lambda address, fact: sent_facts.append(fact)
 
-        asked = PermitAsked(URGENT, LimitOfTarget("t1", 100.0, 0))
+        asked = PermitRequest(URGENT, LimitOfTarget("t1", 100.0, 0))
         other.exchange.handle_message(asked, Member("x", "d", "x", 1, Standing.ALIVE))
 
         assert sent_facts == [PermitAnswer("t1", URGENT, 200)]
@@ -275,7 +275,7 @@
         sent_facts = []
         allocator.exchange._send = lambda address, fact: sent_facts.append(fact)
         sender = Member("x", "d", "x", 1, Standing.ALIVE)
-        asked = PermitAsked(URGENT, LimitOfTarget("t1", 100.0, 0))
+        asked = PermitRequest(URGENT, LimitOfTarget("t1", 100.0, 0))
         allocator.exchange.handle_message(asked, sender)
         clock.advance(seconds(0.0098))
 
--- a/packages/runhatch-server/tests/test_reconcile.py
+++ b/packages/runhatch-server/tests/test_reconcile.py
@@ -10,7 +10,7 @@
     Charge,
     ChargeState,
     LedgerRow,
-    TargetView,
+    TargetSnapshot,
     UnitTimes,
     reconcile,
 )
@@ -40,7 +40,7 @@
     row, engine_report, now, last_order=0.0, fencing=Fencing.REFUSES, sent=True
 ):
     at = timedelta(seconds=now)
-    view = TargetView(make_spec(fencing), engine_report, at, at)
+    view = TargetSnapshot(make_spec(fencing), engine_report, at, at)
     ordered = timedelta(seconds=last_order)
     times = {c.unit: UnitTimes(timedelta(), ordered, sent) for c in row.charges}
     permitted = frozenset(c.unit for c in row.charges)
@@ -74,7 +74,7 @@
         result = reconcile_report(
             make_row(state), make_report(*units, loading=loading), now
         )
-        assert result.row.find("m@1").state is expected
+        assert result.row.find_charge("m@1").state is expected
         assert [order.kind for order in result.orders] == orders
 
     @pytest.mark.parametrize(
@@ -97,11 +97,13 @@
         """
         row = make_row(UNLOADING)
         result = reconcile_report(row, make_report(fence=fence), now, fencing=fencing)
-        assert (result.row.find("m@1") is None) is dropped
+        assert (result.row.find_charge("m@1") is None) is dropped
 
     def test_loading_peak_is_reserved_until_reported_loaded(self):
         """The peak stays reserved if the unit is unloaded before it is reported."""
-        row = make_row(LOADING).with_charge(make_row(LOADING).find("m@1").unloading())
+        row = make_row(LOADING).with_charge(
+            make_row(LOADING).find_charge("m@1").as_unloading()
+        )
         assert row.used_mb == 35
         assert (
             reconcile_report(make_row(LOADING), make_report("m@1"), 1).row.used_mb == 30
@@ -110,16 +112,16 @@
     def test_load_is_not_ordered_without_a_permit(self):
         """A load without a permit requests one and is not ordered."""
         row = make_row(LOADING, order=0)
-        view = TargetView(make_spec(), make_report(), timedelta(), timedelta())
+        view = TargetSnapshot(make_spec(), make_report(), timedelta(), timedelta())
         times = {"m@1": UnitTimes(timedelta(), timedelta())}
         result = reconcile(row, view, times, 50, frozenset())
         assert result.orders == []
-        assert [charge.unit for charge in result.permits_wanted] == ["m@1"]
+        assert [charge.unit for charge in result.loads_awaiting_permit] == ["m@1"]
 
     def test_units_without_a_charge_are_charged_and_unloaded(self):
         """A loaded unit without a charge gets one in the state unloading."""
         result = reconcile_report(LedgerRow("w0", 100), make_report("stray@1"), 1)
-        assert result.row.find("stray@1").state is UNLOADING
+        assert result.row.find_charge("stray@1").state is UNLOADING
 
     def test_adapters_are_removed_with_their_base(self):
         """The charges of a base's adapters are removed with it, without orders."""
--- a/packages/runhatch-server/tests/test_residency_policy.py
+++ b/packages/runhatch-server/tests/test_residency_policy.py
@@ -33,7 +33,9 @@
 def add_requests(book, model, priority, requests, missed, adapter=""):
     """Add requests at ``NOW``, each with a prompt of 100 ms."""
     wanted = DemandKey("engine", model, adapter, priority, GOALS[priority])
-    book.add("n1", DemandShare(wanted, requests, missed, requests * 100.0), NOW)
+    book.add_requests(
+        "n1", DemandShare(wanted, requests, missed, requests * 100.0), NOW
+    )
 
 
 def make_demand(*demands):
--- a/packages/runhatch-server/tests/test_sending.py
+++ b/packages/runhatch-server/tests/test_sending.py
@@ -25,7 +25,7 @@
         self.given = []
         self.outcome = OrderOutcome.ACCEPTED
 
-    def give(self, target, order):
+    def send_order(self, target, order):
         self.given.append(order)
         return self.outcome
 
--- a/packages/runhatch-server/tests/test_shard.py
+++ b/packages/runhatch-server/tests/test_shard.py
@@ -49,7 +49,7 @@
         self.peak_used_mb = 0
         self.silent = False
 
-    def give(self, order: Order) -> OrderOutcome:
+    def send_order(self, order: Order) -> OrderOutcome:
         if self.silent or self.mode == "lost":
             return OrderOutcome.UNKNOWN
         if self.mode in ("late", "doubled"):
@@ -60,7 +60,7 @@
 
     def apply(self, order: Order) -> OrderOutcome:
         if self.refuses and order.number < self.fence:
-            return OrderOutcome.REFUSED_OLD
+            return OrderOutcome.REFUSED_STALE
         self.fence = max(self.fence, order.number)
         if order.kind is OrderKind.UNLOAD:
             removed = {order.unit}
@@ -100,7 +100,7 @@
         for _, order in overdue:
             self.apply(order)
 
-    def report(self):
+    def fetch_report(self):
         if self.silent:
             return Unavailable("silent")
         units = tuple(LoadedUnit(unit, mb) for unit, (mb, _) in self.loaded.items())
@@ -159,14 +159,14 @@
         for _ in range(rounds):
             self.advance_clock(1.0)
             lease.step()
-            epoch = lease.held()
+            epoch = lease.held_epoch()
             if epoch is None:
-                planner.forget()
+                planner.reset()
                 continue
-            planner.demand.add({m: c for m, c in self.demand.items()})
+            planner.demand_estimate.add_counts({m: c for m, c in self.demand.items()})
             pool = self.deployment.pools[0]
             try:
-                planner.step(self.deployment, pool, epoch, frozenset())
+                planner.run_round(self.deployment, pool, epoch, frozenset())
             except LedgerLostError:
                 pass
 
@@ -232,7 +232,7 @@
             self.run_rounds("a", 1)
             self.run_rounds("b", 1)
         resident = {unit for engine in self.engines.values() for unit in engine.loaded}
-        assert {model.unit for model in self.deployment.models} <= resident
+        assert {model.unit_name for model in self.deployment.models} <= resident
 
 
 TestShardMachine = ShardMachine.TestCase
--- a/packages/runhatch-server/tests/test_shard_restored.py
+++ b/packages/runhatch-server/tests/test_shard_restored.py
@@ -11,7 +11,7 @@
 from runhatch_server.configuration import Deployment
 from runhatch_server.observability import Metrics
 from runhatch_server.placement import LedgerLostError, LedgerStore, ShardPlanner
-from runhatch_server.serving import Picture
+from runhatch_server.serving import PlacementCache
 from runhatch_server.targets import EngineReport, LoadedUnit, OrderKind, OrderOutcome
 
 TTL = timedelta(seconds=6)
@@ -27,7 +27,7 @@
         self.order_numbers = []
         self.loaded = {}
 
-    def give(self, order):
+    def send_order(self, order):
         self.order_numbers.append(order.number)
         if order.kind is OrderKind.UNLOAD:
             self.loaded.pop(order.unit, None)
@@ -35,7 +35,7 @@
             self.loaded[order.unit] = order.memory_mb
         return OrderOutcome.ACCEPTED
 
-    def report(self):
+    def fetch_report(self):
         units = tuple(LoadedUnit(unit, mb) for unit, mb in self.loaded.items())
         return EngineReport("i", max(self.order_numbers, default=0), units, 0, 0)
 
@@ -53,8 +53,8 @@
         self.deployment = Deployment.model_validate(self.document)
         pool = self.deployment.pools[0]
         self.engines = {target.url: FakeEngine() for target in pool.targets}
-        self.picture = Picture()
-        self.picture.configure(self.deployment)
+        self.picture = PlacementCache()
+        self.picture.set_deployment(self.deployment)
         self.start_node("a")
 
     def start_node(self, name):
@@ -68,7 +68,7 @@
             self.clock,
             ThreadPoolExecutor(1),
             Metrics(),
-            self.picture.learn,
+            self.picture.apply_hosting,
             self.engines.__getitem__,
         )
         self.epoch = 0
@@ -77,9 +77,9 @@
         for _ in range(rounds):
             self.clock.advance(SECOND)
             self.lease.step()
-            epoch = self.lease.held()
+            epoch = self.lease.held_epoch()
             if epoch is None or epoch.number != self.epoch:
-                self.planner.forget()
+                self.planner.reset()
                 self.epoch = 0 if epoch is None else epoch.number
             if epoch is not None:
                 self.run_round(epoch)
@@ -87,7 +87,7 @@
     def run_round(self, epoch):
         pool = self.deployment.pools[0]
         try:
-            self.planner.step(self.deployment, pool, epoch, frozenset())
+            self.planner.run_round(self.deployment, pool, epoch, frozenset())
         except LedgerLostError:
             pass
 
@@ -97,7 +97,7 @@
         for model in self.document["models"]:
             model["version"] = str(self.version)
         self.deployment = Deployment.model_validate(self.document)
-        self.picture.configure(self.deployment)
+        self.picture.set_deployment(self.deployment)
 
     def order_numbers(self):
         return {url: list(engine.order_numbers) for url, engine in self.engines.items()}
@@ -144,14 +144,14 @@
         """
         pool.run_rounds()
         store = LedgerStore(pool.table, "reader", "a")
-        stored = store.read_all()[0]
+        stored = store.read_rows()[0]
         pool.memory.copy()
         pool.memory.restore()
 
-        written = store.write(stored.row, stored, pool.lease.held())
+        written = store.write_row(stored.row, stored, pool.lease.held())
 
         assert isinstance(written, Unknown)
-        assert store.read_all()[0].next_order > stored.next_order
+        assert store.read_rows()[0].next_order_number > stored.next_order_number
 
     def test_hostings_are_published_after_a_restore(self, pool):
         """Hostings stay current although the versions of rows repeat."""
--- a/packages/runhatch-server/tests/test_starvation.py
+++ b/packages/runhatch-server/tests/test_starvation.py
@@ -107,7 +107,7 @@
     """Report to ``control`` that its target holds ``models``."""
     held = HeldModels({model: frozenset(names) for model, names in models.items()})
     copies = StoredCopies(on_disk=frozenset(on_disk))
-    control.reported(TargetReport(0, held, False, frozenset(), copies, 0, 0), now)
+    control.apply_report(TargetReport(0, held, False, frozenset(), copies, 0, 0), now)
 
 
 def make_control(name, *models):
--- a/packages/runhatch-server/tests/test_store_clock.py
+++ b/packages/runhatch-server/tests/test_store_clock.py
@@ -43,8 +43,8 @@
         """Jumps of the VM's wall clock do not change the platform's time."""
         vm_clock = ManualClock()
         clock = StoreClock(vm_clock)
-        clock.hear(DATE)
-        vm_clock.jump(jump)
+        clock.update_from_date_header(DATE)
+        vm_clock.shift_wall_time(jump)
         vm_clock.advance(timedelta(seconds=10))
         assert clock.now() == DATE_TIME + timedelta(seconds=10)
 
@@ -55,16 +55,16 @@
         """The VM's time is used while no valid ``Date`` has been received."""
         vm_clock = ManualClock()
         clock = StoreClock(vm_clock)
-        clock.hear(date)
+        clock.update_from_date_header(date)
         assert clock.now() == vm_clock.now()
 
     def test_later_date_corrects_drift(self):
         """A later ``Date`` corrects the drift of the VM's clock."""
         vm_clock = ManualClock()
         clock = StoreClock(vm_clock)
-        clock.hear("Wed, 02 Dec 2026 15:00:00 GMT")
+        clock.update_from_date_header("Wed, 02 Dec 2026 15:00:00 GMT")
         vm_clock.advance(timedelta(minutes=1))
-        clock.hear(DATE)
+        clock.update_from_date_header(DATE)
         assert clock.now() == DATE_TIME
 
     def test_claim_expires_by_platform_time(self):
@@ -73,9 +73,9 @@
         The claim would be removed at once, and its request could run again.
         """
         vm_clock = ManualClock()
-        vm_clock.jump(-3 * DAY)
+        vm_clock.shift_wall_time(-3 * DAY)
         clock = StoreClock(vm_clock)
-        clock.hear(DATE)
+        clock.update_from_date_header(DATE)
         table = RecordingTable()
-        Claims(table, DirectCommitter(table), "n1", clock, DAY).take("key", "digest")
+        Claims(table, DirectCommitter(table), "n1", clock, DAY).acquire("key", "digest")
         assert table.recorded_writes[0].expires == DATE_TIME + DAY
--- a/packages/runhatch-server/tests/test_stored.py
+++ b/packages/runhatch-server/tests/test_stored.py
@@ -2,14 +2,14 @@
 
 import pytest
 
-from runhatch_coordination.testing import MemoryObjects
+from runhatch_coordination.testing import MemoryObjectStore
 from runhatch_server.serving._stored import AnswerStore, StoredAnswer
 
 SMALL = StoredAnswer(201, (("Content-Type", "text/plain"),), b"\x00booked")
 LARGE = StoredAnswer(200, (), b"x" * 10_000)
 
 
-class FailingObjects(MemoryObjects):
+class FailingObjects(MemoryObjectStore):
     """Fails every put."""
 
     def put(self, name, body):
@@ -25,17 +25,17 @@
     )
     def test_reads_back_the_stored_answer(self, answer, inline_bytes, objects):
         """An answer is read back unchanged, stored inline or as an object."""
-        store = MemoryObjects()
+        store = MemoryObjectStore()
         answers = AnswerStore(store, inline_bytes)
-        stored = answers.keep("k", answer)
-        assert answers.read(stored) == answer
+        stored = answers.store_answer("k", answer)
+        assert answers.read_answer(stored) == answer
         assert (store.get("k") is not None) == bool(objects)
 
     def test_failed_put_returns_none(self):
         """An answer whose object could not be written is not reported as stored."""
-        assert AnswerStore(FailingObjects(), 0).keep("k", SMALL) is None
+        assert AnswerStore(FailingObjects(), 0).store_answer("k", SMALL) is None
 
     def test_unavailable_object_returns_none(self):
         """Reading an answer returns ``None`` if its object is missing."""
-        stored = AnswerStore(MemoryObjects(), 0).keep("k", SMALL)
-        assert AnswerStore(MemoryObjects(), 0).read(stored) is None
+        stored = AnswerStore(MemoryObjectStore(), 0).store_answer("k", SMALL)
+        assert AnswerStore(MemoryObjectStore(), 0).read_answer(stored) is None
--- a/packages/runhatch-server/tests/test_suspect_exchange.py
+++ b/packages/runhatch-server/tests/test_suspect_exchange.py
@@ -61,7 +61,7 @@
 def run_rounds(nodes, count):
     for _ in range(count):
         for node in nodes:
-            node.exchange.tell_news()
+            node.exchange.send_updates()
 
 
 class TestPropagation:
@@ -76,7 +76,7 @@
     def test_cleared_request_reaches_all_nodes(self, ring):
         ring[0].record_end("t")
         run_rounds(ring, 4)
-        ring[3].watch.told_cleared(["x"])
+        ring[3].watch.receive_cleared(["x"])
         run_rounds(ring, 4)
 
         assert not any(node.known for node in ring)
@@ -88,7 +88,7 @@
         assert not ring[2].known
         ring[2].is_disconnected = False
         for node in ring:
-            node.exchange.ask()
+            node.exchange.send_digest()
 
         assert ring[2].known == {"t"}
 
@@ -98,7 +98,7 @@
         clock.advance(seconds(5))
         run_rounds(ring[:1], 1)
 
-        assert [end.at for end in ring[1].watch.known()] == [
+        assert [end.at for end in ring[1].watch.known_ends()] == [
             clock.elapsed() - seconds(5)
         ]
 
@@ -106,4 +106,4 @@
         ring[0].record_end("t")
         run_rounds(ring, 8)
 
-        assert all(node.watch.take_news() == ([], []) for node in ring)
+        assert all(node.watch.take_updates() == ([], []) for node in ring)
--- a/packages/runhatch-server/tests/test_suspects.py
+++ b/packages/runhatch-server/tests/test_suspects.py
@@ -28,7 +28,7 @@
 
 def record_ends(suspects, fingerprint, count, at=START):
     for number in range(count):
-        suspects.told([ObservedEnd(fingerprint, f"t{number}", at)], at)
+        suspects.record_ends([ObservedEnd(fingerprint, f"t{number}", at)], at)
 
 
 class TestHoldDuration:
--- a/packages/runhatch-server/tests/test_target_connections.py
+++ b/packages/runhatch-server/tests/test_target_connections.py
@@ -76,13 +76,13 @@
 
 def send_request(connection):
     connection.send("GET", "/", (("host", "a"),), b"", seconds(1))
-    assert connection.wait(seconds(1))
+    assert connection.wait_readable(seconds(1))
     return connection.read_head(seconds(1))
 
 
 def read_all(connection):
     body = b""
-    while chunk := connection.read_some():
+    while chunk := connection.read_chunk():
         body += chunk
     return body
 
@@ -102,7 +102,7 @@
     )
     def test_complete_body_is_read(self, raw_target, pool, parts, body):
         raw_target.answers = [parts]
-        connection = pool.take(raw_target.target(), 4, seconds(1))
+        connection = pool.acquire(raw_target.target(), 4, seconds(1))
         send_request(connection)
 
         assert read_all(connection) == body
@@ -119,7 +119,7 @@
     )
     def test_truncated_body_raises(self, raw_target, pool, parts):
         raw_target.answers = [parts]
-        connection = pool.take(raw_target.target(), 4, seconds(1))
+        connection = pool.acquire(raw_target.target(), 4, seconds(1))
         send_request(connection)
 
         with pytest.raises((OSError, http.client.HTTPException, ValueError)):
@@ -127,11 +127,11 @@
 
     def test_end_of_a_chunk_alone_is_not_readable(self, raw_target, pool):
         raw_target.answers = [[CHUNKED + b"2\r\nab\r\n"]]
-        connection = pool.take(raw_target.target(), 4, seconds(1))
+        connection = pool.acquire(raw_target.target(), 4, seconds(1))
         send_request(connection)
-        assert connection.read_some() == b"ab"
+        assert connection.read_chunk() == b"ab"
 
-        assert not connection.wait(seconds(0.05))
+        assert not connection.wait_readable(seconds(0.05))
 
 
 class TestReuse:
@@ -139,7 +139,7 @@
 
     def complete_exchange(self, raw_target, pool, parts):
         raw_target.answers = [parts, [SHORT]]
-        connection = pool.take(raw_target.target(), 4, seconds(1))
+        connection = pool.acquire(raw_target.target(), 4, seconds(1))
         send_request(connection)
         read_all(connection)
         time.sleep(0.05)
@@ -170,7 +170,7 @@
     def test_only_clean_connections_are_reused(self, raw_target, pool, parts, reused):
         first = self.complete_exchange(raw_target, pool, parts)
 
-        second = pool.take(raw_target.target(), 4, seconds(1))
+        second = pool.acquire(raw_target.target(), 4, seconds(1))
 
         assert (second is first) is reused
 
@@ -178,15 +178,15 @@
         first = self.complete_exchange(raw_target, pool, [SHORT])
         first.idle_until = SystemClock().elapsed()
 
-        assert pool.take(raw_target.target(), 4, seconds(1)) is not first
+        assert pool.acquire(raw_target.target(), 4, seconds(1)) is not first
 
     def test_open_connections_are_limited(self, raw_target, pool):
         target = raw_target.target()
-        taken = [pool.take(target, 2, seconds(1)) for _ in range(3)]
+        taken = [pool.acquire(target, 2, seconds(1)) for _ in range(3)]
 
         assert isinstance(taken[2], NotSent)
         pool.discard(taken[0])
-        assert isinstance(pool.take(target, 2, seconds(1)), TargetConnection)
+        assert isinstance(pool.acquire(target, 2, seconds(1)), TargetConnection)
 
     def test_connections_to_removed_targets_are_closed(self, raw_target, pool):
         self.complete_exchange(raw_target, pool, [SHORT])
@@ -200,23 +200,23 @@
     """Detection of addresses at which no process listens."""
 
     def test_listening_target_does_not_refuse(self, raw_target, pool):
-        assert not pool.refuses(raw_target.target())
+        assert not pool.refuses_connections_of(raw_target.target())
 
     def test_target_whose_process_ended_refuses(self, pool):
         with socket.create_server(("127.0.0.1", 0)) as listener:
             target = replace(make_target(), port=listener.getsockname()[1])
-            assert not pool.refuses(target)
+            assert not pool.refuses_connections_of(target)
 
-        assert pool.refuses(target)
+        assert pool.refuses_connections_of(target)
 
     def test_open_idle_connection_avoids_a_new_one(self, raw_target, pool):
         raw_target.answers = [[SHORT]]
         target = raw_target.target()
-        connection = pool.take(target, 1, seconds(1))
+        connection = pool.acquire(target, 1, seconds(1))
         send_request(connection)
-        connection.read_whole()
+        connection.read_body()
         pool.give_back(connection, seconds(5))
         accepted = raw_target.accepted
 
-        assert not pool.refuses(target)
+        assert not pool.refuses_connections_of(target)
         assert raw_target.accepted == accepted
--- a/packages/runhatch-server/tests/test_target_control.py
+++ b/packages/runhatch-server/tests/test_target_control.py
@@ -85,8 +85,8 @@
             OrderOutcome.CONFLICT,
             OrderOutcome.NOT_SENT,
             OrderOutcome.REFUSED,
-            OrderOutcome.REFUSED_OLD,
-            OrderOutcome.GONE,
+            OrderOutcome.REFUSED_STALE,
+            OrderOutcome.TARGET_REPLACED,
         ],
     )
     def test_other_outcomes_wait_for_a_report(self, outcome):
@@ -181,7 +181,7 @@
             make_order(OrderKind.UNLOAD, model, self.control.accepted_orders), lost
         )
 
-    @precondition(lambda self: self.control.step is not ControlState.IDLE)
+    @precondition(lambda self: self.control.state is not ControlState.IDLE)
     @rule()
     def request_report(self):
         self.now += 1
--- a/packages/runhatch-server/tests/test_target_state.py
+++ b/packages/runhatch-server/tests/test_target_state.py
@@ -7,8 +7,8 @@
 from server_cases import make_request
 
 from runhatch_coordination.testing import ManualClock
-from runhatch_server.serving import Dispatcher, Grant, Hosting, Picture
-from runhatch_server.serving._target_state import TOLERATED, TargetState
+from runhatch_server.serving import Dispatcher, Grant, Hosting, PlacementCache
+from runhatch_server.serving._target_state import TOLERATED_SLOWDOWN, TargetState
 
 USUAL = timedelta(seconds=1)
 START = timedelta(seconds=100)
@@ -17,9 +17,9 @@
 @pytest.fixture
 def state():
     state = TargetState(8, random.Random(1))
-    state.granted(START, USUAL)
-    state.succeeded(USUAL, USUAL, START)
-    state.returned(START, USUAL)
+    state.record_grant(START, USUAL)
+    state.record_success(USUAL, USUAL, START)
+    state.record_return(START, USUAL)
     return state
 
 
@@ -27,7 +27,7 @@
     """Excess of request durations over the usual ones."""
 
     @pytest.mark.parametrize(
-        ("times", "slow"), [(1, False), (TOLERATED, False), (10, True)]
+        ("times", "slow"), [(1, False), (TOLERATED_SLOWDOWN, False), (10, True)]
     )
     def test_slow_answers_add_excess(self, state, times, slow):
         """Only answers slower than the tolerated multiple add excess."""
@@ -40,7 +40,7 @@
         state.granted(START, USUAL)
         later = START + USUAL * age
         assert (state.excess(later) > timedelta()) is slow
-        state.returned(START, USUAL)
+        state.record_return(START, USUAL)
         assert state.excess(later) == timedelta()
 
     def test_long_requests_are_compared_with_their_own_route(self, state):
@@ -62,10 +62,10 @@
     def test_stuck_target_is_avoided(self, deployment):
         """A target that does not answer is avoided before its requests end."""
         clock = ManualClock()
-        picture = Picture()
-        picture.configure(deployment)
+        picture = PlacementCache()
+        picture.set_deployment(deployment)
         for name in ("w0", "w1"):
-            picture.learn(Hosting(name, 1, ("m0@1",)))
+            picture.apply_hosting(Hosting(name, 1, ("m0@1",)))
         dispatcher = Dispatcher(picture, clock, "d0", 8, 1.0, seed=1)
 
         def grant(avoided: str = "") -> Grant:
@@ -77,7 +77,7 @@
         first = [grant() for _ in range(4)]
         clock.advance(USUAL)
         for granted_slot in first:
-            dispatcher.completed(granted_slot, USUAL, None)
+            dispatcher.release_completed(granted_slot, USUAL, None)
         grant(avoided="w1")
         clock.advance(USUAL * 6)
         # By load alone, w0 with its one stuck request would be chosen.
--- a/packages/runhatch-server/tests/test_window_budget.py
+++ b/packages/runhatch-server/tests/test_window_budget.py
@@ -15,7 +15,7 @@
 
 
 def count_allowed(budget, nodes, attempts):
-    return sum(budget.withdraw(nodes) for _ in range(attempts))
+    return sum(budget.try_spend(nodes) for _ in range(attempts))
 
 
 class TestWindowBudget:
@@ -62,7 +62,7 @@
             if is_request:
                 budget.request()
                 requests.append(clock.elapsed())
-            elif budget.withdraw(nodes):
+            elif budget.try_spend(nodes):
                 retries.append(clock.elapsed())
         for end in retries:
             start = end - BOUNDS.window
--- a/standins/src/runhatch_standins/_peer_group.py
+++ b/standins/src/runhatch_standins/_peer_group.py
@@ -15,8 +15,8 @@
 from runhatch_server.observability import Metrics
 from runhatch_server.peers import Envelope, Fact, LinkClosed
 from runhatch_server.peers._links import ENCODER
-from runhatch_server.peers._messages import VERSION
-from runhatch_server.serving import Picture, TargetIncarnations
+from runhatch_server.peers._messages import PROTOCOL_VERSION
+from runhatch_server.serving import PlacementCache, TargetIncarnations
 
 ROUND = timedelta(seconds=1)
 HOP = timedelta(milliseconds=20)
@@ -40,7 +40,7 @@
         self.service = PeerService(
             self.membership,
             RevisionFeed(lambda _: None),
-            Picture(),
+            PlacementCache(),
             group.metrics,
             lambda _: None,
             lambda _: False,
@@ -54,11 +54,11 @@
             group.clock,
             seed=group.seed,
         )
-        self.service.attach(self)
+        self.service.attach_links(self)
         self._group = group
         self._queued_by_address: dict[str, list[Fact]] = {}
 
-    def keep(self, addresses: frozenset[str]) -> None:
+    def set_peers(self, addresses: frozenset[str]) -> None:
         """Open and close links so that exactly ``addresses`` are linked."""
         for address in set(self._queued_by_address) - addresses:
             facts = self._queued_by_address.pop(address)
@@ -66,19 +66,19 @@
         for address in addresses - set(self._queued_by_address):
             self._queued_by_address[address] = []
 
-    def tell_all(self, fact: Fact) -> None:
+    def publish(self, fact: Fact) -> None:
         """Queue ``fact`` for every linked peer."""
         for facts in self._queued_by_address.values():
             facts.append(fact)
 
-    def tell(self, address: str, facts: list[Fact]) -> None:
+    def send(self, address: str, facts: list[Fact]) -> None:
         """Queue ``facts`` for a linked peer; send them at once to any other."""
         if address in self._queued_by_address:
             self._queued_by_address[address] += facts
         else:
             self._send(address, facts, linked=False)
 
-    def hold(self, address: str) -> None:
+    def set_direct_peer(self, address: str) -> None:
         """Do nothing; facts for unlinked peers are sent at once here."""
 
     def flush(self, heartbeat: bool) -> None:
@@ -89,7 +89,9 @@
                 self._send(address, facts, linked=True)
 
     def _send(self, address: str, facts: list[Fact], linked: bool) -> None:
-        envelope = Envelope(VERSION, self.service.own(), linked, list(facts))
+        envelope = Envelope(
+            PROTOCOL_VERSION, self.service.own_member(), linked, list(facts)
+        )
         self._group.post(self.vm, address, envelope)
 
 
@@ -150,9 +152,9 @@
         for node in self.running():
             if self._round_number % LIST_EVERY == 0:
                 leaving = self.leaving - {node.vm.name}
-                node.membership.listed(listing, leaving)
-            node.service.keep_links()
-            node.service.look_round()
+                node.membership.apply_list(listing, leaving)
+            node.service.update_links()
+            node.service.check_members()
             node.flush(heartbeat=True)
         self._round_number += 1
         elapsed = timedelta()
--- a/standins/tests/test_peer_group.py
+++ b/standins/tests/test_peer_group.py
@@ -9,7 +9,7 @@
 """Rounds after which everybody has heard of everybody."""
 QUIET_BYTES = 350
 """Of heartbeats alone, for eight links; nothing here is a matter of time."""
-LEAVING_STANDINGS = ({Standing.LEAVING}, {Standing.ALIVE, Standing.LEAVING})
+LEAVING_STANDINGS = ({Standing.DRAINING}, {Standing.ALIVE, Standing.DRAINING})
 """What others believe of a leaving VM, and what it believes of itself."""
 
 
--- a/tests/adapter/test_platform_decoding.py
+++ b/tests/adapter/test_platform_decoding.py
@@ -268,9 +268,9 @@
         "service": "s",
         "method": "POST",
         "uri": "/",
-        "passed": (("host", "a"),),
+        "forwarded_headers": (("host", "a"),),
         "body": b"",
-        "received": timedelta(),
+        "received_at": timedelta(),
         "goal_at": timedelta(),
         "deadline": timedelta(),
     }
--- a/tests/adapter/test_platform_restored.py
+++ b/tests/adapter/test_platform_restored.py
@@ -7,31 +7,31 @@
 
 from runhatch_coordination import (
     ABSENT,
+    ClaimAcquired,
+    ClaimDone,
+    ClaimPending,
     Claims,
     Committed,
     Conflict,
-    Done,
+    DigestMismatch,
     GroupCommitter,
     HistoryLost,
     Key,
     Lease,
     LeaseChange,
-    Mismatch,
     Missing,
-    Pending,
     Put,
     Revision,
     RevisionLog,
     StoreVersion,
     SystemClock,
-    Taken,
     Unknown,
-    WaitEnded,
+    WaitInterrupted,
     era_of,
     fence_of,
     store_version,
 )
-from runhatch_coordination.testing import MemoryObjects
+from runhatch_coordination.testing import MemoryObjectStore
 from runhatch_platform import Store, StoreFeed, StoreTable
 from runhatch_platform._store import Reply
 from runhatch_standins import launch
@@ -97,7 +97,7 @@
         restore_store(platform)
         write_row(platform, "b")
 
-        found = feed.changes(before, timedelta())
+        found = feed.read_changes(before, timedelta())
 
         # Both results show that changes may have been missed.
         assert found == HistoryLost() or era_of(found.version) == 1
@@ -108,7 +108,7 @@
         call(platform.url, "POST", "/faults", {"silent": True})
         outcomes = []
         waiting = threading.Thread(
-            target=lambda: outcomes.append(feed.changes(version, WAIT))
+            target=lambda: outcomes.append(feed.read_changes(version, WAIT))
         )
         waiting.start()
         waiting.join(0.3)
@@ -117,10 +117,10 @@
         feed.read()
         waiting.join(2)
 
-        assert outcomes == [WaitEnded()]
+        assert outcomes == [WaitInterrupted()]
 
     def test_era_of_a_version_from_peers_is_adopted(self, feed, store):
-        feed.changes(store_version(3, 1), timedelta())
+        feed.read_changes(store_version(3, 1), timedelta())
         assert store.era == 3
 
     def test_first_era_received_is_not_treated_as_a_restore(self, platform, store):
@@ -132,7 +132,7 @@
     def test_response_without_a_valid_era_keeps_the_known_era(
         self, feed, store, header
     ):
-        feed.changes(store_version(2, 1), timedelta())
+        feed.read_changes(store_version(2, 1), timedelta())
         store._record_reply(
             Reply(200, b"", {} if header is None else {"store-era": header})
         )
@@ -158,7 +158,7 @@
         assert store.era == era
 
     def test_response_of_a_previous_era_is_rejected(self, feed, store):
-        feed.changes(store_version(2, 1), timedelta())
+        feed.read_changes(store_version(2, 1), timedelta())
         # The stand-in responds with its first era.
         assert not hasattr(feed.read(), "entries")
 
@@ -257,10 +257,10 @@
         claims, taken = self.take_claim(store)
         copy_store(platform)
         restore_store(platform)
-        assert claims.read("k", "other") == Mismatch()
+        assert claims.read("k", "other") == DigestMismatch()
 
         assert claims.finish(taken, "answer") == Committed()
-        assert claims.read("k", "digest") == Done("answer")
+        assert claims.read("k", "digest") == ClaimDone("answer")
 
     def test_claim_of_another_node_is_not_finished(self, platform, store):
         """After a restore, another node's claim has the version of the lost claim."""
@@ -268,29 +268,29 @@
         claims, taken = self.take_claim(store)
         restore_store(platform)
         others, _ = self.take_claim(Store(platform.url))
-        assert isinstance(claims.read("k", "digest"), Pending)
+        assert isinstance(claims.read("k", "digest"), ClaimPending)
 
         assert claims.finish(taken, "answer") == Conflict((0,))
         claims.release(taken)
-        assert isinstance(others.read("k", "digest"), Pending)
+        assert isinstance(others.read("k", "digest"), ClaimPending)
 
     def take_claim(self, store):
         table = StoreTable(store)
         claims = Claims(table, GroupCommitter(table), "n", SystemClock())
-        taken = claims.take("k", "digest")
-        assert isinstance(taken, Taken)
+        taken = claims.acquire("k", "digest")
+        assert isinstance(taken, ClaimAcquired)
         return claims, taken
 
     def test_revisions_continue_from_the_head_in_the_copy(self, platform, store):
-        log = RevisionLog(StoreTable(store), MemoryObjects(), "configuration")
+        log = RevisionLog(StoreTable(store), MemoryObjectStore(), "configuration")
         assert isinstance(log.publish(0, b"one", "x", "", ""), Revision)
         copy_store(platform)
         assert isinstance(log.publish(1, b"lost", "x", "", ""), Revision)
         restore_store(platform)
-        assert log.head() == 1
+        assert log.read_head_number() == 1
 
         assert isinstance(log.publish(1, b"two", "x", "", ""), Revision)
-        assert log.read(2).body == b"two"
+        assert log.read_revision(2).body == b"two"
 
     def test_store_version_returns_a_store_version(self):
         assert store_version(0, 7) == StoreVersion(7)
@@ -308,12 +308,12 @@
         restore_store(platform)
         first = self.create_lease(platform, "a")
         assert wait_until(lambda: first.step() is LeaseChange.ACQUIRED)
-        previous_fence = first.held().number
+        previous_fence = first.held_epoch().number
         first.release()
         second = self.create_lease(platform, "b")
 
         assert second.step() is LeaseChange.ACQUIRED
-        assert second.held().number > previous_fence
+        assert second.held_epoch().number > previous_fence
         assert previous_fence >= fence_of(1, 1)
 
     def test_own_name_in_a_restored_row_does_not_acquire_the_lease(self, platform):
@@ -329,4 +329,4 @@
         restarted = self.create_lease(platform, "a")
 
         assert restarted.step() is LeaseChange.NONE
-        assert holder.held() is not None
+        assert holder.held_epoch() is not None
--- a/tests/adapter/test_platform_store.py
+++ b/tests/adapter/test_platform_store.py
@@ -19,7 +19,7 @@
     Put,
     Unavailable,
     Unknown,
-    WaitEnded,
+    WaitInterrupted,
 )
 from runhatch_platform import Store, StoreFeed, StoreObjects, StoreTable
 from runhatch_standins import launch
@@ -65,7 +65,7 @@
 
     def test_versions_of_a_row_count_from_one(self, table):
         for version in range(3):
-            put = Put(KEY, f"{version}".encode(), expect=version)
+            put = Put(KEY, f"{version}".encode(), expected_version=version)
             assert table.transact([put]) == Committed()
 
         assert table.get(KEY).version == 3
@@ -74,8 +74,8 @@
     @pytest.mark.parametrize(
         "write",
         [
-            Put(KEY, b"x", expect=ABSENT),
-            Put(KEY, b"x", expect=2),
+            Put(KEY, b"x", expected_version=ABSENT),
+            Put(KEY, b"x", expected_version=2),
             Delete(KEY, 7),
             Check(KEY, ABSENT),
         ],
@@ -152,7 +152,7 @@
         later = threading.Timer(0.1, self.write, (platform, "a", 1))
         later.start()
 
-        changes = feed.changes(version, timedelta(seconds=5))
+        changes = feed.read_changes(version, timedelta(seconds=5))
 
         assert changes.entries == (Entry("a", b"1"),)
         assert changes.version > version
@@ -162,7 +162,7 @@
         self.write(platform, "a", "bad")
         self.write(platform, "b", 2)
 
-        changes = feed.changes(version, timedelta(seconds=1))
+        changes = feed.read_changes(version, timedelta(seconds=1))
 
         assert [entry.key for entry in changes.entries] == ["b"]
 
@@ -171,13 +171,15 @@
         self, platform, store, listed
     ):
         """An entry overwritten by another writer removes its target and no other."""
-        feed = StoreFeed(store, "watched", decode, unreadable_is_gone=True)
+        feed = StoreFeed(store, "watched", decode, removes_unreadable=True)
         self.write(platform, "a", 1)
         self.write(platform, "b", 2)
         version = feed.read().version
         self.write(platform, "a", "bad")
 
-        found = feed.read() if listed else feed.changes(version, timedelta(seconds=1))
+        found = (
+            feed.read() if listed else feed.read_changes(version, timedelta(seconds=1))
+        )
 
         assert Entry("a", None) in found.entries
         assert not listed or Entry("b", b"2") in found.entries
@@ -188,7 +190,7 @@
         row = {"table": "watched", "key": "a"}
         call(platform.url, "PUT", "/rows", {"remove": [row]})
 
-        changes = feed.changes(version, timedelta(seconds=1))
+        changes = feed.read_changes(version, timedelta(seconds=1))
 
         assert changes.entries == (Entry("a", None),)
 
@@ -197,28 +199,30 @@
         self.write(platform, "a", 3)
         call(platform.url, "POST", "/forget", {})
 
-        assert feed.changes(version, timedelta()) == HistoryLost()
+        assert feed.read_changes(version, timedelta()) == HistoryLost()
 
     def test_hurry_ends_a_wait(self, feed):
         version = feed.read().version
-        threading.Timer(0.1, feed.hurry).start()
+        threading.Timer(0.1, feed.interrupt_wait).start()
 
-        outcome = feed.changes(version, timedelta(seconds=8))
+        outcome = feed.read_changes(version, timedelta(seconds=8))
 
-        assert outcome == WaitEnded()
+        assert outcome == WaitInterrupted()
 
     def test_failure_of_another_call_ends_a_wait(self, platform, feed, table):
         version = feed.read().version
         outcomes = []
         waiting = threading.Thread(
-            target=lambda: outcomes.append(feed.changes(version, timedelta(seconds=8)))
+            target=lambda: outcomes.append(
+                feed.read_changes(version, timedelta(seconds=8))
+            )
         )
         waiting.start()
         inject_faults(platform, silent=True)
         table.get(KEY)
         waiting.join(3)
 
-        assert outcomes == [WaitEnded()]
+        assert outcomes == [WaitInterrupted()]
 
 
 MEGABIT = 125_000
@@ -263,9 +267,9 @@
 
     def test_response_in_transfer_is_not_interrupted(self, platform, slow_store, relay):
         feed, version = self.write_large_row(platform, slow_store)
-        self.run_halfway(relay, feed.hurry)
+        self.run_halfway(relay, feed.interrupt_wait)
 
-        outcome = feed.changes(version, timedelta(seconds=8))
+        outcome = feed.read_changes(version, timedelta(seconds=8))
 
         assert [len(entry.value) for entry in outcome.entries] == [len(LARGE) + 2]
 
@@ -276,7 +280,7 @@
         self.run_halfway(relay, lambda: relay.inject(LinkFault.FREEZE))
         began = time.monotonic()
 
-        outcome = feed.changes(version, timedelta(seconds=8))
+        outcome = feed.read_changes(version, timedelta(seconds=8))
 
         assert isinstance(outcome, Unavailable)
         assert time.monotonic() - began < 2
--- a/tests/adapter/test_platform_wishes.py
+++ b/tests/adapter/test_platform_wishes.py
@@ -5,7 +5,7 @@
 import pytest
 
 from runhatch_platform import PlatformHeaders
-from runhatch_server.targets import UnreadableLimit
+from runhatch_server.targets import InvalidRateLimit
 
 
 class TestFlowControlHeaders:
@@ -50,7 +50,7 @@
         [
             ({"server-limit": "1.2"}, 1.2),
             ({"server-limit": "0"}, 0.0),
-            ({"server-limit": "few"}, UnreadableLimit("few")),
+            ({"server-limit": "few"}, InvalidRateLimit("few")),
             ({}, None),
         ],
     )
