--- a/packages/runhatch-server/tests/test_load_exchange.py
+++ b/packages/runhatch-server/tests/test_load_exchange.py
@@ -173,7 +173,7 @@
     for number in (30, 90):
         cluster = Cluster(clock, number)
         follower = next(
-            n for n in cluster.nodes.values() if not Tables(cluster, n.vm).reads
+            n for n in cluster.nodes.values() if not Tables(cluster, n.vm).is_reader
         )
         for _ in range(20):
             follower.begin(1)
