--- a/standins/tests/test_peer_group.py
+++ b/standins/tests/test_peer_group.py
@@ -9,7 +9,7 @@
 """Rounds after which all nodes know each other."""
 MAX_HEARTBEAT_BYTES = 350
 """Maximum bytes per node and round for the heartbeats of eight links."""
-LEAVING_STANDINGS = ({Standing.LEAVING}, {Standing.ALIVE, Standing.LEAVING})
+LEAVING_STANDINGS = ({Standing.DRAINING}, {Standing.ALIVE, Standing.DRAINING})
 """Accepted standings of a leaving VM: at other nodes, and at itself."""
 
 
