--- a/benchmarks/bench_claims.py
+++ b/benchmarks/bench_claims.py
@@ -6,11 +6,11 @@
 from _reporting import Report
 
 from runhatch_coordination import (
-    ClaimAcquired,
     Claims,
     Committer,
     GroupCommitter,
     SystemClock,
+    Taken,
     commit,
 )
 from runhatch_coordination.testing import MemoryTable
@@ -57,7 +57,7 @@
     def claim(index: int) -> None:
         node = claims[index % nodes]
         taken = node.acquire(f"key-{index}", "digest")
-        assert isinstance(taken, ClaimAcquired)
+        assert isinstance(taken, Taken)
         node.finish(taken, "answer")
 
     started = time.perf_counter()
--- a/packages/runhatch-coordination/src/runhatch_coordination/_claims.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/_claims.py
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ClaimAcquired:
+class Taken:
     """The caller holds the claim and may run the action once."""
 
     key: str
@@ -62,14 +62,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ClaimDone:
+class Done:
     """The action has already run; ``result`` is the value passed to ``finish``."""
 
     result: str
 
 
 @dataclass(frozen=True, slots=True)
-class ClaimPending:
+class Pending:
     """Another attempt, on ``node``, holds the claim; its action may have run."""
 
     node: str
@@ -77,11 +77,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DigestMismatch:
+class Mismatch:
     """The key was already used for a different request."""
 
 
-ClaimOutcome = ClaimAcquired | ClaimDone | ClaimPending | DigestMismatch | Unavailable
+ClaimOutcome = Taken | Done | Pending | Mismatch | Unavailable
 
 
 class Committer(Protocol):
@@ -124,7 +124,7 @@
         insertion = self._make_put(key, record, ABSENT)
         outcome = self._committer.commit([insertion])
         if isinstance(outcome, Committed):
-            return ClaimAcquired(key, record)
+            return Taken(key, record)
         if isinstance(outcome, Conflict):
             return self.read(key, digest)
         if isinstance(outcome, Unknown):
@@ -141,17 +141,17 @@
             return Unavailable("the claim was released concurrently")
         record = msgspec.json.decode(found.body, type=ClaimRecord)
         if record.digest != digest:
-            return DigestMismatch()
+            return Mismatch()
         if record.state is ClaimState.DONE:
-            return ClaimDone(record.result)
+            return Done(record.result)
         with self._lock:
             is_unused = record.attempt in self._unused_attempts
             self._unused_attempts.discard(record.attempt)
         if is_unused:
-            return ClaimAcquired(key, record)
-        return ClaimPending(record.node, record.attempt)
+            return Taken(key, record)
+        return Pending(record.node, record.attempt)
 
-    def finish(self, claim: ClaimAcquired, result: str) -> TransactOutcome:
+    def finish(self, claim: Taken, result: str) -> TransactOutcome:
         """Record that the action ran; ``result`` holds or locates its answer."""
         finished = ClaimRecord(
             claim.record.attempt,
@@ -164,7 +164,7 @@
             claim, lambda expect: self._make_put(claim.key, finished, expect)
         )
 
-    def release(self, claim: ClaimAcquired) -> None:
+    def release(self, claim: Taken) -> None:
         """Release a claim whose action has certainly not run.
 
         If the table is unreachable, record the attempt as unused instead, so that a
@@ -177,7 +177,7 @@
                 self._unused_attempts.add(claim.record.attempt)
 
     def _update_claim(
-        self, taken: ClaimAcquired, write: Callable[[int], Put | Delete]
+        self, taken: Taken, write: Callable[[int], Put | Delete]
     ) -> TransactOutcome:
         """Update the claim row, also after the table was restored from a copy.
 
--- a/packages/runhatch-coordination/tests/test_claims.py
+++ b/packages/runhatch-coordination/tests/test_claims.py
@@ -5,13 +5,13 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from runhatch_coordination import (
-    ClaimAcquired,
-    ClaimDone,
-    ClaimPending,
     Claims,
     Committed,
-    DigestMismatch,
+    Done,
     GroupCommitter,
+    Mismatch,
+    Pending,
+    Taken,
 )
 from runhatch_coordination.testing import (
     FaultyTable,
@@ -55,15 +55,15 @@
     @rule(node=st.sampled_from(NODES), key=st.sampled_from(KEYS))
     def claim(self, node, key):
         outcome = self.nodes[node][1].acquire(key, "digest")
-        if isinstance(outcome, ClaimAcquired):
+        if isinstance(outcome, Taken):
             self.taken.append((node, key, outcome))
-        if isinstance(outcome, ClaimDone):
+        if isinstance(outcome, Done):
             self.results[key].add(outcome.result)
 
     @rule(node=st.sampled_from(NODES), key=st.sampled_from(KEYS))
     def claim_with_another_body(self, node, key):
         outcome = self.nodes[node][1].read(key, "another")
-        assert not isinstance(outcome, ClaimAcquired | ClaimDone | ClaimPending)
+        assert not isinstance(outcome, Taken | Done | Pending)
 
     @rule(index=st.integers(0, 20), act=st.booleans())
     def settle(self, index, act):
@@ -114,21 +114,21 @@
         """A node does not act while another node holds the claim."""
         self.claims.acquire("k", "d")
         outcome = self.other.acquire("k", "d")
-        assert isinstance(outcome, ClaimPending)
+        assert isinstance(outcome, Pending)
         assert outcome.node == "a"
 
     def test_another_request_with_the_same_key_is_a_mismatch(self):
         """A key cannot be reused for a different request."""
         self.claims.acquire("k", "d")
-        assert self.other.acquire("k", "e") == DigestMismatch()
+        assert self.other.acquire("k", "e") == Mismatch()
 
     def test_insertion_with_unknown_outcome_can_be_claimed_by_its_node(self):
         """Lost answers to an insertion must not block the key for its own node."""
         self.table.inject(TableFault.LOSE_ANSWER, 3)
         first = self.claims.acquire("k", "d")
-        assert not isinstance(first, ClaimAcquired)
-        assert isinstance(self.other.acquire("k", "d"), ClaimPending)
-        assert isinstance(self.claims.acquire("k", "d"), ClaimAcquired)
+        assert not isinstance(first, Taken)
+        assert isinstance(self.other.acquire("k", "d"), Pending)
+        assert isinstance(self.claims.acquire("k", "d"), Taken)
 
     def test_release_in_an_outage_frees_the_claim_for_its_node(self):
         """A release that did not reach the table must not block the key."""
@@ -136,4 +136,4 @@
         self.table.inject(TableFault.DOWN)
         self.claims.release(taken)
         self.table.inject(TableFault.NONE, 0)
-        assert isinstance(self.claims.acquire("k", "d"), ClaimAcquired)
+        assert isinstance(self.claims.acquire("k", "d"), Taken)
--- a/packages/runhatch-server/src/runhatch_server/configuration/__init__.py
+++ b/packages/runhatch-server/src/runhatch_server/configuration/__init__.py
@@ -23,7 +23,7 @@
     ApplyOutcome,
     ConfigurationService,
     Invalid,
-    RevisionConflict,
+    Overruled,
 )
 
 __all__ = [
@@ -35,7 +35,7 @@
     "Fencing",
     "Invalid",
     "ModelSpec",
-    "RevisionConflict",
+    "Overruled",
     "PathSpec",
     "PinSpec",
     "PlainServiceSpec",
--- a/packages/runhatch-server/src/runhatch_server/configuration/_service.py
+++ b/packages/runhatch-server/src/runhatch_server/configuration/_service.py
@@ -37,14 +37,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RevisionConflict:
+class Overruled:
     """Another revision was published since the base; nothing was changed."""
 
     head: int
     difference: str
 
 
-ApplyOutcome = Applied | Invalid | RevisionConflict | Unavailable | Unknown
+ApplyOutcome = Applied | Invalid | Overruled | Unavailable | Unknown
 
 
 class ConfigurationService:
@@ -115,14 +115,12 @@
             return current
         return self._log.read_revision(number)
 
-    def _build_overruled(self, head: int, body: bytes) -> RevisionConflict:
+    def _build_overruled(self, head: int, body: bytes) -> Overruled:
         revision = self._log.read_revision(head)
         if not isinstance(revision, Revision):
-            return RevisionConflict(
-                head, "(the store did not return the newer revision)"
-            )
+            return Overruled(head, "(the store did not return the newer revision)")
         self._feed.offer(revision)
         difference_text = format_difference(
             revision.body, body, (f"revision {head}", "yours")
         )
-        return RevisionConflict(head, difference_text)
+        return Overruled(head, difference_text)
--- a/packages/runhatch-server/src/runhatch_server/operations/_app.py
+++ b/packages/runhatch-server/src/runhatch_server/operations/_app.py
@@ -15,7 +15,7 @@
     ApplyOutcome,
     ConfigurationService,
     Invalid,
-    RevisionConflict,
+    Overruled,
     format_difference,
 )
 from runhatch_server.observability import Metrics, TraceLog, log_change
@@ -199,7 +199,7 @@
                 return _json({"revision": number})
             case Invalid(faults):
                 return problem_response(422, "invalid", "\n".join(faults))
-            case RevisionConflict(head, shown):
+            case Overruled(head, shown):
                 return problem_response(
                     409, "conflict", f"revision {head} came first\n{shown}"
                 )
--- a/packages/runhatch-server/src/runhatch_server/serving/_once.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_once.py
@@ -10,15 +10,15 @@
 from datetime import timedelta
 
 from runhatch_coordination import (
-    ClaimAcquired,
-    ClaimDone,
-    ClaimPending,
     Claims,
     Clock,
     Committed,
-    DigestMismatch,
+    Done,
     Membership,
+    Mismatch,
+    Pending,
     Standing,
+    Taken,
     Unavailable,
     require,
 )
@@ -61,9 +61,7 @@
         self._active_attempts: set[str] = set()
         self._lock = threading.Lock()
 
-    def claim_request(
-        self, request: CallerRequest
-    ) -> ClaimAcquired | StoredAnswer | Refusal:
+    def claim_request(self, request: CallerRequest) -> Taken | StoredAnswer | Refusal:
         """Claim ``request``, or return the answer of its previous run or a refusal.
 
         A repeat of an unfinished run waits for its answer while the node that runs
@@ -73,21 +71,21 @@
         digest = request_digest(request)
         outcome = self._claims.acquire(key, digest)
         wait_until = self._clock.elapsed() + self._wait
-        while isinstance(outcome, ClaimPending) and self._should_wait(
+        while isinstance(outcome, Pending) and self._should_wait(
             outcome.node, min(wait_until, request.deadline)
         ):
             self._clock.sleep(CLAIM_POLL_INTERVAL)
             outcome = self._claims.read(key, digest)
         self._metrics.claims.labels(type(outcome).__name__.lower()).inc()
         match outcome:
-            case ClaimAcquired():
+            case Taken():
                 self._require_first_use(outcome)
                 return outcome
-            case ClaimDone(result):
+            case Done(result):
                 return self._read_recorded(result)
-            case DigestMismatch():
+            case Mismatch():
                 return Refusal(Reason.KEY_REUSED, Executed.NO)
-            case ClaimPending(node):
+            case Pending(node):
                 is_running = self._is_alive(node)
                 retry_delay = RUNNING_RETRY_AFTER if is_running else None
                 detail = f"it runs on {node}" if is_running else f"node {node} is gone"
@@ -102,14 +100,14 @@
                     STORE_RETRY_AFTER,
                 )
 
-    def finish_claim(self, claim: ClaimAcquired, answer: StoredAnswer) -> None:
+    def finish_claim(self, claim: Taken, answer: StoredAnswer) -> None:
         """Record ``answer`` and finish the claim; retry failures in the background."""
         with self._lock:
             self._active_attempts.discard(claim.record.attempt)
         if not self._record_answer(claim, answer):
             self._recorders.submit(self._retry_recording, claim, answer)
 
-    def release_claim(self, claim: ClaimAcquired) -> None:
+    def release_claim(self, claim: Taken) -> None:
         """Release a claim whose request certainly did not run."""
         with self._lock:
             self._active_attempts.discard(claim.record.attempt)
@@ -120,7 +118,7 @@
         self._closing.set()
         self._recorders.shutdown()
 
-    def _require_first_use(self, taken: ClaimAcquired) -> None:
+    def _require_first_use(self, taken: Taken) -> None:
         with self._lock:
             require(
                 taken.record.attempt not in self._active_attempts,
@@ -139,14 +137,14 @@
             STORE_RETRY_AFTER,
         )
 
-    def _record_answer(self, taken: ClaimAcquired, answer: StoredAnswer) -> bool:
+    def _record_answer(self, taken: Taken, answer: StoredAnswer) -> bool:
         name = f"{ANSWER_PREFIX}/{taken.key}-{taken.record.attempt}"
         claim_result = self._answers.store_answer(name, answer)
         if claim_result is None:
             return False
         return isinstance(self._claims.finish(taken, claim_result), Committed)
 
-    def _retry_recording(self, taken: ClaimAcquired, answer: StoredAnswer) -> None:
+    def _retry_recording(self, taken: Taken, answer: StoredAnswer) -> None:
         pause = MIN_RECORD_BACKOFF
         for _ in range(MAX_RECORD_ATTEMPTS):
             if self._closing.wait(pause.total_seconds()):
--- a/packages/runhatch-server/src/runhatch_server/serving/_service.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_service.py
@@ -5,7 +5,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from datetime import timedelta
 
-from runhatch_coordination import ClaimAcquired, Clock
+from runhatch_coordination import Clock, Taken
 from runhatch_server.http import AbortedStreamError
 from runhatch_server.observability import (
     Metrics,
@@ -91,7 +91,7 @@
         self._canceller.close()
 
     def _run_request(
-        self, context: RequestContext, claim: ClaimAcquired | None
+        self, context: RequestContext, claim: Taken | None
     ) -> CallerAnswer:
         while True:
             opened = self._attempter.open_answer(context)
@@ -126,7 +126,7 @@
     def _finish_whole(
         self,
         context: RequestContext,
-        claim: ClaimAcquired | None,
+        claim: Taken | None,
         opened: OpenedAnswer,
         answer: StoredAnswer,
     ) -> CallerAnswer:
@@ -137,7 +137,7 @@
         return build_whole_answer(answer, context.request.request_id)
 
     def _start_stream(
-        self, context: RequestContext, claim: ClaimAcquired | None, opened: OpenedAnswer
+        self, context: RequestContext, claim: Taken | None, opened: OpenedAnswer
     ) -> CallerAnswer:
         relay = StreamRelay(
             context,
@@ -162,7 +162,7 @@
         return StreamedAnswer(relay.answer.status, headers, events)
 
     def _relay_all(
-        self, context: RequestContext, claim: ClaimAcquired | None, relay: StreamRelay
+        self, context: RequestContext, claim: Taken | None, relay: StreamRelay
     ) -> Generator[bytes, None, None]:
         outcome = "cut"
         status = relay.answer.status
@@ -205,7 +205,7 @@
                 self._detached_runs.submit(_consume, events)
 
     def _refuse_run(
-        self, context: RequestContext, claim: ClaimAcquired | None, refusal: Refusal
+        self, context: RequestContext, claim: Taken | None, refusal: Refusal
     ) -> CallerAnswer:
         if context.request.is_model and refusal.executed is Executed.UNKNOWN:
             self._cancel_last_attempt(context)
--- a/packages/runhatch-server/tests/test_configuration.py
+++ b/packages/runhatch-server/tests/test_configuration.py
@@ -12,7 +12,7 @@
     Applied,
     ConfigurationService,
     Invalid,
-    RevisionConflict,
+    Overruled,
     parse_deployment,
 )
 
@@ -79,7 +79,7 @@
         """A conflicting change returns the difference to the published revision."""
         assert service.publish_document(encode_document(), 0, "a", "") == Applied(1)
         outcome = service.publish_document(encode_document(adapters=[]), 0, "b", "")
-        assert isinstance(outcome, RevisionConflict)
+        assert isinstance(outcome, Overruled)
         assert outcome.head == 1
         assert '-      "name": "a0"' in outcome.difference
 
--- a/packages/runhatch-server/tests/test_once.py
+++ b/packages/runhatch-server/tests/test_once.py
@@ -7,11 +7,11 @@
 from server_cases import make_request
 
 from runhatch_coordination import (
-    ClaimAcquired,
     Claims,
     GroupCommitter,
     Membership,
     SystemClock,
+    Taken,
     Vm,
 )
 from runhatch_coordination.testing import (
@@ -70,7 +70,7 @@
         """With a pause of a second before the retry, repeats were refused meanwhile."""
         runner, other = nodes
         claim = runner.guard.claim_request(make_keyed_request())
-        assert isinstance(claim, ClaimAcquired)
+        assert isinstance(claim, Taken)
 
         runner.table.inject(fault, writes)
         runner.guard.finish_claim(claim, ANSWER)
--- a/tests/adapter/test_platform_restored.py
+++ b/tests/adapter/test_platform_restored.py
@@ -7,24 +7,24 @@
 
 from runhatch_coordination import (
     ABSENT,
-    ClaimAcquired,
-    ClaimDone,
-    ClaimPending,
     Claims,
     Committed,
     Conflict,
-    DigestMismatch,
+    Done,
     GroupCommitter,
     HistoryLost,
     Key,
     Lease,
     LeaseChange,
+    Mismatch,
     Missing,
+    Pending,
     Put,
     Revision,
     RevisionLog,
     StoreVersion,
     SystemClock,
+    Taken,
     Unknown,
     WaitInterrupted,
     era_of,
@@ -257,10 +257,10 @@
         claims, taken = self.take_claim(store)
         copy_store(platform)
         restore_store(platform)
-        assert claims.read("k", "other") == DigestMismatch()
+        assert claims.read("k", "other") == Mismatch()
 
         assert claims.finish(taken, "answer") == Committed()
-        assert claims.read("k", "digest") == ClaimDone("answer")
+        assert claims.read("k", "digest") == Done("answer")
 
     def test_claim_of_another_node_is_not_finished(self, platform, store):
         """After a restore, another node's claim has the version of the lost claim."""
@@ -268,17 +268,17 @@
         claims, taken = self.take_claim(store)
         restore_store(platform)
         others, _ = self.take_claim(Store(platform.url))
-        assert isinstance(claims.read("k", "digest"), ClaimPending)
+        assert isinstance(claims.read("k", "digest"), Pending)
 
         assert claims.finish(taken, "answer") == Conflict((0,))
         claims.release(taken)
-        assert isinstance(others.read("k", "digest"), ClaimPending)
+        assert isinstance(others.read("k", "digest"), Pending)
 
     def take_claim(self, store):
         table = StoreTable(store)
         claims = Claims(table, GroupCommitter(table), "n", SystemClock())
         taken = claims.acquire("k", "digest")
-        assert isinstance(taken, ClaimAcquired)
+        assert isinstance(taken, Taken)
         return claims, taken
 
     def test_revisions_continue_from_the_head_in_the_copy(self, platform, store):
