--- a/packages/runhatch-coordination/tests/test_leases.py
+++ b/packages/runhatch-coordination/tests/test_leases.py
@@ -50,15 +50,15 @@
     def test_paused_holder_cannot_write_after_expiry(self, contenders):
         """The guard rejects writes of a holder that resumes after its lease expired."""
         contenders.step("a")
-        old = contenders.leases["a"].held()
+        old = contenders.leases["a"].held_epoch()
         contenders.step("b")
         contenders.advance(TTL.total_seconds() * 1.6, "b")
         contenders.step("b")
         # The paused node's clock stopped, so the node still considers itself holder.
-        assert contenders.leases["a"].held() is not None
+        assert contenders.leases["a"].held_epoch() is not None
         assert write_guarded(contenders, "a", old) != Committed()
         assert (
-            write_guarded(contenders, "b", contenders.leases["b"].held()) == Committed()
+            write_guarded(contenders, "b", contenders.leases["b"].held_epoch()) == Committed()
         )
         contenders.advance(3, "a")
         assert contenders.step("a") is LeaseChange.LOST
@@ -165,7 +165,7 @@
         for name in "abab":
             while contenders.step(name) is not LeaseChange.ACQUIRED:
                 contenders.advance(1)
-            epochs.append(contenders.leases[name].held().number)
+            epochs.append(contenders.leases[name].held_epoch().number)
             contenders.leases[name].release()
         assert epochs == [1, 2, 3, 4]
 
--- a/packages/runhatch-coordination/tests/test_leases_world.py
+++ b/packages/runhatch-coordination/tests/test_leases_world.py
@@ -127,7 +127,7 @@
     def deliver(self, index):
         """Deliver delayed writes to the table."""
         for table in self.nodes[index].tables:
-            table.deliver()
+            table.apply_delayed_writes()
 
     @rule(index=st.integers(0, 4), isolated=st.booleans())
     def set_isolated(self, index, isolated):
--- a/packages/runhatch-coordination/tests/test_shared_world.py
+++ b/packages/runhatch-coordination/tests/test_shared_world.py
@@ -55,17 +55,17 @@
 
     def request_changes(self, table, version):
         for reader in self.world.readers_of(self):
-            changes = reader.table.since(version)
+            changes = reader.table.changes_since(version)
             if not reader.is_frozen and changes is not None:
                 self.table.apply_changes(
-                    reader.vm.name, changes, reader.table.reachable
+                    reader.vm.name, changes, reader.table.reaches_store
                 )
                 break
         return True
 
     def publish(self, table, changes, reachable):
         for other in self.world.followers_of(self):
-            other.table.told(self.vm.name, changes, reachable)
+            other.table.apply_changes(self.vm.name, changes, reachable)
 
     def publish_version(self, table, version):
         for other in self.world.nodes:
--- a/packages/runhatch-server/tests/late_world.py
+++ b/packages/runhatch-server/tests/late_world.py
@@ -175,7 +175,7 @@
         request = make_request(self.clock, ROUTE, "plain", "")
         found = node.balancer.acquire(request, TriedTargets(), never_disconnected)
         if isinstance(found, Grant):
-            node.balancer.released(found, faulty=False)
+            node.balancer.release(found, target_failed=False)
             arrivals = self.sent[found.target.incarnation]
             self._schedule(
                 self._thread_delays, lambda: arrivals.append(self.clock.elapsed())
--- a/packages/runhatch-server/tests/test_planner.py
+++ b/packages/runhatch-server/tests/test_planner.py
@@ -25,7 +25,7 @@
     """Return a pool's state; ``rows`` lists the units served by each target."""
     extra = {
         name: changes.pop(name)
-        for name in ("closed", "silent", "ages")
+        for name in ("excluded", "silent", "ages")
         if name in changes
     }
     body = json.dumps(deployment_document(**changes)).encode()
@@ -150,17 +150,17 @@
 
     def test_drained_target_keeps_last_replica_until_another_serves(self):
         """Models of a drained target are loaded elsewhere before they are retired."""
-        actions = plan(make_state(ALL_RESIDENT, closed=frozenset({"w2"})))
+        actions = plan(make_state(ALL_RESIDENT, excluded=frozenset({"w2"})))
         assert [(a.unit, type(a)) for a in actions] == [("m2@1", LoadUnit)]
         loaded = (ALL_RESIDENT[0], ALL_RESIDENT[1], ("m2@1",))
         with_replica = (("m0@1", "a0@1", "m2@1"), *loaded[1:])
-        actions = plan(make_state(with_replica, closed=frozenset({"w2"})))
+        actions = plan(make_state(with_replica, excluded=frozenset({"w2"})))
         assert summarize(actions) == [("retire", "m2@1", "w2")]
 
     def test_models_of_silent_target_are_loaded_elsewhere(self):
         """Models of a silent target are loaded elsewhere, and none is retired."""
         silent = frozenset({"w2"})
-        actions = plan(make_state(ALL_RESIDENT, closed=silent, silent=silent))
+        actions = plan(make_state(ALL_RESIDENT, excluded=silent, silent=silent))
         assert [(a.unit, type(a)) for a in actions] == [("m2@1", LoadUnit)]
 
     def test_undeclared_units_are_retired(self):
--- a/packages/runhatch-server/tests/test_shard_restored.py
+++ b/packages/runhatch-server/tests/test_shard_restored.py
@@ -119,13 +119,13 @@
         Otherwise engines would refuse them.  The copy may lack rows or be of any age.
         """
         pool.run_rounds(rounds)
-        pool.memory.copy()
+        pool.memory.save_copy()
         pool.run_rounds()
         pool.declare_new_versions()
         pool.run_rounds()
         numbers_before = pool.order_numbers()
         assert all(numbers_before.values())
-        pool.memory.restore()
+        pool.memory.restore_copy()
         if planner != "a":
             pool.start_node(planner)
         pool.run_rounds()
@@ -145,22 +145,22 @@
         pool.run_rounds()
         store = LedgerStore(pool.table, "reader", "a")
         stored = store.read_rows()[0]
-        pool.memory.copy()
-        pool.memory.restore()
+        pool.memory.save_copy()
+        pool.memory.restore_copy()
 
-        written = store.write_row(stored.row, stored, pool.lease.held())
+        written = store.write_row(stored.row, stored, pool.lease.held_epoch())
 
         assert isinstance(written, Unknown)
         assert store.read_rows()[0].next_order_number > stored.next_order_number
 
     def test_hostings_are_published_after_a_restore(self, pool):
         """Hostings stay current although the versions of rows repeat."""
-        pool.memory.copy()
+        pool.memory.save_copy()
         for _ in range(2):
             pool.run_rounds()
             pool.declare_new_versions()
         pool.run_rounds()
-        pool.memory.restore()
+        pool.memory.restore_copy()
         pool.declare_new_versions()
         pool.run_rounds(2 * ROUNDS)
 
--- a/packages/runhatch-server/tests/test_store_clock.py
+++ b/packages/runhatch-server/tests/test_store_clock.py
@@ -78,4 +78,4 @@
         clock.update_from_date_header(DATE)
         table = RecordingTable()
         Claims(table, DirectCommitter(table), "n1", clock, DAY).acquire("key", "digest")
-        assert table.recorded_writes[0].expires == DATE_TIME + DAY
+        assert table.recorded_writes[0].expires_at == DATE_TIME + DAY
--- a/packages/runhatch-server/tests/test_target_connections.py
+++ b/packages/runhatch-server/tests/test_target_connections.py
@@ -143,7 +143,7 @@
         send_request(connection)
         read_all(connection)
         time.sleep(0.05)
-        pool.give_back(connection, seconds(1))
+        pool.release(connection, seconds(1))
         return connection
 
     @pytest.mark.parametrize(
@@ -215,7 +215,7 @@
         connection = pool.acquire(target, 1, seconds(1))
         send_request(connection)
         connection.read_body()
-        pool.give_back(connection, seconds(5))
+        pool.release(connection, seconds(5))
         accepted = raw_target.accepted
 
         assert not pool.refuses_connections_of(target)
--- a/packages/runhatch-server/tests/test_target_state.py
+++ b/packages/runhatch-server/tests/test_target_state.py
@@ -31,29 +31,29 @@
     )
     def test_slow_answers_add_excess(self, state, times, slow):
         """Only answers slower than the tolerated multiple add excess."""
-        state.succeeded(USUAL * times, USUAL, START)
-        assert (state.excess(START) > timedelta()) is slow
+        state.record_success(USUAL * times, USUAL, START)
+        assert (state.estimate_excess(START) > timedelta()) is slow
 
     @pytest.mark.parametrize(("age", "slow"), [(1, False), (4, False), (6, True)])
     def test_overdue_outstanding_request_adds_excess(self, state, age, slow):
         """An outstanding request adds excess once it is older than tolerated."""
-        state.granted(START, USUAL)
+        state.record_grant(START, USUAL)
         later = START + USUAL * age
-        assert (state.excess(later) > timedelta()) is slow
+        assert (state.estimate_excess(later) > timedelta()) is slow
         state.record_return(START, USUAL)
-        assert state.excess(later) == timedelta()
+        assert state.estimate_excess(later) == timedelta()
 
     def test_long_requests_are_compared_with_their_own_route(self, state):
         """A request of a slow route is compared with the usual time of that route."""
-        state.granted(START, USUAL * 60)
-        state.succeeded(USUAL, USUAL, START)
-        assert state.excess(START + USUAL * 50) == timedelta()
+        state.record_grant(START, USUAL * 60)
+        state.record_success(USUAL, USUAL, START)
+        assert state.estimate_excess(START + USUAL * 50) == timedelta()
 
     def test_excess_decays(self, state):
         """The excess decays, so that a slow target is tried again."""
-        state.succeeded(USUAL * 10, USUAL, START)
-        initial_excess = state.excess(START)
-        assert state.excess(START + timedelta(seconds=30)) < initial_excess / 500
+        state.record_success(USUAL * 10, USUAL, START)
+        initial_excess = state.estimate_excess(START)
+        assert state.estimate_excess(START + timedelta(seconds=30)) < initial_excess / 500
 
 
 class TestSlowTarget:
--- a/packages/runhatch-server/tests/test_window_budget.py
+++ b/packages/runhatch-server/tests/test_window_budget.py
@@ -60,7 +60,7 @@
             clock.advance(timedelta(milliseconds=pause))
             budget = budgets[node % nodes]
             if is_request:
-                budget.request()
+                budget.record_request()
                 requests.append(clock.elapsed())
             elif budget.try_spend(nodes):
                 retries.append(clock.elapsed())
--- a/tests/adapter/test_platform_decoding.py
+++ b/tests/adapter/test_platform_decoding.py
@@ -358,7 +358,7 @@
     def test_resumed_request_names_only_the_latest_event(self):
         codec = PlatformHeaders()
         first = codec.encode_request(
-            create_request(last_event="3"), TARGET, 1_000 * MS, 0
+            create_request(last_event_id="3"), TARGET, 1_000 * MS, 0
         )
         resumed = codec.add_resume_after(first, "9")
 
--- a/tests/adapter/test_platform_restored.py
+++ b/tests/adapter/test_platform_restored.py
@@ -240,7 +240,7 @@
         assert other.transact([Put(OTHER, b"o", ABSENT)]) == Committed()
         copy_store(platform)
         assert other.transact([Put(KEY, b"a", ABSENT)]) == Committed()
-        write_to_store = store.write
+        write_to_store = store.apply_transaction
 
         def write_after_restore(transaction):
             restore_store(platform)
@@ -249,7 +249,7 @@
             assert theirs.transact([Put(KEY, b"theirs", ABSENT)]) == Committed()
             return write_to_store(transaction)
 
-        monkeypatch.setattr(store, "write", write_after_restore)
+        monkeypatch.setattr(store, "apply_transaction", write_after_restore)
 
         assert isinstance(StoreTable(store).transact([Put(KEY, b"b", 1)]), Unknown)
 
--- a/tests/adapter/test_platform_store.py
+++ b/tests/adapter/test_platform_store.py
@@ -124,7 +124,7 @@
             [Put(KEY, b"a", ABSENT, now - DAY), Put(OTHER, b"b", ABSENT, now + DAY)]
         )
 
-        table.sweep(("things", "others"), now)
+        table.delete_expired(("things", "others"), now)
 
         assert table.get(KEY) == Missing()
         assert table.get(OTHER).body == b"b"
