--- a/packages/runhatch-server/src/runhatch_server/decisions/_admission.py
+++ b/packages/runhatch-server/src/runhatch_server/decisions/_admission.py
@@ -1,8 +1,9 @@
 """Admission control: whether a request is sent now, delayed briefly, or refused.
 
 An engine reads prompts between the tokens of its streams, so a burst of prompts delays
-the events of every stream on that target. One prompt of 300 ms too many makes about
-twenty answers late; refusing or delaying it affects only one.
+the events of every stream on that target: prompts that take 300 ms to read delay them
+by as much. One prompt too many makes about twenty answers late; refusing or delaying it
+affects only one.
 """
 
 from collections.abc import Callable
@@ -18,8 +19,8 @@
 MAX_PAUSE_SHARES = (0.85, 0.75, 0.75, 0.6)
 """Share of the maximum allowed pause that prompts may cause, by tier. The remainder
 covers the one or two prompts that peers sent within the last 25 ms and have not
-reported yet. Less urgent tiers leave room for more urgent ones, late requests for
-all."""
+reported yet. The share is smaller for less urgent tiers, and smallest for late
+requests, so that more urgent prompts can still be sent."""
 MAX_EMPTY_QUEUE_MS = 15.0
 """Queued prompt reading up to which a target's queue counts as empty. A prompt that
 alone exceeds the allowed pause is sent to an empty queue; otherwise it would never be
@@ -37,8 +38,9 @@
 MAX_ADMITTED_BUSY = (2.0, 1.3, 1.3, 1.0)
 """Share of a target's time that recently sent prompts may take before further
 requests are refused, by tier. Above 1.0, streams in progress get one token per prompt
-chunk, about 110 ms apart, and long streams miss their deadline. Bursts and the most
-urgent tier may exceed 1.0 briefly; late requests use only what the others leave."""
+chunk, about 110 ms apart, and long streams miss their deadline. The limits above 1.0
+admit short bursts and the most urgent tier; late requests use only the time that the
+others leave."""
 OVERLOAD_QUEUE_MS = 200.0
 """Queued prompt reading above which a target counts as overloaded. Busy shares come
 from learned speeds, so a target with a short queue is less busy than its share
@@ -58,10 +60,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Postponed:
-    """Decide again after ``retry_after``, when the queue at ``best`` should be short
-    enough.
+    """The request waits for the queue at ``best`` to shorten.
 
-    After ``until`` the request waits no longer.
+    Admission is decided again after ``retry_after``. The request waits until
+    ``wait_until`` at most.
     """
 
     best: ScoredTarget
@@ -71,8 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """No target can serve the request in time; it may be retried ``retry_after`` this
-    delay.
+    """No target can serve the request in time; it may be retried after a delay.
 
     ``best`` is the target that came closest.
     """
@@ -123,7 +124,7 @@
         return Rejected(Reason.TOO_BUSY, best, BUSY_RETRY_DELAY)
     if not _lateness(request, best.predicted_ms, now):
         return _check_stream_pause(request, best, tier, max_pause_ms, now)
-    # A late answer still has some value, but yields to requests that are on time.
+    # A late answer still has some value, but has the lowest priority.
     tier = LATE_TIER
     max_pause_ms = stream_pause_limit_ms(max_gap, tier)
     best = find_best(tier, max_pause_ms)
@@ -142,14 +143,14 @@
     max_pause_ms: float,
     now: timedelta,
 ) -> AdmissionDecision:
-    """Admit ``request`` unless streams would pause too long, else wait or refuse."""
+    """Admit ``request``, or postpone or reject it if streams would pause too long."""
     if not _delays_streams(best, max_pause_ms):
         return Admitted(best, tier)
     excess = timedelta(milliseconds=best.pause_ms - max_pause_ms)
-    until = request.received_at + request.route.goal * MAX_WAIT_SHARE
-    if now + excess >= until:
+    wait_until = request.received_at + request.route.goal * MAX_WAIT_SHARE
+    if now + excess >= wait_until:
         return Rejected(Reason.TOO_BUSY, best, max(excess, BUSY_RETRY_DELAY))
-    return Postponed(best, max(excess, MIN_QUEUE_POLL_INTERVAL), until)
+    return Postponed(best, max(excess, MIN_QUEUE_POLL_INTERVAL), wait_until)
 
 
 def _delays_streams(best: ScoredTarget, max_pause_ms: float) -> bool:
@@ -168,7 +169,7 @@
 
 
 def _is_overloaded(best: ScoredTarget, tier: int) -> bool:
-    """Return whether prompts take so much time that streams there would be late."""
+    """Return whether prompts take so much time that streams at the target are late."""
     queued_ms = best.predicted_ms - best.work_ms
     return best.busy > MAX_ADMITTED_BUSY[tier] and queued_ms > OVERLOAD_QUEUE_MS
 
--- a/packages/runhatch-server/src/runhatch_server/decisions/_candidates.py
+++ b/packages/runhatch-server/src/runhatch_server/decisions/_candidates.py
@@ -1,6 +1,6 @@
 """Selects the targets that a request may be sent to.
 
-Leaves out targets that recently refused requests, asked for a backoff, or have used up
+Leaves out targets that recently refused requests, requested a backoff, or have used up
 their rate limit. Without this, a request whose model is on a single refusing target
 would be resent to it every few milliseconds.
 """
@@ -14,16 +14,15 @@
 from runhatch_server.refusals import Reason
 
 BUSY_AVOIDANCE_DURATION = timedelta(milliseconds=200)
-"""How long a target that refused for load is avoided while others are available."""
+"""How long a target that refused a request for load is avoided if there are others."""
 
 
 @dataclass(frozen=True, slots=True)
 class TriedTargets:
     """Incarnations of targets to which one request was already sent.
 
-    ``failed_targets`` are retried if there is no other target.
-    ``refused_targets`` are not, because the cause of the
-    refusal still holds.
+    ``failed_targets`` are retried if there is no other target. ``refused_targets`` are
+    not, because the cause of the refusal still exists.
     """
 
     failed_targets: frozenset[str] = frozenset()
@@ -73,16 +72,16 @@
     available = [
         target for target, _ in loads if now >= available_at[target.incarnation]
     ]
-    willing = [t for t in available if t.incarnation not in tried.refused_targets]
-    if not willing and available:
+    eligible = [t for t in available if t.incarnation not in tried.refused_targets]
+    if not eligible and available:
         return NoCandidates(BUSY_AVOIDANCE_DURATION, Reason.TARGETS_BUSY)
-    if not willing:
+    if not eligible:
         earliest = min(available_at, key=lambda target: available_at[target])
         is_backing_off = available_at[earliest] == load_of(earliest).backoff_until
         reason = Reason.TARGETS_BACK_OFF if is_backing_off else Reason.TARGETS_LIMITED
         return NoCandidates(available_at[earliest] - now, reason, earliest)
     untried = [
-        t for t in willing if t.incarnation not in tried.failed_targets
-    ] or willing
+        t for t in eligible if t.incarnation not in tried.failed_targets
+    ] or eligible
     avoided = {target.incarnation for target, load in loads if now < load.avoided_until}
     return [t for t in untried if t.incarnation not in avoided] or untried
--- a/packages/runhatch-server/src/runhatch_server/decisions/_load.py
+++ b/packages/runhatch-server/src/runhatch_server/decisions/_load.py
@@ -38,21 +38,21 @@
 an answer."""
 INITIAL_STEP_MS = 12.0
 """Initial estimate of the time between two tokens of a stream at an engine that reads
-no prompts. Steps take 5 to 9 ms, longer when more runs share them."""
+no prompts. Steps take 5 to 9 ms, longer with more concurrent requests."""
 MIN_STEP_MS, MAX_STEP_MS = 1.0, 100.0
 """Bounds of the estimated step time, against wrong measurements."""
 SHORTER_GAIN, LONGER_GAIN = 0.5, 0.05
 """Weights of the newest stream in a target's step time. Prompt reading only lengthens
 the steps, so a shorter measurement is more reliable and gets the larger weight."""
 MAX_CACHE_FILL_SHARE = 0.95
-"""Share of a target's cache to fill; runs are preempted when it is exceeded."""
+"""Share of a target's cache to fill; above it the engine preempts running requests."""
 
 
 @dataclass(slots=True)
 class OutstandingRequest:
     """A request sent to or held for a target, with its predicted cost and progress.
 
-    ``work_ms`` is the time to read its prompt, ``tokens`` its cache use and
+    ``work_ms`` is the time to read its prompt, ``tokens`` the cache tokens it uses, and
     ``predicted_ms`` the predicted time to the first byte.
     """
 
@@ -83,10 +83,11 @@
     """What one node, or several together, have outstanding at one target.
 
     ``waiting_ms`` is the remaining prompt reading by tier. ``waiting`` and ``running``
-    count the requests before and after their first token, and ``tokens`` is the cache
-    that they use. ``held_ms`` is the prompt reading of requests held until the target
-    has loaded their model. ``busy`` is the share of the target's time that recently
-    sent prompts take; it decays continuously, so it is not compared for equality.
+    count the requests before and after their first token, and ``tokens`` is the number
+    of cache tokens that they use. ``held_ms`` is the prompt reading of requests held
+    until the target has loaded their model. ``busy`` is the share of the target's time
+    that recently sent prompts take; it decays continuously, so it is not compared for
+    equality.
     """
 
     waiting_ms: tuple[float, ...] = (0.0,) * TIER_COUNT
@@ -192,8 +193,8 @@
     def held_ahead_ms(self, since: timedelta, now: timedelta) -> float:
         """Return the prompt reading of requests held before ``since``, in milliseconds.
 
-        For other nodes it is estimated as the share ``OLDER_HELD_SHARE`` of what they
-        hold.
+        The reading held on other nodes is estimated as the share ``OLDER_HELD_SHARE``
+        of what they hold.
         """
         own = sum(
             o.work_ms
@@ -209,8 +210,8 @@
     def total(self, now: timedelta) -> LoadShare:
         """Return what all nodes are known to have outstanding at the target.
 
-        Sums of domains are older than reports of single nodes, so prompts that arrived
-        since are estimated from their busy share.
+        Sums over domains are older than reports of single nodes, so the prompts that
+        were sent since then are estimated from the busy share.
         """
         total = self.direct_total(now)
         for share, age in _valid_reports(self.domain_shares, now):
@@ -257,7 +258,7 @@
         self.faults_at = now
 
     def is_silent(self, now: timedelta) -> bool:
-        """Return whether a request has waited far too long with no response at all."""
+        """Return whether a request has waited too long and the target sent nothing."""
         for outstanding in self.own_requests.values():
             if outstanding.started or outstanding.held:
                 continue
--- a/packages/runhatch-server/src/runhatch_server/decisions/_load_book.py
+++ b/packages/runhatch-server/src/runhatch_server/decisions/_load_book.py
@@ -45,7 +45,7 @@
             outstanding.predicted_ms, took, outstanding.sent_at + took
         )
         self.rates.record_first_token(work.model, outstanding, took)
-        self._prefixes.record_blocks(target, _prefix_blocks(work))
+        self._prefixes.record_blocks(target, _prefix_names(work))
 
     def full_prompt_ms(self, request: GatewayRequest) -> float:
         """Return the time in milliseconds to read the whole prompt of ``request``."""
@@ -56,7 +56,7 @@
 
     def count_uncached_tokens(self, target: str, work: ModelWork) -> int:
         """Return how many prompt tokens are not cached at ``target``, at least one."""
-        matched = self._prefixes.count_matching(target, _prefix_blocks(work))
+        matched = self._prefixes.count_matching(target, _prefix_names(work))
         cached = sum(part.tokens for part in work.prompt[:matched])
         return max(1, work.prompt_tokens - cached)
 
@@ -117,13 +117,13 @@
             self.load(target).domain_shares[ALL_OTHER_NODES] = (share, now)
 
     def direct_totals(self, now: timedelta) -> dict[str, LoadShare]:
-        """Return, by engine, what this node and its directly reporting peers have."""
+        """Return, by engine, the work of this node and its directly reporting peers."""
         return _engine_shares(
             (target, load.direct_total(now)) for target, load in self._loads.items()
         )
 
     def totals(self, now: timedelta) -> dict[str, LoadShare]:
-        """Return, by engine, what all nodes are known to have outstanding."""
+        """Return, by engine, the work that all nodes are known to have outstanding."""
         return _engine_shares(
             (target, load.total(now)) for target, load in self._loads.items()
         )
@@ -147,17 +147,17 @@
 def _engine_shares(shares: Iterable[tuple[str, LoadShare]]) -> dict[str, LoadShare]:
     """Return the shares of engines only.
 
-    Plain services answer in 20 to 70 ms, faster than sums are distributed. Outdated
-    sums would send all nodes to the same target.
+    Plain services answer in 20 to 70 ms, faster than sums are distributed. With
+    outdated sums all nodes would choose the same target.
     """
     return {target: share for target, share in shares if share.is_engine_share}
 
 
-def _prefix_blocks(work: ModelWork) -> tuple[str, ...]:
+def _prefix_names(work: ModelWork) -> tuple[str, ...]:
     """Return a name for each prefix of the prompt, built from its model and parts."""
     names = []
-    chain = f"{work.model}/{work.adapter}"
+    prefix = f"{work.model}/{work.adapter}"
     for part in work.prompt:
-        chain = f"{chain}:{part.name}"
-        names.append(chain)
+        prefix = f"{prefix}:{part.name}"
+        names.append(prefix)
     return tuple(names)
--- a/packages/runhatch-server/src/runhatch_server/decisions/_prefixes.py
+++ b/packages/runhatch-server/src/runhatch_server/decisions/_prefixes.py
@@ -19,7 +19,7 @@
 
 
 class PrefixIndex:
-    """Bounded LRU index of blocks by target; guarded by the dispatcher's lock."""
+    """Bounded LRU index of blocks by target; guarded by its owner's lock."""
 
     def __init__(self, max_blocks: int = MAX_INDEXED_BLOCKS) -> None:
         self._max_blocks = max_blocks
--- a/packages/runhatch-server/src/runhatch_server/decisions/_rate_limits.py
+++ b/packages/runhatch-server/src/runhatch_server/decisions/_rate_limits.py
@@ -17,14 +17,15 @@
 BURST_PERMITS = 3.0
 BURST_SECONDS = 0.25
 """Capacity of a bucket: ``BURST_PERMITS`` permits plus those of ``BURST_SECONDS`` at
-the rate. Without it, permits would be lost whenever a node requests one late."""
+the rate. With a smaller bucket, permits would be lost whenever a node requests one
+late."""
 TIER_RESERVES = (0.0, 0.5, 0.5, 1.0)
 """Permits that each tier leaves for more urgent tiers, most urgent tier first."""
 MIN_PERMIT_VALIDITY = timedelta(milliseconds=250)
 PERMIT_VALIDITY_PERMITS = 1.0
 """Validity of a permit: ``MIN_PERMIT_VALIDITY`` plus the time in which the rate yields
-``PERMIT_VALIDITY_PERMITS``. Permits used late are sent in addition to newer ones, which
-limits how long they may be valid."""
+``PERMIT_VALIDITY_PERMITS``. Requests with old permits are sent in addition to those
+with newer ones, so the validity must be short."""
 MAX_RETRY_DELAY = timedelta(seconds=2)
 """Maximum delay after which a node that was denied a permit requests one again."""
 SECOND = timedelta(seconds=1)
@@ -83,9 +84,9 @@
         if self.level >= needed:
             self.level -= 1.0
             return None
-        ready = now + SECOND * ((needed - self.level) / self.rate)
-        turn = max(ready, self.next_retry_at + SECOND / self.rate)
-        self.next_retry_at = max(ready, min(turn, now + MAX_RETRY_DELAY))
+        earliest_at = now + SECOND * ((needed - self.level) / self.rate)
+        retry_at = max(earliest_at, self.next_retry_at + SECOND / self.rate)
+        self.next_retry_at = max(earliest_at, min(retry_at, now + MAX_RETRY_DELAY))
         return self.next_retry_at - now
 
     def _refill(self, rate: float, now: timedelta) -> None:
@@ -118,8 +119,8 @@
     def take_permit(self, now: timedelta, has_requested: bool) -> bool:
         """Use a permit and return whether there was one for this request.
 
-        Requests without ``has_requested`` leave the permits to those
-        that wait for one.
+        A request for which no permit was requested (``has_requested`` is false) takes
+        only permits beyond those that other requests wait for.
         """
         if not self._has_permit(now):
             return False
@@ -137,14 +138,14 @@
 
     def deny_tier(self, tier: int, until: timedelta) -> None:
         """Record that ``tier`` and less urgent tiers get no permit before ``until``."""
-        for closed in range(tier, TIER_COUNT):
-            self.denied_until[closed] = max(self.denied_until[closed], until)
+        for denied_tier in range(tier, TIER_COUNT):
+            self.denied_until[denied_tier] = max(self.denied_until[denied_tier], until)
 
     def take_expired_count(self, now: timedelta) -> int:
         """Return how many permits expired since the previous call."""
         self._has_permit(now)
-        lapsed, self.expired_permits = self.expired_permits, 0
-        return lapsed
+        expired, self.expired_permits = self.expired_permits, 0
+        return expired
 
     def _has_permit(self, now: timedelta) -> bool:
         count = len(self.permits)
@@ -154,10 +155,11 @@
 
 
 def issued_rate_share(alive: int, lost: int) -> float:
-    """Return the share of a limit that a node issues that sees ``alive`` nodes.
+    """Return the share of a rate limit that the issuing node issues.
 
-    ``lost`` nodes were seen before but not recently. In a network partition, nodes in
-    the majority issue the whole limit, the others a proportional part below one half.
+    It sees ``alive`` nodes; ``lost`` nodes were seen before but not recently. In a
+    network partition, the issuing node of the majority issues the whole limit, any
+    other a proportional part of at most one half.
 
     >>> issued_rate_share(5, 4), issued_rate_share(3, 6)
     (1.0, 0.3333333333333333)
--- a/packages/runhatch-server/src/runhatch_server/decisions/_rates.py
+++ b/packages/runhatch-server/src/runhatch_server/decisions/_rates.py
@@ -15,7 +15,7 @@
 MIN_MS_PER_TOKEN, MAX_MS_PER_TOKEN = 0.002, 1.0
 """Bounds of the learned time per token, against wrong measurements."""
 REFERENCE_PROMPT_TOKENS = 600.0
-"""Prompt length in tokens whose error is split equally between base time and speed."""
+"""Prompt length in tokens at which an error corrects base time and speed equally."""
 SOONER_GAIN, LATER_GAIN = 0.3, 0.15
 """Weights of the newest first token; estimates converge after about ten. Requests
 of other nodes may have delayed it unnoticed, so a token that arrives sooner than
@@ -59,7 +59,7 @@
     def record_first_token(
         self, model: str, outstanding: OutstandingRequest, took: timedelta
     ) -> None:
-        """Learn from a first token that waited mostly for its own prompt."""
+        """Update the estimates, if the token waited mostly for its own prompt."""
         previous = self._ms_per_token.get(model, self._default_ms_per_token)
         expected_ms = self.base_ms + outstanding.uncached_tokens * previous
         if (
@@ -83,7 +83,7 @@
         ) * DEFAULT_RATE_GAIN
 
     def record_service_time(self, route: str, took: timedelta) -> None:
-        """Learn from a plain request of ``route`` that took ``took``."""
+        """Update the average with a plain request of ``route`` that took ``took``."""
         observed_ms = took / timedelta(milliseconds=1)
         previous = self._service_ms.get(route, observed_ms)
         self._service_ms[route] = previous + (observed_ms - previous) * SERVICE_GAIN
--- a/packages/runhatch-server/src/runhatch_server/decisions/_scoring.py
+++ b/packages/runhatch-server/src/runhatch_server/decisions/_scoring.py
@@ -49,9 +49,10 @@
 
 @dataclass(slots=True)
 class HeldRequest:
-    """Place in the queue of a request that waits for ``target`` to load its model.
+    """A request that waits for ``target`` to load its model.
 
-    ``held_since`` is the time at which the request was first held.
+    ``number`` is its key among the outstanding requests of this node, ``held_since``
+    the time at which it was first held.
     """
 
     number: int
--- a/packages/runhatch-server/src/runhatch_server/decisions/_suspects.py
+++ b/packages/runhatch-server/src/runhatch_server/decisions/_suspects.py
@@ -1,9 +1,9 @@
 """Finds requests that crash their targets, and how long to refuse each of them.
 
 A request that crashes every target that runs it may be retried at any node and take
-down one target after another. A crash aborts all requests in progress at the target,
-so all of them become suspects; an answer clears a request, and only the culprit is
-involved in further crashes.
+down one target after another. A crash aborts all requests in progress at the target, so
+all of them become suspects. An answer clears a request, so that in the end only the one
+that crashes targets remains a suspect.
 """
 
 from collections import OrderedDict, defaultdict
@@ -16,8 +16,9 @@
 """Number of targets that must have ended under a request before it is held back. Each
 crash involves about ten requests in progress, nearly all of them harmless."""
 INITIAL_HOLD_DURATION = timedelta(seconds=20)
-"""How long a request is held back after two targets ended. Harmless requests are hit
-twice too where a few targets share a busy model, so they are soon tried again."""
+"""How long a request is held back after two targets ended. Where a few targets share a
+busy model, harmless requests may be in progress at two crashes too, so they are soon
+tried again."""
 REPEATED_HOLD_DURATION = timedelta(minutes=10)
 MAX_HOLD_DURATION = timedelta(hours=2)
 """How long a request is held back after three targets ended, doubled with each further
@@ -53,28 +54,28 @@
 class _Suspicion:
     """Targets that ended while they ran one request."""
 
-    ended: dict[str, timedelta] = field(default_factory=dict)
+    ended_at: dict[str, timedelta] = field(default_factory=dict)
     """Time of the end by incarnation of a target."""
 
     @property
-    def last(self) -> timedelta:
-        return max(self.ended.values())
+    def last_end_at(self) -> timedelta:
+        return max(self.ended_at.values())
 
     @property
     def held_until(self) -> timedelta:
         """Time until which the request is held back; past if it is not held back."""
-        count = len(self.ended)
+        count = len(self.ended_at)
         if count < MIN_ENDS_TO_HOLD:
-            return self.last
+            return self.last_end_at
         if count == MIN_ENDS_TO_HOLD:
-            return self.last + INITIAL_HOLD_DURATION
+            return self.last_end_at + INITIAL_HOLD_DURATION
         doublings = min(count - MIN_ENDS_TO_HOLD - 1, MAX_HOLD_DOUBLINGS)
-        return self.last + min(
+        return self.last_end_at + min(
             REPEATED_HOLD_DURATION * (1 << doublings), MAX_HOLD_DURATION
         )
 
     @property
-    def forgotten_at(self) -> timedelta:
+    def expires_at(self) -> timedelta:
         return self.held_until + SUSPICION_RETENTION
 
 
@@ -82,11 +83,13 @@
     """Requests suspected of crashing targets, as known to one node."""
 
     def __init__(self) -> None:
-        self._unfinished: defaultdict[str, dict[str, timedelta]] = defaultdict(dict)
+        self._incomplete_requests: defaultdict[str, dict[str, timedelta]] = defaultdict(
+            dict
+        )
         """Requests without a complete answer, with the time of their abort, by
         incarnation of a target that may still be running."""
         self._last_disconnects: dict[str, timedelta] = {}
-        """Time of the last disconnect by incarnation, of those in ``_unfinished``."""
+        """Time of the last disconnect of each target in ``_incomplete_requests``."""
         self._suspicions: dict[str, _Suspicion] = {}
         self._cleared_at: OrderedDict[str, timedelta] = OrderedDict()
         self._digest = 0
@@ -102,7 +105,8 @@
         Each maps to the time of its last disconnect, ``None`` if there was none.
         """
         return {
-            target: self._last_disconnects.get(target) for target in self._unfinished
+            target: self._last_disconnects.get(target)
+            for target in self._incomplete_requests
         }
 
     def record_abandoned(self, fingerprint: str, target: str, now: timedelta) -> None:
@@ -110,7 +114,7 @@
 
         Its caller disconnected or its deadline passed; the target may still run it.
         """
-        self._unfinished[target][fingerprint] = now
+        self._incomplete_requests[target][fingerprint] = now
 
     def record_abort(self, fingerprint: str, target: str, now: timedelta) -> None:
         """Record that ``target`` aborted a request and may have ended."""
@@ -119,7 +123,7 @@
 
     def record_running(self, target: str, sent_at: timedelta) -> None:
         """Record that ``target`` answered a request sent at ``sent_at``."""
-        requests = self._unfinished.get(target)
+        requests = self._incomplete_requests.get(target)
         if requests is None:
             return
         for fingerprint in [name for name, at in requests.items() if at <= sent_at]:
@@ -147,7 +151,7 @@
         self, ends: Iterable[ObservedEnd], now: timedelta
     ) -> list[ObservedEnd]:
         """Record ends observed on any node; return those not known before."""
-        return [end for end in ends if self._record(end, now)]
+        return [end for end in ends if self._record_if_new(end, now)]
 
     def record_answer(self, fingerprint: str, now: timedelta) -> bool:
         """Record that a request was answered; return whether it was a suspect."""
@@ -167,7 +171,7 @@
     def ended_targets(self, fingerprint: str) -> tuple[str, ...]:
         """Return the incarnations that ended while they ran a request."""
         suspicion = self._suspicions.get(fingerprint)
-        return () if suspicion is None else tuple(suspicion.ended)
+        return () if suspicion is None else tuple(suspicion.ended_at)
 
     def held_requests(self, now: timedelta) -> list[str]:
         """Return the fingerprints of the requests that are held back."""
@@ -177,18 +181,18 @@
         """Return all recorded ends, those of the strongest suspects first."""
         ordered = sorted(
             self._suspicions.items(),
-            key=lambda item: (-len(item[1].ended), -item[1].last),
+            key=lambda item: (-len(item[1].ended_at), -item[1].last_end_at),
         )
         return [
             ObservedEnd(fingerprint, target, at)
             for fingerprint, suspicion in ordered
-            for target, at in suspicion.ended.items()
+            for target, at in suspicion.ended_at.items()
         ]
 
     def remove_expired(self, now: timedelta) -> None:
         """Remove aborted requests and suspicions that are too old."""
-        for target in [*self._unfinished]:
-            requests = self._unfinished[target]
+        for target in [*self._incomplete_requests]:
+            requests = self._incomplete_requests[target]
             expired = [
                 n for n, at in requests.items() if now - at > END_DETECTION_WINDOW
             ]
@@ -196,22 +200,22 @@
                 del requests[fingerprint]
             if not requests:
                 self._remove_target(target)
-        obsolete = [n for n, s in self._suspicions.items() if now >= s.forgotten_at]
+        obsolete = [n for n, s in self._suspicions.items() if now >= s.expires_at]
         for fingerprint in obsolete:
             self._remove_suspect(fingerprint)
 
     def _remove_target(self, target: str) -> dict[str, timedelta]:
         self._last_disconnects.pop(target, None)
-        return self._unfinished.pop(target, {})
+        return self._incomplete_requests.pop(target, {})
 
-    def _record(self, end: ObservedEnd, now: timedelta) -> bool:
+    def _record_if_new(self, end: ObservedEnd, now: timedelta) -> bool:
         cleared_at = self._cleared_at.get(end.fingerprint)
         if cleared_at is not None and now - cleared_at < CLEARANCE_DURATION:
             return False
         suspicion = self._suspicions.setdefault(end.fingerprint, _Suspicion())
-        if end.target in suspicion.ended:
+        if end.target in suspicion.ended_at:
             return False
-        suspicion.ended[end.target] = end.at
+        suspicion.ended_at[end.target] = end.at
         self._digest ^= _hash_end(end.fingerprint, end.target)
         if len(self._suspicions) > MAX_SUSPECTS:
             self._remove_suspect(self._weakest_suspect())
@@ -220,7 +224,7 @@
     def _weakest_suspect(self) -> str:
         def severity(fingerprint: str) -> tuple[int, timedelta]:
             suspicion = self._suspicions[fingerprint]
-            return len(suspicion.ended), suspicion.last
+            return len(suspicion.ended_at), suspicion.last_end_at
 
         return min(self._suspicions, key=severity)
 
@@ -228,7 +232,7 @@
         suspicion = self._suspicions.pop(fingerprint, None)
         if suspicion is None:
             return False
-        for target in suspicion.ended:
+        for target in suspicion.ended_at:
             self._digest ^= _hash_end(fingerprint, target)
         return True
 
