--- a/packages/runhatch-server/src/runhatch_server/residency/_adapter_policy.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_adapter_policy.py
@@ -85,10 +85,12 @@
         return DeferredAdapter(
             model, adapter, AdapterDeferralReason.NO_HOLDER_FREE, waiting
         )
-    victims = [_adapter_victim(view, control) for control in free]
-    lost = min((victim[0] for victim in victims if victim is not None), default=0.0)
+    evictions = [_cheapest_eviction(view, control) for control in free]
+    loss = min(
+        (eviction[0] for eviction in evictions if eviction is not None), default=0.0
+    )
     return DeferredAdapter(
-        model, adapter, AdapterDeferralReason.NOT_WORTH_IT, waiting, lost
+        model, adapter, AdapterDeferralReason.NOT_WORTH_IT, waiting, loss
     )
 
 
@@ -143,16 +145,16 @@
             cost = view.load_of(control) + crowding
             candidates.append((cost, AdapterLoad(name, model, adapter, None)))
             continue
-        victim = _adapter_victim(view, control)
-        if victim is not None and victim[0] < gain:
-            cost = 2.0 + view.load_of(control) + victim[0]
-            candidates.append((cost, AdapterLoad(name, model, adapter, victim[1])))
+        eviction = _cheapest_eviction(view, control)
+        if eviction is not None and eviction[0] < gain:
+            cost = 2.0 + view.load_of(control) + eviction[0]
+            candidates.append((cost, AdapterLoad(name, model, adapter, eviction[1])))
     return (
         min(candidates, key=lambda candidate: candidate[0])[1] if candidates else None
     )
 
 
-def _adapter_victim(
+def _cheapest_eviction(
     view: FleetView, control: TargetControl
 ) -> tuple[float, tuple[str, str]] | None:
     """Return the adapter with the least demand on a target, and that demand."""
--- a/packages/runhatch-server/src/runhatch_server/residency/_calls.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_calls.py
@@ -6,8 +6,8 @@
 from runhatch_server.residency._control import TargetControl
 
 CALL_WORKERS = 8
-"""Maximum concurrent calls to targets; one that does not answer holds a worker until
-its timeout."""
+"""Maximum concurrent calls to targets; a call to a target that does not answer occupies
+a worker until its timeout."""
 
 ApplyAnswer = Callable[[object], None]
 
@@ -41,9 +41,9 @@
         ended = [call for call in self._pending if call[1].done()]
         for call in ended:
             self._pending.remove(call)
-        for target, future, take in ended:
+        for target, future, apply_answer in ended:
             if target in known_targets:
-                take(future.result())
+                apply_answer(future.result())
 
     def ignore_pending(self) -> None:
         """Ignore the answers to all calls in progress."""
--- a/packages/runhatch-server/src/runhatch_server/residency/_control.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_control.py
@@ -1,10 +1,10 @@
 """State of one target under the orderer: what it holds, and the order in progress.
 
 Memory stays safe although reports lag and orders may arrive late. Each order names the
-number of orders that the target must have accepted before it, so that at most one more
-order can take effect at any moment, whichever of those sent it is. An order is sent
-only if it fits what the target holds after all orders known to be accepted, and memory
-of an unloaded model counts as free only after a report shows it.
+number of orders that the target must have accepted before it, so that of all orders in
+flight at most one can take effect. An order is sent only if it fits what the target
+holds after all orders known to be accepted, and memory of an unloaded model counts as
+free only after a report shows it.
 """
 
 from dataclasses import dataclass, field
@@ -17,7 +17,8 @@
 from runhatch_server.targets import OrderKind, OrderOutcome
 
 REPORT_LAG = timedelta(milliseconds=160)
-"""Maximum age of a report; the effect of an order is requested after this time."""
+"""Maximum age of a report; a report on the effect of an order is requested after this
+time."""
 UNLOAD_TIME = timedelta(milliseconds=300)
 """Usual time until a report shows the memory of an unloaded model as free."""
 ADAPTER_TIME = timedelta(milliseconds=70)
@@ -117,8 +118,8 @@
     def used_mb(self, engine: EngineSpec) -> float:
         """Return the memory of the models held or being loaded, in MB."""
         names = {*self.held, self.loading_model} - {""}
-        known = engine.by_name
-        return sum(known[name].memory_mb for name in names if name in known)
+        specs = engine.by_name
+        return sum(specs[name].memory_mb for name in names if name in specs)
 
     def adapter_count(self) -> int:
         """Return the number of adapters held."""
@@ -130,8 +131,8 @@
             return max(now, self.load_ready_at) + REPORT_LAG
         if self.intent is not None:
             model = engine.by_name.get(self.intent.model)
-            took = timedelta() if model is None else self.load_time(model)
-            return now + UNLOAD_TIME + took + REPORT_LAG
+            duration = timedelta() if model is None else self.load_time(model)
+            return now + UNLOAD_TIME + duration + REPORT_LAG
         if self.is_free:
             return max(now, self.orderable_from)
         return max(now, self.report_due_at, self.orderable_from) + REPORT_LAG
--- a/packages/runhatch-server/src/runhatch_server/residency/_controls.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_controls.py
@@ -1,4 +1,4 @@
-"""Controls of all listed targets, which request their reports."""
+"""Keep one control for each listed target, and request the reports that are due."""
 
 from collections.abc import Iterator
 from datetime import timedelta
@@ -35,7 +35,7 @@
         self._directory = directory
         self._client = client
         self._calls = calls
-        self._times = times
+        self._order_times = times
         self._declared = declared
         self._clock = clock
         self._controls: dict[str, TargetControl] = {}
@@ -69,16 +69,16 @@
         self._remove_unlisted(listed)
         now = self._clock.elapsed()
         previous_count = len(self._controls)
-        ordered_before = self._times.targets_in_flight_before(epoch)
+        targets_in_flight = self._order_times.targets_in_flight_before(epoch)
         for incarnation, target in listed.items():
             control = self._controls.get(incarnation)
             if control is None:
                 control = _new_control(target, now)
                 self._controls[incarnation] = control
-            # A resignation of the previous holder may arrive after the target was
-            # added.
-            control.orderable_from = self._times.orderable_from(target.name)
-            if target.name in ordered_before:
+            # Updated each round, because the resignation of the previous holder may
+            # arrive after the target was added.
+            control.orderable_from = self._order_times.orderable_from(target.name)
+            if target.name in targets_in_flight:
                 control.orderable_from = max(
                     control.orderable_from, now + MAX_ORDER_DELAY
                 )
@@ -101,7 +101,7 @@
         for incarnation in set(self._controls) - set(listed):
             name = self._controls.pop(incarnation).target.name
             if name not in listed_names:
-                self._times.remove_target(name, self._clock.elapsed())
+                self._order_times.remove_target(name, self._clock.elapsed())
 
     def _request_report_if_different(
         self, control: TargetControl, now: timedelta
--- a/packages/runhatch-server/src/runhatch_server/residency/_copies.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_copies.py
@@ -88,7 +88,7 @@
             has_copy = copies[model.name] or view.load_ready_at(model.name) is not None
             if has_copy or self._was_copied_recently(view, model.name):
                 continue
-            load = _take_load(view, free, model)
+            load = _assign_load(view, free, model)
             if load is not None:
                 planned.append(load)
         return restoring + planned
@@ -97,10 +97,10 @@
         last_request_at = view.demand.last_request_at(view.service)
         if last_request_at is not None and view.now - last_request_at < MIN_IDLE_TIME:
             return False
-        unknown = any(
+        has_unknown = any(
             control.state is ControlState.UNKNOWN for control in view.controls
         )
-        return view.now >= self._settled_at and not unknown
+        return view.now >= self._settled_at and not has_unknown
 
     def _restoring_loads(self, view: FleetView) -> list[ModelLoad]:
         """Return the loads of models that were evicted for a copy that now exists."""
@@ -129,16 +129,16 @@
     return control.is_free_at(view.now) and control.intent is None
 
 
-def _take_load(
+def _assign_load(
     view: FleetView, free: list[TargetControl], model: EngineModel
 ) -> ModelLoad | None:
     """Return the load of ``model`` on one of ``free``, and remove that target."""
     for control in free:
-        evict = _models_to_evict(view, control, model.memory_mb)
-        if evict is not None:
+        evictions = _models_to_evict(view, control, model.memory_mb)
+        if evictions is not None:
             free.remove(control)
             name = control.target.incarnation
-            return ModelLoad(name, model.name, evict, NO_COPY, 0.0)
+            return ModelLoad(name, model.name, evictions, NO_COPY, 0.0)
     return None
 
 
@@ -154,7 +154,8 @@
 def _copies_at_risk(control: TargetControl, copies: Counter[str]) -> float:
     """Return the share of a target's copies that no other target has.
 
-    A new copy replaces the least recently used one, which targets do not report.
+    A new copy replaces the least recently used one; targets do not report which that
+    is.
     """
     unheld_copies = control.copies_on_disk - control.held.keys()
     return sum(copies[model] == 1 for model in unheld_copies) / max(
@@ -168,9 +169,9 @@
     """Return the models to evict for a copy, or ``None`` if no model is suitable."""
     if view.free_mb(control) >= needed_mb:
         return ()
-    known = view.engine.by_name
+    specs = view.engine.by_name
     for model in sorted(control.held):
-        spec = known.get(model)
+        spec = specs.get(model)
         if spec is None or not _is_little_used(view, control, spec):
             continue
         has_own_copy = not control.loads_from_store(model)
--- a/packages/runhatch-server/src/runhatch_server/residency/_demand.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_demand.py
@@ -22,8 +22,8 @@
 MIN_RATE_AGE = timedelta(seconds=1)
 """Minimum number of requests, and minimum time since the first, for a rate estimate."""
 HURRIED_DURATION = timedelta(seconds=8)
-"""How long a hurried request predicts more: such routes use few models at a time, and
-their demand stays with these for about ten seconds."""
+"""How long after a hurried request more are expected: such routes use few models at a
+time, and their demand stays with these for about ten seconds."""
 UNMET_TIME_CONSTANT = timedelta(seconds=20)
 """Time constant with which missed requests decay, long enough that a rarely requested
 model is loaded eventually."""
@@ -59,9 +59,9 @@
 class DemandShare:
     """Requests at one node for one model or adapter since its previous report.
 
-    ``missed`` of them found no target that holds it; ``work_ms`` is the time to process
-    their prompts. ``missed_for`` is how long the node has been missing it, which is
-    reported to a new orderer.
+    ``missed`` of them found no target that holds the model or adapter; ``work_ms`` is
+    the time to process their prompts. ``missed_for`` is how long requests at the node
+    have found none, which is reported to a new orderer.
     """
 
     key: DemandKey
@@ -94,11 +94,11 @@
     request_count: int = 0
     """Requests since ``first_request_at``."""
     unmet: float = 0.0
-    """Weighted requests missed since a target last held it; decays slowly."""
+    """Weighted requests missed since a target last held the model; decays slowly."""
     last_hurried_at: timedelta | None = None
     """Time of the last request that could not wait for a load."""
     missed_since: timedelta | None = None
-    """Time of the first miss since a target last held it."""
+    """Time of the first miss since a target last held the model."""
     last_missed_at: timedelta = timedelta()
     """Time of the last miss."""
     misses: dict[tuple[str, DemandKey], tuple[float, timedelta]] = field(
@@ -135,25 +135,25 @@
         self.work_share += share.work_ms / 1000 / seconds
 
     def record_miss(
-        self, node: str, wanted: DemandKey, missed: int, now: timedelta
+        self, node: str, key: DemandKey, missed: int, now: timedelta
     ) -> None:
         """Record that ``missed`` requests of ``node`` wait for a holder."""
-        weighted = missed * priority_weight(wanted.priority)
+        weighted = missed * priority_weight(key.priority)
         self.unmet += weighted
         self.record_missed_since(now, now)
-        valid_for = max(MIN_MISS_VALIDITY, wanted.goal * MISS_VALIDITY_GOAL_SHARE)
-        self.misses[node, wanted] = (weighted, now + valid_for)
+        valid_for = max(MIN_MISS_VALIDITY, key.goal * MISS_VALIDITY_GOAL_SHARE)
+        self.misses[node, key] = (weighted, now + valid_for)
 
     def record_missed_since(self, since: timedelta, now: timedelta) -> None:
         """Record a miss at ``now`` in a series of misses since ``since``."""
-        known = self.missed_since
-        if known is None or now - self.last_missed_at > MISS_RETENTION:
-            known = since
-        self.missed_since = min(known, since)
+        first_missed_at = self.missed_since
+        if first_missed_at is None or now - self.last_missed_at > MISS_RETENTION:
+            first_missed_at = since
+        self.missed_since = min(first_missed_at, since)
         self.last_missed_at = max(self.last_missed_at, now)
 
     def missed_for(self, now: timedelta) -> timedelta:
-        """Return how long requests have found no holder, zero if they find one."""
+        """Return how long requests have found no holder, zero if there is one."""
         if self.missed_since is None or now - self.last_missed_at > MISS_RETENTION:
             return timedelta()
         return now - self.missed_since
@@ -186,7 +186,7 @@
         return 1.0 / (1.0 - math.exp(-(age / TIME_CONSTANT)))
 
     def record_held(self) -> None:
-        """Record that a target holds it, which ends the series of misses."""
+        """Record that a target holds the model or adapter, which ends the misses."""
         self.unmet = 0.0
         self.missed_since = None
 
@@ -209,7 +209,7 @@
     )
 
 
-def _add(demand: Demand, node: str, share: DemandShare, now: timedelta) -> None:
+def _add_share(demand: Demand, node: str, share: DemandShare, now: timedelta) -> None:
     demand.add_requests(share, now)
     if share.missed:
         demand.record_miss(node, share.key, share.missed, now)
@@ -225,13 +225,15 @@
 
     def add_requests(self, node: str, share: DemandShare, now: timedelta) -> None:
         """Record the requests that ``node`` received."""
-        wanted = share.key
-        self._last_request_at[wanted.service] = now
-        model = wanted.service, wanted.model
-        _add(self._models.setdefault(model, Demand(updated_at=now)), node, share, now)
-        if wanted.adapter:
-            adapter = *model, wanted.adapter
-            _add(
+        key = share.key
+        self._last_request_at[key.service] = now
+        model = key.service, key.model
+        _add_share(
+            self._models.setdefault(model, Demand(updated_at=now)), node, share, now
+        )
+        if key.adapter:
+            adapter = *model, key.adapter
+            _add_share(
                 self._adapters.setdefault(adapter, Demand(updated_at=now)),
                 node,
                 share,
@@ -239,11 +241,11 @@
             )
 
     def record_missed_for(self, share: DemandShare, now: timedelta) -> None:
-        """Record how long a node has been missing a model."""
-        wanted = share.key
-        if not share.missed_for or wanted.adapter:
+        """Record how long requests at a node have found no holder of a model."""
+        key = share.key
+        if not share.missed_for or key.adapter:
             return
-        model = wanted.service, wanted.model
+        model = key.service, key.model
         demand = self._models.setdefault(model, Demand(updated_at=now))
         demand.record_missed_since(now - share.missed_for, now)
 
--- a/packages/runhatch-server/src/runhatch_server/residency/_demand_inbox.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_demand_inbox.py
@@ -39,7 +39,7 @@
         return len(self._queue)
 
     def put(self, message: DemandMessage) -> None:
-        """Queue ``news`` for the next round; a full queue drops its oldest message."""
+        """Queue ``message`` for the next round; a full queue drops the oldest one."""
         with self._lock:
             if len(self._queue) >= MAX_QUEUED_MESSAGES:
                 self._queue.popleft()
@@ -49,11 +49,13 @@
     def drain_into(self, book: DemandBook) -> None:
         """Add all queued demand to ``book``, in the order received."""
         with self._lock:
-            waiting, self._queue = self._queue, deque()
+            messages, self._queue = self._queue, deque()
             dropped, self.dropped_messages = self.dropped_messages, 0
         if dropped:
             log_change("demand_dropped", messages=dropped, reason="no round was made")
-        for news in waiting:
-            for share in news.shares:
-                book.add_requests(news.node, share, news.received_at - news.age)
-                book.record_missed_for(share, news.received_at)
+        for message in messages:
+            for share in message.shares:
+                book.add_requests(
+                    message.node, share, message.received_at - message.age
+                )
+                book.record_missed_for(share, message.received_at)
--- a/packages/runhatch-server/src/runhatch_server/residency/_handover.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_handover.py
@@ -44,7 +44,7 @@
         self._lock = threading.Lock()
         self._min_interval = min_interval + HANDOVER_SLACK
         self._orderable_from: dict[str, timedelta] = {}
-        self._others_orderable_from = timedelta()
+        self._default_orderable_from = timedelta()
         self._last_sent_at: dict[str, timedelta] = {}
         self._unknown_until: timedelta | None = None
         """Time until which a previous process of this node may have sent orders."""
@@ -52,22 +52,23 @@
         """Number of orders in flight, by target and fence."""
 
     def start_after_lapse(self, free_since: timedelta) -> None:
-        """Start after a holder that may have sent orders until ``free_since``."""
+        """Start after another node that may have sent orders until ``free_since``."""
         with self._lock:
             self._orderable_from = {}
-            self._others_orderable_from = free_since + self._min_interval
+            self._default_orderable_from = free_since + self._min_interval
 
     def start_after_restart(self, free_since: timedelta | None, now: timedelta) -> None:
         """Start after a previous process of this node, which ended before ``now``.
 
-        Its orders are unknown to this process, and no other node sends orders within
-        that time.
+        The orders of that process are unknown, so a resignation treats all targets as
+        ordered at ``now``. No other node has sent orders since ``free_since``, which is
+        ``None`` if none had sent any before.
         """
         with self._lock:
             self._orderable_from = {}
-            self._others_orderable_from = timedelta()
+            self._default_orderable_from = timedelta()
             if free_since is not None:
-                self._others_orderable_from = free_since + self._min_interval
+                self._default_orderable_from = free_since + self._min_interval
             self._unknown_until = now
 
     def start_after_resignation(
@@ -78,12 +79,12 @@
             self._orderable_from = {
                 target: received_at + wait for target, wait in resignation.waits.items()
             }
-            self._others_orderable_from = received_at + resignation.default_wait
+            self._default_orderable_from = received_at + resignation.default_wait
 
     def orderable_from(self, target: str) -> timedelta:
         """Return from when on ``target`` may be ordered."""
         with self._lock:
-            return self._orderable_from.get(target, self._others_orderable_from)
+            return self._orderable_from.get(target, self._default_orderable_from)
 
     def targets_in_flight_before(self, fence: int) -> frozenset[str]:
         """Return the targets to which an order with a lower fence is in flight.
@@ -123,7 +124,7 @@
         A running target may be listed again at any moment.
         """
         with self._lock:
-            if now >= self._orderable_from.get(target, self._others_orderable_from):
+            if now >= self._orderable_from.get(target, self._default_orderable_from):
                 self._orderable_from.pop(target, None)
             if now >= self._last_sent_at.get(target, now) + self._min_interval:
                 self._last_sent_at.pop(target, None)
@@ -137,18 +138,18 @@
                 (target for target, _ in self._in_flight), arrives_at
             )
             sent_at = {**self._last_sent_at, **in_flight}
-            others_orderable_from = self._others_orderable_from
+            default_orderable_from = self._default_orderable_from
             if self._unknown_until is not None:
-                others_orderable_from = max(
-                    others_orderable_from, self._unknown_until + self._min_interval
+                default_orderable_from = max(
+                    default_orderable_from, self._unknown_until + self._min_interval
                 )
             for target, at in sent_at.items():
-                previous = self._orderable_from.get(target, others_orderable_from)
+                previous = self._orderable_from.get(target, default_orderable_from)
                 orderable_from[target] = max(previous, at + self._min_interval)
-        others_wait = max(timedelta(), others_orderable_from - now)
+        default_wait = max(timedelta(), default_orderable_from - now)
         waits = {
             target: max(timedelta(), ready_at - now)
             for target, ready_at in orderable_from.items()
-            if ready_at > now or others_wait > timedelta()
+            if ready_at > now or default_wait > timedelta()
         }
-        return Resignation(epoch, waits, others_wait)
+        return Resignation(epoch, waits, default_wait)
--- a/packages/runhatch-server/src/runhatch_server/residency/_left_log.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_left_log.py
@@ -61,9 +61,9 @@
                 value=round(load.value, 2),
             )
 
-    def _is_due(self, model: str, now: timedelta) -> bool:
-        logged_at = self._logged_at.get(model)
+    def _is_due(self, name: str, now: timedelta) -> bool:
+        logged_at = self._logged_at.get(name)
         if logged_at is not None and now - logged_at < LOG_INTERVAL:
             return False
-        self._logged_at[model] = now
+        self._logged_at[name] = now
         return True
--- a/packages/runhatch-server/src/runhatch_server/residency/_load_runner.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_load_runner.py
@@ -16,7 +16,7 @@
 
 
 class DeclaredModels:
-    """Declared models of the services, by target.
+    """Declared models of all services, looked up by service or target.
 
     ``services`` is replaced as a whole.
     """
@@ -104,7 +104,7 @@
     def load_adapter(
         self, control: TargetControl, load: AdapterLoad, epoch: Epoch
     ) -> None:
-        """Order an adapter, or first that another makes room for it."""
+        """Order an adapter, or first the unloading of the one that it replaces."""
         if not control.is_free_at(self._clock.elapsed()):
             return
         if load.eviction is not None:
--- a/packages/runhatch-server/src/runhatch_server/residency/_needs.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_needs.py
@@ -19,9 +19,9 @@
 demand."""
 MISSED_GAIN_PER_SECOND = 0.25
 """Gain, in weighted requests, for each second for which requests have missed a model. A
-load from the weight store costs 3.3 or more, which requests that come once in ten
-seconds never gain, so that such models were never loaded. A load that evicts little
-starts within about ten seconds."""
+load from the weight store costs 3.3 or more, and requests that come once in ten seconds
+never gain that much: without this gain, their models were never loaded. A load that
+evicts little starts within about ten seconds."""
 MISSED_GAIN_DOUBLING_TIME = timedelta(seconds=30)
 """Time after which each missed second counts twice, and so on, so that a rarely
 requested model is loaded even while busy models have high values."""
@@ -69,9 +69,9 @@
 
 
 def _need_for(view: FleetView, model: EngineModel) -> Need | None:
-    coming_at = view.load_ready_at(model.name)
+    ready_at = view.load_ready_at(model.name)
     holders = view.holders(model.name)
-    if coming_at is not None and (holders or coming_at - view.now < MIN_LOAD_ADVANCE):
+    if ready_at is not None and (holders or ready_at - view.now < MIN_LOAD_ADVANCE):
         return None
     demand = view.demand_for(model.name)
     if holders:
--- a/packages/runhatch-server/src/runhatch_server/residency/_orderer.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_orderer.py
@@ -1,7 +1,7 @@
 """Run the orderer on the node that holds the orders lease.
 
-The holder of the lease reads reports, plans, and sends orders. Its state beyond the
-store is rebuilt from reports after a takeover.
+The holder of the lease reads reports, plans, and sends orders. Its state that is not in
+the store is rebuilt from reports after a takeover.
 
 Rounds may take long where there are many targets, so nothing else waits for one. The
 task that renews the lease sets a :class:`_Term` to show rounds that they run under
@@ -101,21 +101,21 @@
         self._is_down = is_down
         self._rate_limits = rate_limits
         self._newest_epoch = newest_epoch
-        self._times = OrderTimes(handover)
+        self._order_times = OrderTimes(handover)
         self._last_resignation: tuple[Resignation, timedelta] | None = None
         self._declared = DeclaredModels()
         self._calls = TargetCalls(on_answer)
         sender = OrderSender(
             client,
             self._calls,
-            self._times,
+            self._order_times,
             clock,
             metrics,
             node,
             self._may_send,
             self._declared.load_time,
         )
-        self._runner = LoadRunner(self._declared, sender, clock, load_window)
+        self._load_runner = LoadRunner(self._declared, sender, clock, load_window)
         self._publisher = HoldingsPublisher(on_holdings, self._declared.load_time)
         self._lease_log = LeaseLog(metrics)
         self._round_log = RoundLog(metrics)
@@ -125,15 +125,15 @@
         self._round_lock = threading.Lock()
         self._round_term = NO_TERM
         self._demand = DemandBook()
-        self._copies = CopyPlanner(clock.elapsed())
+        self._copy_planner = CopyPlanner(clock.elapsed())
         self._controls = TargetControls(
-            directory, client, self._calls, self._times, self._declared, clock
+            directory, client, self._calls, self._order_times, self._declared, clock
         )
         self._stopped = False
         self._pause = timedelta()
 
     def declare(self, services: Mapping[str, ServiceSpec]) -> None:
-        """Go by other declarations from now on."""
+        """Replace the declared services."""
         self._declared.services = services
 
     @property
@@ -151,7 +151,7 @@
         return None if self._stopped else self._lease.held_epoch()
 
     def _may_send(self) -> Epoch | None:
-        """Return the epoch if an order sent now arrives while the lease is held."""
+        """Return the epoch if an order sent now arrives before the lease lapses."""
         return (
             self.holds_lease()
             if self._lease.remaining_validity() > MAX_ORDER_DELAY
@@ -164,10 +164,10 @@
         return self._term.epoch != 0
 
     def keep_lease(self, eager: bool) -> LeaseChange:
-        """Renew, acquire or watch the lease, whichever is due."""
+        """Renew, acquire or check the lease, whichever is due."""
         if self._stopped:
             return LeaseChange.NONE
-        started_at, left = self._clock.elapsed(), self._lease.remaining_validity()
+        started_at, remaining = self._clock.elapsed(), self._lease.remaining_validity()
         change = self._lease.step(eager)
         takeover = None
         if change is LeaseChange.ACQUIRED:
@@ -176,7 +176,7 @@
         self._lease_log.log_step(
             change,
             self._term.epoch,
-            left,
+            remaining,
             started_at,
             self._clock.elapsed(),
             self._newest_epoch(),
@@ -187,17 +187,17 @@
     def resign_if_lapsing(self) -> Resignation | None:
         """Resign if the lease is about to lapse or has just lapsed.
 
-        Holdings of targets are published until another node holds the lease.
+        The holdings of targets are still published until another node holds the lease.
         """
         with self._lock:
-            term, left = self._term, self._lease.remaining_validity()
-            if not term.epoch or term.is_resigned or left > RESIGN_MARGIN:
+            term, remaining = self._term, self._lease.remaining_validity()
+            if not term.epoch or term.is_resigned or remaining > RESIGN_MARGIN:
                 return None
             self._term = replace(term, is_resigned=True)
             self._lease.abandon()
         now = self._clock.elapsed()
-        self._lease_log.log_resignation(term.epoch, left, now)
-        return self._times.make_resignation(term.epoch, now)
+        self._lease_log.log_resignation(term.epoch, remaining, now)
+        return self._order_times.make_resignation(term.epoch, now)
 
     def record_resignation(self, resignation: Resignation) -> None:
         """Record the resignation of a previous holder, even if it arrives late."""
@@ -226,7 +226,7 @@
             term, self._term = self._term, NO_TERM
         if not term.epoch or term.is_resigned:
             return None
-        return self._times.make_resignation(term.epoch, self._clock.elapsed())
+        return self._order_times.make_resignation(term.epoch, self._clock.elapsed())
 
     def release(self) -> None:
         """Release the lease after :meth:`stop`, so that a successor need not wait."""
@@ -245,8 +245,8 @@
         """Run one round: apply answers, request reports, plan, order and publish.
 
         Reports are requested before orders may be sent, and after the lease has lapsed
-        until another node holds it. Models loaded in the meantime then receive requests
-        instead of being refused until the next orders.
+        until another node holds it. Requests for models loaded in the meantime are then
+        served, instead of being refused until the next orders.
         """
         with self._round_lock:
             started_at = self._clock.elapsed()
@@ -259,10 +259,10 @@
                 self._record_round(started_at)
 
     def _record_round(self, started_at: timedelta) -> None:
-        ended = self._clock.elapsed()
-        self._pause = min((ended - started_at) * ROUND_PAUSE_FACTOR, MAX_ROUND_PAUSE)
+        ended_at = self._clock.elapsed()
+        self._pause = min((ended_at - started_at) * ROUND_PAUSE_FACTOR, MAX_ROUND_PAUSE)
         self._round_log.record_round(
-            started_at, ended, len(self._controls), self._inbox
+            started_at, ended_at, len(self._controls), self._inbox
         )
 
     def _adopt_term(self) -> None:
@@ -274,10 +274,10 @@
             return
         now = self._clock.elapsed()
         self._controls.clear()
-        self._runner.record_takeover(now)
+        self._load_runner.record_takeover(now)
         takeover = term.takeover
         if takeover is not None and takeover.vacancy is not Vacancy.NEVER_HELD:
-            self._copies.record_takeover(now)
+            self._copy_planner.record_takeover(now)
         self._publisher.schedule_full_update()
 
     def _is_term_over(self) -> bool:
@@ -291,17 +291,17 @@
         if epoch is not None and epoch.number != self._round_term.epoch:
             return
         if self._controls.update_targets(self._round_term.epoch):
-            self._copies.record_new_target(self._clock.elapsed())
+            self._copy_planner.record_new_target(self._clock.elapsed())
         self._calls.apply_answers(self._controls)
         now = self._clock.elapsed()
         self._controls.request_reports(now)
         if epoch is not None:
-            self._runner.send_next_orders(self._controls, epoch, now)
+            self._load_runner.send_next_orders(self._controls, epoch, now)
             self._plan(epoch, now)
         self._publisher.publish_changes(self._round_term.epoch, self._controls, now)
 
     def _start_term(self) -> None:
-        """Start a new term, in which orders wait for those of the last holder."""
+        """Start a new term, whose orders are delayed after those of the last holder."""
         epoch, takeover = self._lease.held_epoch(), self._lease.takeover
         with self._lock:
             if (
@@ -309,7 +309,7 @@
                 and takeover.vacancy is Vacancy.OWN_PREVIOUS_PROCESS
             ):
                 now = self._clock.elapsed()
-                self._times.start_after_restart(takeover.free_since, now)
+                self._order_times.start_after_restart(takeover.free_since, now)
             elif takeover is not None and takeover.is_from_other_node:
                 self._wait_for_last_holder(takeover)
             number = 0 if epoch is None else epoch.number
@@ -318,9 +318,9 @@
     def _wait_for_last_holder(self, takeover: Takeover) -> None:
         last = self._last_resignation
         if last is not None and last[0].epoch == takeover.previous_epoch:
-            self._times.start_after_resignation(*last)
+            self._order_times.start_after_resignation(*last)
         elif takeover.free_since is not None:
-            self._times.start_after_lapse(takeover.free_since)
+            self._order_times.start_after_lapse(takeover.free_since)
 
     def _end_term(self) -> None:
         self._controls.clear()
@@ -350,13 +350,15 @@
             adapter_plan = plan_adapters(view)
             for adapter in adapter_plan.loads:
                 control = self._controls[adapter.target]
-                self._runner.load_adapter(control, adapter, epoch)
-            self._runner.deferral_log.log_adapters(adapter_plan.deferred, now)
+                self._load_runner.load_adapter(control, adapter, epoch)
+            self._load_runner.deferral_log.log_adapters(adapter_plan.deferred, now)
             plan = plan_models(view)
             for load in plan.loads:
-                self._runner.start_load(self._controls[load.target], load, epoch, now)
-            self._runner.deferral_log.log_models(plan.deferred, now)
-            for load in self._copies.plan_copies(view):
+                self._load_runner.start_load(
+                    self._controls[load.target], load, epoch, now
+                )
+            self._load_runner.deferral_log.log_models(plan.deferred, now)
+            for load in self._copy_planner.plan_copies(view):
                 control = self._controls[load.target]
-                if self._runner.start_load(control, load, epoch, now):
-                    self._copies.record_copy(service, load, now)
+                if self._load_runner.start_load(control, load, epoch, now):
+                    self._copy_planner.record_copy(service, load, now)
--- a/packages/runhatch-server/src/runhatch_server/residency/_places.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_places.py
@@ -1,13 +1,13 @@
 """Find the best target for a model that is to be loaded.
 
-Weighing every target for every model takes too much processor time on a VM that also
+Evaluating every target for every model takes too much processor time on a VM that also
 answers callers. Costs that do not depend on the model (the least loss by eviction, the
 time until the target is free, its load) are therefore computed once per plan. For each
-model the targets with a copy are weighed first, then the others by rising cost, until
+model the targets with a copy are evaluated first, then the others by rising cost, until
 the lower bound of the next cost shows that no remaining target can be better. The
-result equals that of weighing all targets. For 70 targets and 305 models, half of those
-not held being missed at once, a plan takes 25 ms instead of 400 ms
-(``benchmarks/bench_orders.py``).
+result equals that of evaluating all targets. For 70 targets and 305 models, half of
+those not held being missed at once, a plan takes 25 ms of processor time instead of 400
+ms (``benchmarks/bench_orders.py``).
 """
 
 import math
@@ -68,12 +68,12 @@
 
     @property
     def value(self) -> float:
-        """Net gain, by which places are compared."""
+        """Net gain, by which options are compared."""
         return self.gain - self.loss - self.load_penalty
 
 
 @dataclass(frozen=True, slots=True)
-class _EvictionCandidate:
+class _EvictableModel:
     """A model that may be evicted, and the loss of evicting it."""
 
     value: float
@@ -90,11 +90,11 @@
     duration: timedelta
 
 
-def _load_lower_bound(models: Sequence[EngineModel]) -> LoadLowerBounds:
+def _load_lower_bounds(models: Sequence[EngineModel]) -> LoadLowerBounds:
     """Return the lower bounds of a load from the weight store."""
     memory_mb = min((model.memory_mb for model in models), default=0.0)
-    took = min((model.loads.from_store for model in models), default=timedelta())
-    return LoadLowerBounds(memory_mb, took)
+    duration = min((model.loads.from_store for model in models), default=timedelta())
+    return LoadLowerBounds(memory_mb, duration)
 
 
 class CandidateTarget:
@@ -114,21 +114,21 @@
         self.cost_per_second = LOAD_COST_PER_SECOND + view.delayed_adapter_rate(control)
         self._delayed_rates: dict[str, float] = {}
         self._free_mb = view.free_mb(control)
-        known = view.engine.by_name
-        self._eviction_candidates = sorted(
+        specs = view.engine.by_name
+        self._evictable_models = sorted(
             (
-                _EvictionCandidate(
+                _EvictableModel(
                     view.keep_value(control, name),
                     name,
-                    known[name].memory_mb if name in known else 0.0,
+                    specs[name].memory_mb if name in specs else 0.0,
                     view.is_only_holder_in_demand(control, name),
                 )
                 for name in control.held
                 if not control.is_protected(name, "", view.now)
             ),
-            key=lambda candidate: (candidate.value, candidate.model),
+            key=lambda evictable: (evictable.value, evictable.model),
         )
-        self._lower_bound = lower_bounds
+        self._lower_bounds = lower_bounds
 
     def find_evictions(
         self, memory_mb: float, is_replica: bool
@@ -137,21 +137,21 @@
 
         A new replica does not evict the only replica of another model in demand.
         """
-        lacking = memory_mb - self._free_mb
-        victims: list[str] = []
-        lost = 0.0
-        for candidate in self._eviction_candidates:
-            if lacking <= 0:
+        missing_mb = memory_mb - self._free_mb
+        evictions: list[str] = []
+        loss = 0.0
+        for evictable in self._evictable_models:
+            if missing_mb <= 0:
                 break
-            if is_replica and candidate.is_only_replica_in_demand:
+            if is_replica and evictable.is_only_replica_in_demand:
                 continue
-            victims.append(candidate.model)
-            lost += candidate.value
-            lacking -= candidate.memory_mb
-        return (tuple(victims), lost) if lacking <= 0 else None
+            evictions.append(evictable.model)
+            loss += evictable.value
+            missing_mb -= evictable.memory_mb
+        return (tuple(evictions), loss) if missing_mb <= 0 else None
 
     def charge_for_delay(self, model: str, rate: float) -> None:
-        """Charge other loads for each second that they delay ``model``.
+        """Raise the cost of other loads here, because they delay ``model``.
 
         The model is missed, could be loaded quickly here, and would then serve ``rate``
         weighted requests per second.
@@ -160,20 +160,20 @@
         self.cost_per_second += rate
 
     def cost(self, model: str, loss: float, seconds: float) -> float:
-        """Return the cost of a load that takes ``seconds`` and loses ``lost``."""
+        """Return the cost of a load that takes ``seconds`` and loses ``loss``."""
         weighted_loss = (
             loss * max(1.0, seconds / EVICTION_MISS_SECONDS) * EVICTION_LOSS_FACTOR
         )
-        second_price = self.cost_per_second - self._delayed_rates.get(model, 0.0)
-        return weighted_loss + seconds * second_price
+        cost_per_second = self.cost_per_second - self._delayed_rates.get(model, 0.0)
+        return weighted_loss + seconds * cost_per_second
 
     @cached_property
     def min_cost(self) -> float:
         """Lower bound of the cost of any load from the weight store on this target."""
-        eviction = self.find_evictions(self._lower_bound.memory_mb, is_replica=False)
+        eviction = self.find_evictions(self._lower_bounds.memory_mb, is_replica=False)
         if eviction is None:
             return math.inf
-        seconds = (self.free_in + self._lower_bound.duration).total_seconds()
+        seconds = (self.free_in + self._lower_bounds.duration).total_seconds()
         return self.cost("", eviction[1], seconds) + STORE_LOAD_COST
 
 
@@ -182,9 +182,9 @@
 
     def __init__(self, view: FleetView, needs: Iterable[Need]) -> None:
         self._view = view
-        lower_bound = _load_lower_bound(view.engine.models)
+        lower_bounds = _load_lower_bounds(view.engine.models)
         candidates = [
-            CandidateTarget(view, control, lower_bound) for control in view.controls
+            CandidateTarget(view, control, lower_bounds) for control in view.controls
         ]
         self._with_copy: dict[str, list[CandidateTarget]] = defaultdict(list)
         for candidate in candidates:
@@ -204,44 +204,44 @@
             1.0, len(view.controls) * MAX_OVERDUE_TARGET_SHARE
         )
 
-    def is_available(self, place: PlacementOption) -> bool:
-        """Return whether ``place`` is still available at its computed cost."""
-        if place.target in self._used_targets:
+    def is_available(self, option: PlacementOption) -> bool:
+        """Return whether ``option`` is still available at its computed cost."""
+        if option.target in self._used_targets:
             return False
-        needs_overdue_slot = place.loads_from_store and place.is_overdue
+        needs_overdue_slot = option.loads_from_store and option.is_overdue
         return not (needs_overdue_slot and self._is_overdue_limit_reached)
 
-    def reserve(self, place: PlacementOption) -> None:
-        """Reserve the target of ``place``."""
-        self._used_targets.add(place.target)
+    def reserve(self, option: PlacementOption) -> None:
+        """Reserve the target of ``option``."""
+        self._used_targets.add(option.target)
         self.unused_candidates = [
             candidate
             for candidate in self.unused_candidates
-            if candidate.name != place.target
+            if candidate.name != option.target
         ]
-        if place.is_startable and place.loads_from_store and place.is_overdue:
+        if option.is_startable and option.loads_from_store and option.is_overdue:
             self._overdue_loads += 1
 
     def find_best_option(self, need: Need) -> PlacementOption | None:
-        """Return the best place for ``need``, even if it is not worth the load."""
+        """Return the best option for ``need``, even if it is not worthwhile."""
         best: PlacementOption | None = None
         with_copy = self._with_copy.get(need.model.name, [])
         for candidate in with_copy:
             if candidate.name not in self._used_targets:
-                best = _better_place(best, self.evaluate_option(candidate, need))
+                best = _better_option(best, self.evaluate_option(candidate, need))
         names_with_copy = {candidate.name for candidate in with_copy}
-        won = need.gain_after(need.model.loads.from_store.total_seconds())
+        max_gain = need.gain_after(need.model.loads.from_store.total_seconds())
         for candidate in self.unused_candidates:
             if best is not None and _beats_remaining(
-                best, won, need.missed_gain, candidate.min_cost
+                best, max_gain, need.missed_gain, candidate.min_cost
             ):
                 break
             if candidate.name not in names_with_copy:
-                best = _better_place(best, self.evaluate_option(candidate, need))
+                best = _better_option(best, self.evaluate_option(candidate, need))
         return best
 
     def _charge_for_delayed_loads(self, need: Need) -> None:
-        """Charge other loads for blocking the targets with a copy for ``need``."""
+        """Raise the cost of other loads on the targets with a copy for ``need``."""
         free = [
             candidate
             for candidate in self._with_copy[need.model.name]
@@ -258,7 +258,7 @@
     def evaluate_option(
         self, candidate: CandidateTarget, need: Need
     ) -> PlacementOption | None:
-        """Return the place of ``need`` at ``candidate``, if there is one."""
+        """Return the option of loading ``need`` on ``candidate``, if there is one."""
         view, control, model = self._view, candidate.control, need.model
         if model.name in control.held:
             return None
@@ -273,35 +273,37 @@
         eviction = candidate.find_evictions(model.memory_mb, is_replica=bool(holders))
         if eviction is None:
             return None
-        victims, lost = eviction
-        from_store = control.loads_from_store(model.name)
-        if victims and holders and from_store:
+        evictions, loss = eviction
+        loads_from_store = control.loads_from_store(model.name)
+        if evictions and holders and loads_from_store:
             # The evicted models would be missed for the whole duration of the load.
             return None
         seconds = ready_in.total_seconds()
         return PlacementOption(
             candidate.name,
-            victims,
+            evictions,
             need.gain_after(seconds),
-            candidate.cost(model.name, lost, seconds)
-            + (STORE_LOAD_COST if from_store else 0.0),
+            candidate.cost(model.name, loss, seconds)
+            + (STORE_LOAD_COST if loads_from_store else 0.0),
             seconds,
             # Breaks ties between equal gains in favour of the least busy target.
             candidate.load * FULL_UTILISATION_COST,
             candidate.is_startable,
-            from_store,
-            0.0 if from_store and self._is_overdue_limit_reached else need.missed_gain,
+            loads_from_store,
+            0.0
+            if loads_from_store and self._is_overdue_limit_reached
+            else need.missed_gain,
         )
 
     def _is_load_ending_soon(self, model: str, ready_in: timedelta) -> bool:
-        """Return whether a load in progress ends soon enough.
+        """Return whether a load of ``model`` in progress ends soon enough.
 
-        It does unless a load started now, done in ``ready_in``, ends
+        It does unless a load started now, which takes ``ready_in``, would end
         ``MIN_LOAD_ADVANCE`` or more before it.
         """
-        coming_at = self._view.load_ready_at(model)
-        return coming_at is not None and (
-            coming_at - self._view.now - ready_in < MIN_LOAD_ADVANCE
+        ready_at = self._view.load_ready_at(model)
+        return ready_at is not None and (
+            ready_at - self._view.now - ready_in < MIN_LOAD_ADVANCE
         )
 
 
@@ -309,26 +311,28 @@
     return control.pending_load_reason == OVERDUE and control.is_loading_from_store
 
 
-def _better_place(
+def _better_option(
     best: PlacementOption | None, other: PlacementOption | None
 ) -> PlacementOption | None:
-    """Return the better of two places; ties go to the first target name."""
+    """Return the better of two options; ties go to the first target name."""
     if best is None or other is None:
         return best or other
-    return min(best, other, key=_place_sort_key)
+    return min(best, other, key=_option_sort_key)
 
 
-def _place_sort_key(place: PlacementOption) -> tuple[bool, float, str]:
-    return not place.is_worthwhile, -place.value, place.target
+def _option_sort_key(option: PlacementOption) -> tuple[bool, float, str]:
+    return not option.is_worthwhile, -option.value, option.target
 
 
 def _beats_remaining(
-    best: PlacementOption, won: float, owed: float, least_cost: float
+    best: PlacementOption, max_gain: float, missed_gain: float, min_cost: float
 ) -> bool:
-    """Return whether ``best`` is better than every place within these bounds.
+    """Return whether ``best`` is better than every option within these bounds.
 
-    The other places gain at most ``gain`` plus ``missed_gain`` and cost at least
+    The other options gain at most ``max_gain`` plus ``missed_gain`` and cost at least
     ``min_cost``.
     """
-    none_is_worth_it = won <= 0.0 or least_cost >= won + owed
-    return won - least_cost < best.value and (best.is_worthwhile or none_is_worth_it)
+    none_is_worthwhile = max_gain <= 0.0 or min_cost >= max_gain + missed_gain
+    return max_gain - min_cost < best.value and (
+        best.is_worthwhile or none_is_worthwhile
+    )
--- a/packages/runhatch-server/src/runhatch_server/residency/_policy.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_policy.py
@@ -29,9 +29,9 @@
     """Why a model that no target holds is not loaded now."""
 
     NO_PLACE = "no place"
-    """No target can evict enough models, or all that can are already in the plan."""
+    """No target can evict enough models, or the plan already uses all that can."""
     NOT_WORTH_IT = "not worth it"
-    """The evicted models and the duration of the load cost more than it gains."""
+    """The evicted models and the duration of the load cost more than the load gains."""
     TARGET_BUSY = "target busy"
     """The best target cannot receive an order yet."""
 
@@ -69,60 +69,60 @@
 
     The load with the highest gain is placed first. A load that costs little more on
     another target must not occupy the target where another model loads quickly. When
-    models were placed in order of their demand, a replica occupied for 9 s the one
-    target with a copy of a model that 12 requests per second missed and that would have
-    loaded in 2.3 s.
+    models were placed in order of their demand, the load of a replica occupied, for 9
+    s, the only target with a copy of a model that 12 requests per second missed and
+    that would have loaded there in 2.3 s.
     """
     plan = ModelPlan([], [])
     needs = find_needs(view)
     draft = PlacementDraft(view, needs)
-    places = [draft.find_best_option(need) for need in needs]
+    options = [draft.find_best_option(need) for need in needs]
     queue = [
-        (-place.value, index)
-        for index, place in enumerate(places)
-        if place is not None and place.is_worthwhile
+        (-option.value, index)
+        for index, option in enumerate(options)
+        if option is not None and option.is_worthwhile
     ]
     heapq.heapify(queue)
     planned = set()
     while queue:
         _, index = heapq.heappop(queue)
-        place = places[index]
-        assert place is not None
-        if not draft.is_available(place):
-            place = places[index] = draft.find_best_option(needs[index])
-            if place is not None and place.is_worthwhile:
-                heapq.heappush(queue, (-place.value, index))
+        option = options[index]
+        assert option is not None
+        if not draft.is_available(option):
+            option = options[index] = draft.find_best_option(needs[index])
+            if option is not None and option.is_worthwhile:
+                heapq.heappush(queue, (-option.value, index))
             continue
-        # A busy target may still be the best place.
-        draft.reserve(place)
-        if place.is_startable:
+        # A busy target may still be the best option.
+        draft.reserve(option)
+        if option.is_startable:
             planned.add(index)
-            plan.loads.append(_load_model(needs[index], place))
+            plan.loads.append(_make_model_load(needs[index], option))
     plan.deferred.extend(
-        _deferred_model(need, places[index])
+        _make_deferred_model(need, options[index])
         for index, need in enumerate(needs)
         if index not in planned and need.reason == NOT_HELD
     )
     return plan
 
 
-def _load_model(need: Need, place: PlacementOption) -> ModelLoad:
-    reason = OVERDUE if place.is_overdue else need.reason
+def _make_model_load(need: Need, option: PlacementOption) -> ModelLoad:
+    reason = OVERDUE if option.is_overdue else need.reason
     return ModelLoad(
-        place.target, need.model.name, place.evictions, reason, place.value
+        option.target, need.model.name, option.evictions, reason, option.value
     )
 
 
-def _deferred_model(need: Need, best: PlacementOption | None) -> DeferredModel:
+def _make_deferred_model(need: Need, best: PlacementOption | None) -> DeferredModel:
     if best is None:
-        because = DeferralReason.NO_PLACE
-        return DeferredModel(need.model.name, because, need.waiting, need.rate)
-    because = DeferralReason.NOT_WORTH_IT
+        reason = DeferralReason.NO_PLACE
+        return DeferredModel(need.model.name, reason, need.waiting, need.rate)
+    reason = DeferralReason.NOT_WORTH_IT
     if best.is_worthwhile:
-        because = DeferralReason.TARGET_BUSY
+        reason = DeferralReason.TARGET_BUSY
     return DeferredModel(
         need.model.name,
-        because,
+        reason,
         need.waiting,
         need.rate,
         best.target,
--- a/packages/runhatch-server/src/runhatch_server/residency/_round_log.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_round_log.py
@@ -23,7 +23,7 @@
     def record_round(
         self, started_at: timedelta, ended_at: timedelta, targets: int, queue: Sized
     ) -> None:
-        """Record a round over ``targets`` targets, after which ``queue`` is queued."""
+        """Record a round over ``targets`` targets, after which ``queue`` remains."""
         took = ended_at - started_at
         self._metrics.order_round_seconds.observe(took.total_seconds())
         self._rounds += 1
--- a/packages/runhatch-server/src/runhatch_server/residency/_sending.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_sending.py
@@ -32,7 +32,7 @@
     ) -> None:
         self._client = client
         self._calls = calls
-        self._times = times
+        self._order_times = times
         self._clock = clock
         self._metrics = metrics
         self._node = node
@@ -62,20 +62,20 @@
         """Send ``order`` unless the lease has lapsed meanwhile.
 
         The order counts as in flight before the lease is checked: a resignation between
-        the two would otherwise not name its target, and a successor would order it at
-        once.
+        the two would otherwise not name the target, and a successor would send it an
+        order at once.
         """
-        self._times.record_sending(target.name, order.fence)
+        self._order_times.record_sending(target.name, order.fence)
         epoch = self._held_epoch()
         if epoch is None or epoch.number != order.fence:
-            self._times.record_unsent(target.name, order.fence)
+            self._order_times.record_unsent(target.name, order.fence)
             return None
         started_at = self._clock.elapsed()
         outcome = self._client.send_order(target, order)
-        ended = self._clock.elapsed()
+        ended_at = self._clock.elapsed()
         max_delay = MAX_ORDER_DELAY if outcome is OrderOutcome.UNKNOWN else timedelta()
-        self._times.record_sent(target.name, order.fence, ended + max_delay)
-        seconds = (ended - started_at).total_seconds()
+        self._order_times.record_sent(target.name, order.fence, ended_at + max_delay)
+        seconds = (ended_at - started_at).total_seconds()
         self._metrics.order_seconds.labels(order.kind.value).observe(seconds)
         return outcome
 
--- a/packages/runhatch-server/src/runhatch_server/residency/_view.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_view.py
@@ -18,8 +18,8 @@
 """Share of requests for adapters whose adapter must first be loaded: a target accepts
 no adapter orders while it loads a model."""
 REPLICA_LOAD = 0.5
-"""Share of a target's time spent on prompts above which another replica is worth its
-load: at 0.5 a prompt of 100 ms waits half as long again, and requests arrive in
+"""Share of a target's time spent on prompts above which another replica is worth
+loading: at 0.5 a prompt of 100 ms waits half as long again, and requests arrive in
 bursts."""
 LOSSLESS_LOAD = 0.25
 """Share of a target's time up to which it takes over another replica's requests without
@@ -31,13 +31,13 @@
 about 40 weighted requests are missed until such a model is loaded."""
 HURRIED_MODEL_VALUE = 3.0
 """Additional value of the last replica if requests that cannot wait for a load have
-used it recently: the rate of demand that has just begun is underestimated."""
+used the model recently: the rate of demand that has just begun is underestimated."""
 PATIENT_MODEL_VALUE = 0.2
 """Value of the last replica of a model that only requests which can wait have used; its
 rate accounts for the rest."""
 PATIENT_LOSS_SHARE = 0.6
 """Share of the requests that can wait for a load but are lost anyway if their model
-must be loaded first, because its target may be busy with another."""
+must be loaded first, because the target may be busy with another load."""
 MIN_DEMAND_RATE = 0.05
 """Requests per second above which a model that no target holds any more is loaded again
 without waiting for the next request."""
@@ -71,7 +71,7 @@
         )
         self._demands: dict[str, Demand] = {}
         self._adapter_demands: dict[tuple[str, str], Demand] = {}
-        self._coming_at: dict[str, timedelta] = {}
+        self._load_ready_times: dict[str, timedelta] = {}
         self._holders: dict[str, list[TargetControl]] = {}
         for control in controls:
             self._record_expected_load(control)
@@ -121,7 +121,7 @@
 
     def load_ready_at(self, model: str) -> timedelta | None:
         """Return when a load of ``model`` in progress or planned ends."""
-        return self._coming_at.get(model)
+        return self._load_ready_times.get(model)
 
     def free_mb(self, control: TargetControl) -> float:
         """Return the free memory for models in MB, less the adapter reserve."""
@@ -133,7 +133,7 @@
 
         Other free holders serve their share of them.
         """
-        blocked = 0.0
+        delayed_rate = 0.0
         for model in control.held:
             others = [
                 holder
@@ -141,8 +141,8 @@
                 if holder is not control and holder.is_free
             ]
             rate = self._adapter_rates.get(model, 0.0) * ADAPTER_MISS_SHARE
-            blocked += rate / (len(others) + 1) ** 2
-        return blocked
+            delayed_rate += rate / (len(others) + 1) ** 2
+        return delayed_rate
 
     def load_of(self, control: TargetControl) -> float:
         """Return the share of a target's time spent on prompts."""
@@ -162,11 +162,11 @@
         value = missed * EVICTION_MISS_SECONDS
         others = [c for c in self.holders(model) if c is not control]
         if not others:
-            patient = demand.was_requested and demand.last_hurried_at is None
-            unrequested_value = PATIENT_MODEL_VALUE if patient else UNKNOWN_MODEL_VALUE
+            is_patient = demand.was_requested and demand.last_hurried_at is None
+            base_value = PATIENT_MODEL_VALUE if is_patient else UNKNOWN_MODEL_VALUE
             if demand.is_hurried(self.now):
-                unrequested_value += HURRIED_MODEL_VALUE
-            return unrequested_value + value + demand.waiting_requests(self.now)
+                base_value += HURRIED_MODEL_VALUE
+            return base_value + value + demand.waiting_requests(self.now)
         share = self.spread.share(model, control.target.incarnation)
         moved = share / len(others)
         load_after = min(self.load_of(other) + moved for other in others)
@@ -190,8 +190,8 @@
             models.add(control.intent.model)
         for model in models - {""}:
             ready_at = control.free_at(self.engine, self.now)
-            known_ready_at = self._coming_at.get(model, ready_at)
-            self._coming_at[model] = min(known_ready_at, ready_at)
+            known_ready_at = self._load_ready_times.get(model, ready_at)
+            self._load_ready_times[model] = min(known_ready_at, ready_at)
 
 
 def group_by_service(
