--- a/packages/runhatch-server/src/runhatch_server/crashes/_exchange.py
+++ b/packages/runhatch-server/src/runhatch_server/crashes/_exchange.py
@@ -1,8 +1,8 @@
-"""Distributes ended targets and the requests they ran among the nodes.
+"""Notifies all nodes of targets that ended and of the requests that they ran.
 
 A caller may retry a crashing request at any node within a second, so each end is sent
-at once, and nodes forward what they did not know. To catch up after a partition, a
-stall or a restart, each node sends a digest of its ends to one peer every second; the
+at once, and nodes forward the ends that are new to them. To catch up after a partition,
+a stall or a restart, each node sends a digest of its ends to one peer every second; the
 peer replies with all its ends if the digests differ.
 """
 
@@ -26,8 +26,8 @@
 DIGEST_INTERVAL = timedelta(seconds=1)
 """Interval at which a node sends its digest to a peer."""
 MAX_ENDS_PER_MESSAGE = 500
-"""Maximum number of ends in one message, about 50 bytes each; the strongest suspects
-come first."""
+"""Maximum number of ends in one message, about 50 bytes each; those of the strongest
+suspects come first."""
 MILLISECOND = timedelta(milliseconds=1)
 SuspectMessage = TargetsEnded | RequestsCleared | SuspectsDigest
 """Messages between nodes about requests that crash targets."""
@@ -88,9 +88,9 @@
         # Equal digests: the sender has nothing to catch up on.
         if fact.digest == self._crashes.digest:
             return
-        known = self._crashes.known_ends()
-        if known:
-            self._send(sender.address, self._ends_message(known))
+        known_ends = self._crashes.known_ends()
+        if known_ends:
+            self._send(sender.address, self._ends_message(known_ends))
 
     def _ends_message(self, ends: list[ObservedEnd]) -> TargetsEnded:
         now = self._clock.elapsed()
--- a/packages/runhatch-server/src/runhatch_server/crashes/_watch.py
+++ b/packages/runhatch-server/src/runhatch_server/crashes/_watch.py
@@ -1,6 +1,6 @@
 """Detects targets that end while they run a request, and refuses such requests.
 
-Without it, a request that crashes its target takes down another one at each retry.
+Otherwise a request that crashes its target would crash another one at each retry.
 """
 
 import threading
@@ -15,7 +15,7 @@
 from runhatch_server.refusals import Executed, Reason, Refusal
 
 PROBE_TTL = timedelta(milliseconds=500)
-"""How long the result of a probe is reused for all requests aborted at the target."""
+"""How long the result of a probe applies to all requests aborted at the target."""
 REPROBE_DELAY = timedelta(milliseconds=50)
 """Delay before a target that still accepted connections is probed again. A process
 that ends closes its sockets one by one, which takes longer on a busy VM."""
@@ -24,8 +24,8 @@
 connections are detected at once, the others by their entries in the store."""
 PROBE_WINDOW = timedelta(seconds=1.5)
 """How long a target is probed after it aborted a request; after that its store entry
-decides. This avoids a connection for each abort of a target that aborts many answers
-but keeps running."""
+shows whether it ended. This avoids a connection for each abort of a target that aborts
+many answers but keeps running."""
 
 
 class TargetStanding(Enum):
@@ -71,7 +71,7 @@
         self._lock = threading.Lock()
         self._suspects = Suspects()
         self._new_ends: list[ObservedEnd] = []
-        self._cleared: list[str] = []
+        self._new_cleared: list[str] = []
         self._probes: dict[str, _Probe] = {}
         self.recheck_requested = threading.Event()
         """Set when a target that aborted a request is to be probed again."""
@@ -127,7 +127,7 @@
                 return
             if not self._suspects.record_answer(fingerprint, self._clock.elapsed()):
                 return
-            self._cleared.append(fingerprint)
+            self._new_cleared.append(fingerprint)
         log_change("request_cleared", fingerprint=fingerprint, source="own")
         self._notify_updates()
 
@@ -140,8 +140,8 @@
         """Check targets that may have ended, and expire old records."""
         now = self._clock.elapsed()
         with self._lock:
-            unfinished = self._suspects.possibly_ended_targets()
-        for target, disconnected_at in unfinished.items():
+            possibly_ended = self._suspects.possibly_ended_targets()
+        for target, disconnected_at in possibly_ended.items():
             standing = self._targets.standing(target)
             if standing is TargetStanding.REMOVED:
                 self._record_ended(target, "its store entry was removed")
@@ -170,7 +170,7 @@
         """Return and clear the ends and cleared requests not yet sent to peers."""
         with self._lock:
             ends, self._new_ends = self._new_ends, []
-            cleared, self._cleared = self._cleared, []
+            cleared, self._new_cleared = self._new_cleared, []
         return ends, cleared
 
     def known_ends(self) -> list[ObservedEnd]:
@@ -189,7 +189,7 @@
             cleared = [
                 name for name in fingerprints if self._suspects.record_answer(name, now)
             ]
-            self._cleared += cleared
+            self._new_cleared += cleared
         for name in cleared:
             log_change("request_cleared", fingerprint=name, source="peer")
         if cleared:
--- a/packages/runhatch-server/src/runhatch_server/fleet/_directory.py
+++ b/packages/runhatch-server/src/runhatch_server/fleet/_directory.py
@@ -19,15 +19,16 @@
 targets are listed again within about two seconds."""
 ORDERER_REPORT_VALIDITY = timedelta(seconds=8)
 """Time for which the orderer's report on a target takes precedence over the target's
-entry.  The orderer repeats it every few seconds; entries are written every 1.2 s and
-only if more than adapters changed."""
+entry. The orderer repeats it every few seconds; entries are written every 1.2 s, and
+not if only adapters changed."""
 OLDER_INCARNATION_GRACE = timedelta(seconds=3)
-"""Time for which an entry of an older incarnation than the known one is ignored.  Late
+"""Time for which an entry of an older incarnation than the known one is ignored. Late
 writes of an ended incarnation arrive within seconds, and its successor overwrites them
 meanwhile; an entry that remains is that of a target whose clock was set back."""
 RESTORED_ENTRY_GRACE = timedelta(seconds=6)
 """Time after a restore of the store from an older copy for which entries of removed
-targets are ignored unless written again: those of ended targets expire meanwhile."""
+targets are ignored unless written again: the entries of ended targets expire
+meanwhile."""
 REMOVED_RETENTION = timedelta(minutes=2)
 """Time for which removed incarnations are remembered; restored copies of the store are
 only seconds old."""
@@ -68,13 +69,13 @@
         self._targets: dict[str, Target] = {}
         self._by_incarnation: dict[str, Target] = {}
         self._reports: dict[str, _Report] = {}
-        self._expected: dict[str, tuple[ExpectedLoad, ...]] = {}
+        self._expected_loads: dict[str, tuple[ExpectedLoad, ...]] = {}
         self._lacking_until: dict[tuple[str, str, str], timedelta] = {}
         self._missing_until: dict[str, timedelta] = {}
         self._draining: dict[str, timedelta] = {}
-        """By incarnation, when it announced that it drains."""
+        """Time of the announcement that it drains, by incarnation."""
         self._removed: dict[str, timedelta] = {}
-        """By incarnation, when it was removed."""
+        """Time of the removal, by incarnation."""
         self._ignored_entries: dict[str, tuple[Target, timedelta]] = {}
         self._ready: defaultdict[str, dict[str, Target]] = defaultdict(dict)
         """Ready targets by service and incarnation, in order of incarnation."""
@@ -94,7 +95,7 @@
             for key in set(self._targets) - present:
                 self._remove_after_grace(key)
             for entry in entries:
-                if not self._is_of_removed(entry):
+                if not self._is_of_removed_target(entry):
                     self._apply(entry)
             self.is_listed = True
             self._rebuild()
@@ -133,7 +134,7 @@
             self._reachable_since = self._clock.elapsed()
 
     def remove_expired(self) -> None:
-        """Remove targets missing for too long, and apply old entries that remained."""
+        """Remove targets missing too long, and apply ignored entries that remain."""
         now = self._clock.elapsed()
         with self.update_condition:
             expired = [
@@ -150,7 +151,7 @@
                 self._put(target)
             if expired or remaining:
                 self._rebuild()
-            self._delete_unknown(now)
+            self._delete_unlisted_reports(now)
             _delete_older(self._draining, now - DRAINING_RETENTION)
             _delete_older(self._removed, now - REMOVED_RETENTION)
 
@@ -174,7 +175,7 @@
         with self.update_condition:
             now = self._clock.elapsed()
             for target, held, expected in reports:
-                self._expected[target] = tuple(expected)
+                self._expected_loads[target] = tuple(expected)
                 self._reports[target] = _Report(held, now)
                 self._delete_corrections(target)
                 reported.add(target)
@@ -184,8 +185,8 @@
     def record_draining(self, incarnation: str, source: str = "answer") -> bool:
         """Record that a target drains, whatever state its entry gives.
 
-        The entry may change many seconds later, or never.  Return whether the drain
-        was unknown.
+        The entry may change many seconds later, or never. Returns whether the drain was
+        not known before.
         """
         with self.update_condition:
             if incarnation in self._draining:
@@ -230,7 +231,7 @@
             target
             for target in self.ready_targets(service)
             if target.held.holds(model, adapter)
-            and not self._lacks(target.incarnation, model, adapter)
+            and not self._lacks_model(target.incarnation, model, adapter)
         ]
 
     def earliest_load(self, service: str, model: str) -> ExpectedLoad | None:
@@ -238,14 +239,14 @@
         loads = [
             load
             for target in self.ready_targets(service)
-            for load in self._expected.get(target.incarnation, ())
+            for load in self._expected_loads.get(target.incarnation, ())
             if load.model == model
         ]
         return min(loads, key=lambda load: load.ready_at, default=None)
 
     def loads_at(self, target: str) -> tuple[ExpectedLoad, ...]:
         """Return the loads in progress at ``target``, as reported by the orderer."""
-        return self._expected.get(target, ())
+        return self._expected_loads.get(target, ())
 
     # The methods below require the lock of ``update_condition``.
 
@@ -253,15 +254,15 @@
         if entry.value is None:
             self._remove_after_grace(entry.key)
             return
-        known = self._targets.get(entry.key)
-        if known is not None and entry.value.is_older_than(known):
-            log_change("target_entry_old", target=known.incarnation)
+        previous = self._targets.get(entry.key)
+        if previous is not None and entry.value.is_older_than(previous):
+            log_change("target_entry_old", target=previous.incarnation)
             until = self._clock.elapsed() + OLDER_INCARNATION_GRACE
             self._ignored_entries.setdefault(entry.key, (entry.value, until))
             return
         self._put(entry.value)
 
-    def _is_of_removed(self, entry: Entry[Target]) -> bool:
+    def _is_of_removed_target(self, entry: Entry[Target]) -> bool:
         """Return whether a restored entry is that of a removed target.
 
         The entry is applied later if it still exists then.
@@ -282,12 +283,12 @@
             target = replace(target, state=TargetState.DRAINING)
         self._missing_until.pop(target.name, None)
         self._ignored_entries.pop(target.name, None)
-        known = self._targets.get(target.name)
-        if known is not None and known.incarnation != target.incarnation:
+        previous = self._targets.get(target.name)
+        if previous is not None and previous.incarnation != target.incarnation:
             self._remove(target.name, "started again")
-            known = None
+            previous = None
         self._targets[target.name] = target
-        if known is None:
+        if previous is None:
             log_change(
                 "target_learned",
                 target=target.incarnation,
@@ -297,7 +298,7 @@
                 models=sorted(target.held.adapters_by_model),
                 on_disk=len(target.copies.on_disk),
             )
-        elif known.state is not target.state:
+        elif previous.state is not target.state:
             log_change(
                 "target_draining",
                 target=target.incarnation,
@@ -325,26 +326,26 @@
             return
         self._removed[target.incarnation] = self._clock.elapsed()
         self._reports.pop(target.incarnation, None)
-        self._expected.pop(target.incarnation, None)
+        self._expected_loads.pop(target.incarnation, None)
         log_change("target_gone", target=target.incarnation, why=reason)
 
-    def _delete_unknown(self, now: timedelta) -> None:
+    def _delete_unlisted_reports(self, now: timedelta) -> None:
         """Delete old reports on incarnations that are not listed."""
-        unknown = [
+        unlisted = [
             name
             for name, report in self._reports.items()
             if name not in self._by_incarnation
             and now - report.received_at >= ORDERER_REPORT_VALIDITY
         ]
-        for name in unknown:
+        for name in unlisted:
             del self._reports[name]
-            self._expected.pop(name, None)
+            self._expected_loads.pop(name, None)
 
     def _delete_corrections(self, target: str) -> None:
         for key in [key for key in self._lacking_until if key[0] == target]:
             del self._lacking_until[key]
 
-    def _lacks(self, target: str, model: str, adapter: str) -> bool:
+    def _lacks_model(self, target: str, model: str, adapter: str) -> bool:
         until = self._lacking_until.get((target, model, adapter))
         return until is not None and self._clock.elapsed() < until
 
--- a/packages/runhatch-server/src/runhatch_server/fleet/_targets.py
+++ b/packages/runhatch-server/src/runhatch_server/fleet/_targets.py
@@ -43,9 +43,9 @@
 class Target:
     """One incarnation of a target.
 
-    A target may restart under the same ``name``; it then holds no models and numbers
-    its orders from the start.  Its address may be reused by another target later.
-    ``drains_in`` is the time to its announced removal, if it is to be removed soon.
+    A target may restart under the same ``name``; it then holds no models and counts its
+    orders from zero. Its address may be reused by another target later. ``drains_in``
+    is the time to its announced removal, if it is to be removed soon.
 
     >>> from datetime import UTC
     >>> born = datetime.fromtimestamp(1.5, UTC)
