--- a/packages/runhatch-coordination/src/runhatch_coordination/_claims.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/_claims.py
@@ -44,7 +44,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimRecord:
-    """Body of a claim row; ``result`` holds or locates the answer once it is done."""
+    """Body of a claim row; ``result`` holds or locates the answer once the
+    action is done."""
 
     attempt: str
     node: str
@@ -92,7 +93,7 @@
 
 
 class Claims:
-    """Takes and settles claims on behalf of one node.
+    """Acquires, finishes and releases claims on behalf of one node.
 
     .. versionadded:: 0.1
     """
@@ -118,7 +119,7 @@
 
         If the outcome of the insertion stays unknown, return ``Unavailable`` and
         record the attempt as unused, so that a later :meth:`read` on this node can
-        take the claim.
+        acquire the claim.
         """
         record = ClaimRecord(uuid.uuid4().hex, self._node, digest, ClaimState.OPEN)
         insertion = self._make_put(key, record, ABSENT)
@@ -133,7 +134,7 @@
         return Unavailable(outcome.reason)
 
     def read(self, key: str, digest: str) -> ClaimOutcome:
-        """Read a claim, and take it if this node has an unused attempt on it."""
+        """Read a claim, and acquire it if this node has an unused attempt on it."""
         found = self._table.get(Key(CLAIM_PARTITION, key))
         if isinstance(found, Unavailable):
             return found
@@ -161,23 +162,28 @@
             result,
         )
         return self._update_claim(
-            claim, lambda expect: self._make_put(claim.key, finished, expect)
+            claim,
+            lambda expected_version: self._make_put(
+                claim.key, finished, expected_version
+            ),
         )
 
     def release(self, claim: ClaimAcquired) -> None:
         """Release a claim whose action has certainly not run.
 
         If the table is unreachable, record the attempt as unused instead, so that a
-        repeated request on this node can take the claim.
+        repeated request on this node can acquire the claim.
         """
         key = Key(CLAIM_PARTITION, claim.key)
-        outcome = self._update_claim(claim, lambda expect: Delete(key, expect))
+        outcome = self._update_claim(
+            claim, lambda expected_version: Delete(key, expected_version)
+        )
         if isinstance(outcome, Unavailable | Unknown):
             with self._lock:
                 self._unused_attempts.add(claim.record.attempt)
 
     def _update_claim(
-        self, taken: ClaimAcquired, write: Callable[[int], Put | Delete]
+        self, claim: ClaimAcquired, write: Callable[[int], Put | Delete]
     ) -> TransactOutcome:
         """Update the claim row, also after the table was restored from a copy.
 
@@ -186,15 +192,15 @@
         outcome = self._committer.commit([write(ABSENT + 1)])
         if not isinstance(outcome, Conflict):
             return outcome
-        found = self._table.get(Key(CLAIM_PARTITION, taken.key))
-        if not isinstance(found, Row) or decode_claim(found) != taken.record:
+        found = self._table.get(Key(CLAIM_PARTITION, claim.key))
+        if not isinstance(found, Row) or decode_claim(found) != claim.record:
             return outcome
         return self._committer.commit([write(found.version)])
 
-    def _make_put(self, key: str, record: ClaimRecord, expect: int) -> Put:
+    def _make_put(self, key: str, record: ClaimRecord, expected_version: int) -> Put:
         body = msgspec.json.encode(record)
-        expires = self._clock.now() + self._retention
-        return Put(Key(CLAIM_PARTITION, key), body, expect, expires)
+        expires_at = self._clock.now() + self._retention
+        return Put(Key(CLAIM_PARTITION, key), body, expected_version, expires_at)
 
 
 def decode_claim(row: Row) -> ClaimRecord:
--- a/packages/runhatch-coordination/src/runhatch_coordination/_feed.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/_feed.py
@@ -30,7 +30,7 @@
 """Time added to the coalescing pause before a change counts as overdue."""
 COALESCING_PAUSE = timedelta(milliseconds=150)
 """Pause between a change and the next call. Changes come in bursts and each call is
-paid for; readers receive a change at most this much later."""
+billed; readers receive a change at most this much later."""
 MIN_RETRY_PAUSE = timedelta(milliseconds=200)
 MAX_RETRY_PAUSE = timedelta(seconds=1)
 """Longest pause between failing calls, so that calls resume within a second after an
@@ -171,7 +171,7 @@
     def interrupt_if_overdue(self) -> bool:
         """Interrupt the wait if a change that another node announced is overdue.
 
-        Returns whether it was.
+        Returns whether the change was overdue.
         """
         notice = self._pending_notice
         if notice is None:
--- a/packages/runhatch-coordination/src/runhatch_coordination/_leases.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/_leases.py
@@ -47,7 +47,7 @@
 LEASE_PARTITION = "lease"
 EPOCH_PARTITION = "epoch"
 RENEWALS_PER_TTL = 3
-"""A holder renews after one Nth of the time to live."""
+"""Renewals within one time to live: a holder renews after this fraction (1/N) of it."""
 CHALLENGE_FACTOR = 1.2
 """Multiple of the time to live that a challenger waits; it exceeds 1 by more than the
 drift between the clocks of two VMs, which is far below a tenth."""
@@ -140,8 +140,8 @@
         """Record a renewal of the lease that its holder reported.
 
         A challenger that receives such reports need not poll the table: it measures
-        the lease's age from the newest reported renewal.  If this node holds the
-        lease in an earlier epoch, it holds the lease no longer.
+        the lease's age from the newest reported renewal.  If the epoch
+        is newer than that of this node's lease, this node no longer holds the lease.
         """
         with self._lock:
             self._newest_epoch = max(self._newest_epoch, epoch)
@@ -150,7 +150,7 @@
             self._last_observed = (epoch, renewal, self._clock.elapsed())
 
     def observe_resignation(self, epoch: int) -> None:
-        """Record that the holder of ``epoch`` reported that it no longer acts."""
+        """Record the report of the holder of ``epoch`` that it no longer acts."""
         self._resigned_epoch = max(self._resigned_epoch, epoch)
 
     def step(self, eager: bool = True) -> LeaseChange:
--- a/packages/runhatch-coordination/src/runhatch_coordination/_members.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/_members.py
@@ -24,7 +24,8 @@
 SUSPECT_AFTER = timedelta(seconds=3)
 """Time without a heartbeat after which a linked peer is suspected: three are lost."""
 MAX_CHECK_INTERVAL_SHARE = 0.7
-"""Share of the suspicion timeout; a node that checks less often was itself paused."""
+"""Longest interval between checks, as a share of the suspicion timeout: after a longer
+one this node itself was paused."""
 LISTED_INCARNATION = 0
 """Incarnation of a VM that is known only from the platform's list."""
 
@@ -88,7 +89,7 @@
         return [fact.vm for fact in self.facts() if fact.standing is Standing.ALIVE]
 
     def apply_list(self, vms: Iterable[Vm], draining: frozenset[str]) -> None:
-        """Apply the platform's list of VMs and of those that are leaving.
+        """Apply the platform's list of VMs and of those that are draining.
 
         The list lags, so it neither clears a suspicion nor removes a VM whose
         heartbeats still arrive.
@@ -111,7 +112,7 @@
         return [fact.vm for fact in self.facts() if fact.standing is Standing.SUSPECT]
 
     def count_suspected_within(self, period: timedelta) -> int:
-        """Return the number of VMs that became suspect within ``period``."""
+        """Return the number of suspected VMs that became suspect within ``period``."""
         cutoff = self._clock.elapsed() - period
         with self._lock:
             names = [
@@ -145,7 +146,7 @@
                 # Other nodes clear the suspicion when the VM refutes it.
                 self._facts[name] = replace(known, standing=Standing.ALIVE)
                 return known
-            # LEAVING normally comes from the platform's list, which the VM does not
+            # DRAINING normally comes from the platform's list, which the VM does not
             # refute.  With a higher incarnation it comes from a previous process.
             is_from_previous = known.vm.incarnation > fact.vm.incarnation
             return known if is_from_previous else None
@@ -156,14 +157,14 @@
         Return whether one of them contradicts this node's own state.  The caller
         should then send this node's current incarnation to that peer.
         """
-        is_denied = False
+        is_contradicted = False
         with self._lock:
             for fact in facts:
                 if fact.vm.name == self._own.name:
-                    is_denied = self._refute_fact(fact) or is_denied
+                    is_contradicted = self._refute_fact(fact) or is_contradicted
                 elif not self._contradicts_own_heartbeats(fact):
                     self._merge_fact(fact)
-        return is_denied
+        return is_contradicted
 
     def suspect_silent_peers(self) -> list[str]:
         """Suspect peers whose heartbeats stopped, and return the new suspects.
@@ -192,7 +193,7 @@
             self._last_heartbeats.pop(name, None)
 
     def announce_draining(self) -> None:
-        """Mark this node as leaving and queue the fact for its peers."""
+        """Mark this node as draining and queue the fact for its peers."""
         with self._lock:
             self._store_and_queue(MemberFact(self._own, Standing.DRAINING))
 
@@ -261,8 +262,8 @@
         """Refute a wrong fact about this node; return whether it was wrong."""
         current = self._facts[self._own.name]
         is_previous_process = fact.vm.incarnation > self._own.incarnation
-        is_leaving = fact.standing is Standing.DRAINING and not is_previous_process
-        if fact.standing is current.standing or is_leaving:
+        is_draining = fact.standing is Standing.DRAINING and not is_previous_process
+        if fact.standing is current.standing or is_draining:
             return False
         if fact.vm.incarnation >= self._own.incarnation:
             incarnation = fact.vm.incarnation + 1
--- a/packages/runhatch-coordination/src/runhatch_coordination/_replica.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/_replica.py
@@ -51,7 +51,7 @@
 
 
 class TableReplica:
-    """The rows of one table at one version; safe for use by several threads.
+    """The rows of one table at one version; thread-safe.
 
     ``listener`` is called while the copy is locked, and so in the order of versions.
 
@@ -78,7 +78,11 @@
 
     @property
     def empty_changes(self) -> TableChanges | None:
-        """Empty changes since the last change, ``None`` if no version is known."""
+        """Changes without rows, from the version of the last change to the current one.
+
+        Other nodes learn from them that they miss nothing. ``None`` if no version is
+        known.
+        """
         with self._lock:
             if self._version is None:
                 return None
@@ -173,8 +177,8 @@
         self._rows[key] = _Row(value, version)
 
     def _remove_row(self, key: str, version: StoreVersion) -> None:
-        # A row unknown here is recorded too: a node at a version in between may
-        # store it.
+        # A row that this copy never had is recorded too: it may have been added and
+        # removed between two versions of this copy, and nodes in between may store it.
         self._rows.pop(key, None)
         self._removed_rows.pop(key, None)
         self._removed_rows[key] = version
--- a/packages/runhatch-coordination/src/runhatch_coordination/_revisions.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/_revisions.py
@@ -59,7 +59,7 @@
 
     @property
     def position(self) -> StoreVersion:
-        """The position among the revisions of all eras, including lost ones."""
+        """The position among revisions of all eras, also those lost by a restore."""
         return store_version(self.era, self.number)
 
 
@@ -225,7 +225,7 @@
 
         A revision whose body does not match its digest is ignored.
 
-        Raises :class:`InvariantError` if two revisions have the same position.
+        Raises :class:`InvariantError` if two operations published the same position.
         """
         if digest_of(revision.body) != revision.entry.digest:
             return False
--- a/packages/runhatch-coordination/src/runhatch_coordination/_shared.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/_shared.py
@@ -104,7 +104,7 @@
 
     ACTIVE = "fresh"
     CUT_OFF = "cut off"
-    """They are active but report that they cannot reach the store."""
+    """The readers are active but report that they cannot reach the store."""
     SILENT = "silent"
 
 
@@ -152,7 +152,7 @@
         jitter = random.uniform(0, SILENCE_JITTER) if jitter is None else jitter
         self._silence_timeout = bounds.silence_timeout * (1 + jitter)
         self._started_at = clock.elapsed()
-        self._position = ORIGIN
+        self._last_request_version = ORIGIN
         self._reader_reports: dict[str, _ReaderReport] = {}
         self._newest_noticed_version = ORIGIN
         self._gap_since: timedelta | None = None
@@ -172,7 +172,7 @@
     @property
     def last_request_version(self) -> StoreVersion:
         """The version after which changes were last requested from the store."""
-        return self._position
+        return self._last_request_version
 
     @property
     def read_version(self) -> StoreVersion:
@@ -190,7 +190,10 @@
 
     @property
     def empty_changes(self) -> TableChanges | None:
-        """Empty changes since the last change, ``None`` if no version is known."""
+        """Changes without rows, by which other nodes learn that they miss nothing.
+
+        ``None`` if no version is known.
+        """
         return self._replica.empty_changes
 
     def changes_since(self, version: StoreVersion | None) -> TableChanges | None:
@@ -264,12 +267,14 @@
             self._peers.record_source(self.name, source)
         if source is Source.UPDATES:
             return self._pause_for_updates()
-        self._position = self._watcher.version
+        self._last_request_version = self._watcher.version
         pause = self._watcher.step(self._choose_call_wait(source))
         if source in SINGLE_READ_SOURCES and self._watcher.needs_listing:
             self._must_read_once = True
         # A wait that ends without a change advances the version too.
-        self._replica.offer(TableChanges(self._position, self._watcher.version, ()))
+        self._replica.offer(
+            TableChanges(self._last_request_version, self._watcher.version, ())
+        )
         if not self._watcher.is_failing:
             self.record_reachability(True, "")
         return pause
--- a/packages/runhatch-coordination/src/runhatch_coordination/testing/_table.py
+++ b/packages/runhatch-coordination/src/runhatch_coordination/testing/_table.py
@@ -121,11 +121,11 @@
 
     def _apply(self, write: Write) -> None:
         match write:
-            case Put(key, body, expect, _):
+            case Put(key, body, expected_version, _):
                 era = self._current_era()
                 previous = self._rows.get(key)
                 created_era = era if previous is None else previous.created_era
-                number = number_of(StoreVersion(expect)) + 1
+                number = number_of(StoreVersion(expected_version)) + 1
                 self._rows[key] = _StoredRow(number, body, era, created_era)
             case Delete(key, _):
                 self._rows.pop(key, None)
--- a/packages/runhatch-coordination/tests/test_leases.py
+++ b/packages/runhatch-coordination/tests/test_leases.py
@@ -102,7 +102,7 @@
     def test_earlier_renewal_does_not_confirm_a_later_one(self, contenders):
         """Two nodes would hold the lease if an earlier renewal confirmed a later one.
 
-        The earlier one took effect although its answer was lost, and the challenger
+        The earlier renewal took effect although its answer was lost, and the challenger
         measures expiry from it.
         """
         contenders.step("a")
@@ -120,7 +120,7 @@
         assert contenders.holders() == ["b"]
 
     def test_renewal_read_back_does_not_extend_the_lease(self, contenders):
-        """It took effect some time ago, and challengers measure expiry from then."""
+        """The row shows a renewal of some time ago, from which challengers measure."""
         contenders.step("a")
         contenders.advance(2.5)
         contenders.tables["a"].inject(TableFault.LOSE_ANSWER, 3)
--- a/packages/runhatch-coordination/tests/test_members.py
+++ b/packages/runhatch-coordination/tests/test_members.py
@@ -178,7 +178,7 @@
         ],
     )
     def test_wrong_fact_about_this_node_is_reported(self, members, received, is_denied):
-        """A peer that believes this node suspect or leaving must be corrected."""
+        """A peer that believes this node suspect or draining must be corrected."""
         assert members.merge_facts([received]) is is_denied
         assert members.own.incarnation >= received.vm.incarnation
 
--- a/packages/runhatch-coordination/tests/test_permits.py
+++ b/packages/runhatch-coordination/tests/test_permits.py
@@ -58,7 +58,7 @@
     """Permit counts may repeat after the table is restored from a copy."""
 
     def test_equal_count_in_another_era_is_a_change(self):
-        """If it counted as no change, a full burst would be granted at once.
+        """If an equal count were no change, a full burst would be granted at once.
 
         After a restore, another node's grant can bring the count to the value seen
         before.
--- a/packages/runhatch-coordination/tests/test_shared.py
+++ b/packages/runhatch-coordination/tests/test_shared.py
@@ -214,7 +214,7 @@
         assert roles.count(Role.RESERVE) == (1 if domains == 1 else 2 * domains)
 
     def test_a_draining_node_is_not_a_witness(self):
-        """It is not in the list of nodes any more, which may hold only two others."""
+        """The list of nodes no longer has it, and may have only two others."""
         remaining = [Vm(f"n{index}", "d1", "") for index in range(2)]
 
         assert choose_role(Vm("n9", "d1", ""), remaining) is Role.FOLLOWER
