--- a/packages/runhatch-server/src/runhatch_server/gateway/_app.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_app.py
@@ -81,7 +81,7 @@
                 self._progress.record_end()
 
     def _answer(self, environ: Environ) -> GatewayAnswer:
-        headers = _headers(environ)
+        headers = _collect_headers(environ)
         request = self._parse(environ, headers)
         if isinstance(request, Refusal):
             self._metrics.refusals.labels(request.reason.code).inc()
@@ -203,7 +203,7 @@
         return [body]
 
 
-def _headers(environ: Environ) -> dict[str, str]:
+def _collect_headers(environ: Environ) -> dict[str, str]:
     """Return the request headers by lower-case name."""
     headers = {
         key.removeprefix(HEADER_PREFIX).replace("_", "-").lower(): str(value)
--- a/packages/runhatch-server/src/runhatch_server/gateway/_balancer.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_balancer.py
@@ -48,7 +48,8 @@
 """Interval at which a held request checks that its caller is still connected: work
 must stop within half a second of a disconnect."""
 MAX_CONNECT_FAILURES = 2
-"""Consecutive failed connects after which a target counts as down and is replaced."""
+"""Consecutive failed connects after which a target counts as down: the orderer then
+plans without it, so that other targets replace it."""
 MIN_CONNECT_BACKOFF = timedelta(milliseconds=500)
 MAX_CONNECT_BACKOFF = timedelta(seconds=4)
 """Bounds of the backoff after a failed connect to a target; it doubles each time."""
@@ -58,7 +59,8 @@
 MAX_BACKOFF_DOUBLINGS = 4
 """Doublings after which the backoff has reached its maximum."""
 MIN_CONNECTIONS = 4
-"""Connections to a target that each node may open, however many nodes there are."""
+"""Minimum number of connections that each node may open to a target, however many nodes
+share the connections of the target."""
 
 
 class Balancer:
@@ -78,10 +80,10 @@
     ) -> None:
         self._directory = directory
         self._clock = clock
-        self._on_missing = on_missing_model
+        self._on_missing_model = on_missing_model
         self._on_change = on_change
         self._on_draining = on_draining
-        self._refuser = RefusalBuilder(seed)
+        self._refusal_builder = RefusalBuilder(seed)
         self._lock = threading.Lock()
         self._book = LoadBook()
         self._scorer = Scorer(self._book, failure_domain, has_connection, seed)
@@ -139,11 +141,11 @@
             return Refusal(Reason.STOPPING, Executed.NO, retry_after=timedelta())
         search = TargetSearch(request, tried, request_tier(request))
         try:
-            result = self._find_place(search)
+            result = self._find_target(search)
             if not isinstance(result, HoldDecision):
                 return result
             if result.recheck_interval is None:
-                self._on_missing(request)
+                self._on_missing_model(request)
             search.place = HeldRequest(
                 next(self._number_sequence), self._clock.elapsed()
             )
@@ -156,7 +158,7 @@
     def _wait(
         self,
         search: TargetSearch,
-        place: HeldRequest,
+        held_request: HeldRequest,
         caller_gone: Callable[[], bool],
         result: HoldDecision,
     ) -> Grant | Refusal:
@@ -165,20 +167,20 @@
         while True:
             now = self._clock.elapsed()
             if self._closed_at is not None:
-                return self._refuser.refuse(result.reason)
+                return self._refusal_builder.refuse(result.reason)
             if now >= result.until or self._held_requests.is_full:
                 retry_after = missing_model_retry_delay(request)
                 if result.recheck_interval is not None:
                     retry_after = BUSY_RETRY_DELAY
-                return self._refuser.refuse(result.reason, retry_after)
+                return self._refusal_builder.refuse(result.reason, retry_after)
             if caller_gone():
                 return Refusal(Reason.CALLER_GONE, Executed.NO)
-            self._held_requests.count_at(request, result.target, place)
-            look_after = result.recheck_interval or CALLER_CHECK_INTERVAL
+            self._held_requests.count_at(request, result.target, held_request)
+            recheck_interval = result.recheck_interval or CALLER_CHECK_INTERVAL
             self._held_requests.wait_for_update(
-                min(result.until - now, look_after, CALLER_CHECK_INTERVAL)
+                min(result.until - now, recheck_interval, CALLER_CHECK_INTERVAL)
             )
-            next_result = self._find_place(search)
+            next_result = self._find_target(search)
             if not isinstance(next_result, HoldDecision):
                 return next_result
             result = next_result
@@ -201,7 +203,7 @@
                 )
 
     def record_stream_pace(self, grant: Grant, mean_gap: timedelta) -> None:
-        """Update the target's pace from a complete stream with this mean event gap."""
+        """Update the target's pace by the mean gap of events in a complete stream."""
         service = self._services.get(grant.request.service)
         if service is None or service.engine is None:
             return
@@ -255,11 +257,11 @@
         if not holders:
             return None
         with self._lock:
-            result = self._candidates(
+            result = self._choose_candidates(
                 holders, TargetSearch(request, tried, request_tier(request))
             )
         if isinstance(result, NoCandidates):
-            return self._refuser.refuse_unwilling(result)
+            return self._refusal_builder.refuse_unwilling(result)
         return None
 
     def release_unreachable(self, grant: Grant) -> None:
@@ -306,22 +308,22 @@
             return False
         return self._clock.elapsed() - closed_at >= SHUTDOWN_STREAM_WINDOW
 
-    def _find_place(self, search: TargetSearch) -> Grant | Refusal | HoldDecision:
+    def _find_target(self, search: TargetSearch) -> Grant | Refusal | HoldDecision:
         while True:
-            result = self._try_place(search)
+            result = self._try_targets(search)
             if not isinstance(result, PermitNeeded):
                 return result
             search.permits_requested_at[result.target] = self._clock.elapsed()
-            # Granted synchronously if this node issues the target's permits itself.
+            # Answered synchronously if this node allocates the target's permits itself.
             self.limits.request_permit(result.target, result.tier)
 
-    def _try_place(
+    def _try_targets(
         self, search: TargetSearch
     ) -> Grant | Refusal | HoldDecision | PermitNeeded:
         request = search.request
         service = self._services.get(request.service)
         if service is None or not self._directory.ready_targets(request.service):
-            return self._refuser.refuse(Reason.NO_TARGET)
+            return self._refusal_builder.refuse(Reason.NO_TARGET)
         holders = self._directory.holders(
             request.service, request.model, request.adapter
         )
@@ -329,31 +331,34 @@
             decision = self._held_requests.decide(request, search.place)
             if isinstance(decision, HoldDecision):
                 return decision
-            return self._refuser.refuse(Reason.NO_REPLICA, decision.retry_after)
+            return self._refusal_builder.refuse(Reason.NO_REPLICA, decision.retry_after)
         with self._lock:
             while True:
-                result = self._candidates(holders, search)
+                result = self._choose_candidates(holders, search)
                 if isinstance(result, NoCandidates):
-                    return self._refuser.refuse_unwilling(result)
-                chosen = self._choose(search, service, result)
+                    return self._refusal_builder.refuse_unwilling(result)
+                chosen = self._choose_target(search, service, result)
                 if not isinstance(chosen, NoPermit):
                     return chosen
                 search.no_permit_until[chosen.target] = chosen.until
 
-    def _candidates(
+    def _choose_candidates(
         self, holders: list[Target], search: TargetSearch
     ) -> list[Target] | NoCandidates:
         now = self._clock.elapsed()
 
-        def opens_at(target: str) -> timedelta:
-            limit_opens_at = self.limits.available_at(target, search.tier, now)
+        def available_at(target: str) -> timedelta:
+            limit_available_at = self.limits.available_at(target, search.tier, now)
             return max(
-                limit_opens_at, search.no_permit_until.get(target, limit_opens_at)
+                limit_available_at,
+                search.no_permit_until.get(target, limit_available_at),
             )
 
-        return choose_candidates(holders, search.tried, self._book.load, now, opens_at)
+        return choose_candidates(
+            holders, search.tried, self._book.load, now, available_at
+        )
 
-    def _choose(
+    def _choose_target(
         self, search: TargetSearch, service: ServiceSpec, targets: list[Target]
     ) -> Grant | Refusal | HoldDecision | PermitNeeded | NoPermit:
         now = self._clock.elapsed()
@@ -376,7 +381,7 @@
             case Postponed(best, pause, until):
                 return HoldDecision(until, Reason.TOO_BUSY, recheck_interval=pause)
             case Rejected(reason, best, after):
-                return self._refuser.refuse(reason, after, best)
+                return self._refusal_builder.refuse(reason, after, best)
 
     def _grant(
         self,
--- a/packages/runhatch-server/src/runhatch_server/gateway/_demand.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_demand.py
@@ -1,4 +1,4 @@
-"""Counts of requested models on a node, reported to the orderer of the targets."""
+"""Counts of requested models on a node, reported to the orderer."""
 
 import threading
 from collections import Counter, defaultdict
@@ -16,34 +16,35 @@
         self._misses: Counter[DemandKey] = Counter()
         self._work_ms: defaultdict[DemandKey, float] = defaultdict(float)
         self.missed_event = threading.Event()
-        """Set when a request waits for its model: the counts are then sent at once."""
+        """Set when a request misses its model, and by the balancer when one is sent to
+        a target: the node then sends its loads and these counts at once."""
 
     def count_request(self, request: GatewayRequest, work_ms: float) -> None:
         """Count a request whose prompt takes ``work_ms`` milliseconds to process."""
         if request.work is not None:
-            wanted = _wanted_of(request)
+            key = _make_key(request)
             with self._lock:
-                self._requests[wanted] += 1
-                self._work_ms[wanted] += work_ms
+                self._requests[key] += 1
+                self._work_ms[key] += work_ms
 
     def count_miss(self, request: GatewayRequest) -> None:
         """Count a request whose model or adapter no target holds."""
         with self._lock:
-            self._misses[_wanted_of(request)] += 1
+            self._misses[_make_key(request)] += 1
         self.missed_event.set()
 
     def pop_shares(self) -> list[DemandShare]:
         """Return the counts since the previous call and reset them."""
         with self._lock:
-            wanted = sorted({*self._requests, *self._misses})
+            keys = sorted({*self._requests, *self._misses})
             shares = [
                 DemandShare(
-                    each,
-                    self._requests[each],
-                    self._misses[each],
-                    self._work_ms[each],
+                    key,
+                    self._requests[key],
+                    self._misses[key],
+                    self._work_ms[key],
                 )
-                for each in wanted
+                for key in keys
             ]
             self._requests.clear()
             self._misses.clear()
@@ -51,7 +52,7 @@
             return shares
 
 
-def _wanted_of(request: GatewayRequest) -> DemandKey:
+def _make_key(request: GatewayRequest) -> DemandKey:
     return DemandKey(
         request.service,
         request.model,
--- a/packages/runhatch-server/src/runhatch_server/gateway/_forward.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_forward.py
@@ -54,8 +54,9 @@
     ) -> AttemptResult:
         """Send ``request`` to the target of ``grant`` and wait for the answer's head.
 
-        The wait ends at ``until``; the target is sent the time left to the deadline
-        of the request.  ``resume_after`` is the last event of a stream to resume.
+        The wait ends at ``wait_until``; the target is sent the time left to the
+        deadline of the request.  ``resume_after`` is the last event of a stream
+        to resume.
         """
         time_left = request.deadline - self._clock.elapsed()
         if time_left <= timedelta():
@@ -99,7 +100,7 @@
             self._pool.release(connection, refused.idle_timeout)
 
     def discard_answer(self, opened: OpenedAnswer) -> None:
-        """Close the connection of an answer that is not read to its end."""
+        """Close the connection of an answer that will not be read to its end."""
         self._pool.discard(opened.connection)
 
     def _exchange(
@@ -107,7 +108,7 @@
         connection: TargetConnection,
         request: GatewayRequest,
         headers: Headers,
-        until: timedelta,
+        wait_until: timedelta,
         caller_gone: Callable[[], bool],
     ) -> AttemptResult:
         time_left = request.deadline - self._clock.elapsed()
@@ -115,7 +116,7 @@
             connection.send(
                 request.method, request.uri, headers, request.body, time_left
             )
-            abort_reason = self._await_head(connection, until, caller_gone)
+            abort_reason = self._await_head(connection, wait_until, caller_gone)
             if abort_reason is not None:
                 return UnknownResult(abort_reason)
             response = connection.read_head(READ_TIMEOUT)
@@ -132,11 +133,11 @@
     def _await_head(
         self,
         connection: TargetConnection,
-        until: timedelta,
+        wait_until: timedelta,
         caller_gone: Callable[[], bool],
     ) -> AttemptReason | None:
         while True:
-            time_left = until - self._clock.elapsed()
+            time_left = wait_until - self._clock.elapsed()
             if time_left <= timedelta():
                 return AttemptReason.TIMED_OUT
             if connection.wait_readable(min(time_left, CALLER_CHECK_INTERVAL)):
--- a/packages/runhatch-server/src/runhatch_server/gateway/_grant.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_grant.py
@@ -12,6 +12,8 @@
     """Permission to send one request to one target.
 
     The holder must end it by ``Balancer.release`` or one of its variants.
+    ``predicted_ms``, ``busy`` and ``pause_ms`` are those of its
+    :class:`~runhatch_server.decisions.ScoredTarget`.
     """
 
     number: int
--- a/packages/runhatch-server/src/runhatch_server/gateway/_held.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_held.py
@@ -35,13 +35,18 @@
 
 @dataclass(frozen=True, slots=True)
 class HoldDecision:
-    """Decision to hold a request until a target can take it, or until ``until``."""
+    """Decision to hold a request until a target can take it, or until ``until``.
+
+    If none can by then, the request is refused for ``reason``.  ``target`` is the one
+    that loads the model, empty if it is not known.
+    """
 
     until: timedelta
     reason: Reason
     target: str = ""
     recheck_interval: timedelta | None = None
-    """Interval of checks without a notification; ``None`` if only one can help."""
+    """Interval of checks without an update of the targets; ``None`` if nothing but an
+    update can help."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -118,7 +123,7 @@
             return
         place.target = target
         with self._lock:
-            held = OutstandingRequest(
+            outstanding = OutstandingRequest(
                 self._book.full_prompt_ms(request),
                 0,
                 place.held_since,
@@ -126,7 +131,7 @@
                 LATE_TIER,
                 held=True,
             )
-            self._book.load(target).own_requests[place.number] = held
+            self._book.load(target).own_requests[place.number] = outstanding
 
     def uncount(self, place: HeldRequest) -> None:
         """Stop counting a request as load of the target it waits for."""
--- a/packages/runhatch-server/src/runhatch_server/gateway/_known_orderer.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_known_orderer.py
@@ -1,4 +1,4 @@
-"""The node that orders the targets, as known from peers and the store."""
+"""The orderer, which sends orders to targets, as known from peers and the store."""
 
 from datetime import timedelta
 
@@ -15,7 +15,7 @@
 
 
 class KnownOrderer:
-    """The lease holder with the highest epoch known; called by one thread per peer.
+    """The lease holder with the highest epoch known; called by a thread for each peer.
 
     Late messages of a previous holder are recognized by their lower epoch.
     """
@@ -39,8 +39,8 @@
     def is_outdated(self, epoch: int, address: str) -> bool:
         """Return whether a higher epoch than that of the node at ``address`` is known.
 
-        Logged once for each epoch of a node: while such a node still orders, targets
-        receive a lower fence after a higher one.
+        Logged once for each epoch of a node: while such a node still sends orders,
+        targets receive a lower fence after a higher one.
         """
         if epoch >= self.epoch:
             return False
@@ -68,7 +68,7 @@
     def record_renewal(self, epoch: int, renewal: int) -> bool:
         """Record a renewal; return whether it is new.
 
-        Messages of a holder that cannot renew may still arrive.
+        A holder that cannot renew its lease may still send messages.
         """
         if (epoch, renewal) <= self._latest_renewal:
             return False
--- a/packages/runhatch-server/src/runhatch_server/gateway/_load_exchange.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_load_exchange.py
@@ -1,10 +1,10 @@
 """Exchange of the outstanding load at targets between nodes.
 
-Without it, a node takes a target for idle that other nodes keep busy.  Up to a dozen
-nodes publish their loads to each other directly.  In a larger cluster each node sends
-its loads to the readers of its failure domain.  Readers send the sum of their domain
-to the readers of other domains, and broadcast the sum of all nodes in their own.  So
-the traffic of a node does not grow with the number of nodes.
+Without it, a node takes a target for idle that other nodes keep busy.  Up to
+``MAX_FULL_MESH_NODES`` nodes publish their loads to each other directly.  In a larger
+cluster each node sends its loads to the readers of its failure domain.  Readers send
+the sum of their domain to the readers of other domains, and broadcast the sum of all
+nodes in their own.  So the traffic of a node does not grow with the number of nodes.
 """
 
 from collections.abc import Callable, Iterable
@@ -27,8 +27,8 @@
 """Interval between full updates, for nodes that missed a partial one."""
 SUM_INTERVAL = timedelta(milliseconds=100)
 """Interval between sums sent by a reader.  The sums of 45 targets take up to 1.8 KB,
-which is 2.9 Mbit/s to 20 nodes, and a VM has 5 Mbit/s.  Reading a prompt takes 20 to
-100 ms."""
+which is 2.9 Mbit/s to 20 nodes, and a VM has 5 Mbit/s.  Processing a prompt
+takes 20 to 100 ms."""
 FIRST_READER_TIMEOUT = timedelta(milliseconds=500)
 """How long the first reader of a domain may be silent before the second sends sums:
 four intervals, plus the delay of a busy node."""
@@ -42,16 +42,16 @@
     return share
 
 
-def _rounded(share: LoadShare) -> object:
+def _round_share(share: LoadShare) -> object:
     """Return ``share`` rounded; sums are sent again when this value changes."""
-    reading = tuple(round(ms / WAITING_STEP_MS) for ms in share.waiting_ms)
-    return reading, share.waiting, share.running // RUNNING_STEP
+    waiting_steps = tuple(round(ms / WAITING_STEP_MS) for ms in share.waiting_ms)
+    return waiting_steps, share.waiting, share.running // RUNNING_STEP
 
 
 class LoadChanges:
-    """Selects changed shares to send, and all of them once per interval.
+    """Selects the loads to send: changed ones, and all of them once per interval.
 
-    Two shares count as equal if ``comparison_key`` returns equal values for them.
+    Two loads count as equal if ``comparison_key`` returns equal values for them.
     """
 
     def __init__(
@@ -109,8 +109,8 @@
         self._publish = publish
         self._own_changes = LoadChanges()
         self._domain_changes, self._total_changes = (
-            LoadChanges(_rounded),
-            LoadChanges(_rounded),
+            LoadChanges(_round_share),
+            LoadChanges(_round_share),
         )
         self._domain_readers: list[Vm] = []
         """Readers that get this node's loads; empty if all nodes send to each other."""
@@ -151,7 +151,7 @@
         )
         if update is None:
             return
-        fact = _loads_message(*update)
+        fact = _make_loads_message(*update)
         if not self._domain_readers:
             self._publish(fact)
         for vm in self._domain_readers:
@@ -163,17 +163,21 @@
         The second reader of a domain sends them only while the first is silent.
         """
         now = self._clock.elapsed()
-        is_first_heard = now - self._sums_received_at < FIRST_READER_TIMEOUT
-        if not self._sends_sums or (self._tables.is_second_reader and is_first_heard):
+        is_first_active = now - self._sums_received_at < FIRST_READER_TIMEOUT
+        if not self._sends_sums or (self._tables.is_second_reader and is_first_active):
             return
-        of_domain = self._domain_changes.take_changes(self._loads.own_and_peers(), now)
-        if of_domain is not None:
-            fact = _loads_message(*of_domain, self._membership.own.failure_domain)
+        domain_update = self._domain_changes.take_changes(
+            self._loads.own_and_peers(), now
+        )
+        if domain_update is not None:
+            fact = _make_loads_message(
+                *domain_update, self._membership.own.failure_domain
+            )
             for vm in self._other_domain_readers:
                 self._send(vm.address, fact)
-        of_all = self._total_changes.take_changes(self._loads.totals(), now)
-        if of_all is not None:
-            self._tables.broadcast([_loads_message(*of_all, ALL_DOMAINS)])
+        total_update = self._total_changes.take_changes(self._loads.totals(), now)
+        if total_update is not None:
+            self._tables.broadcast([_make_loads_message(*total_update, ALL_DOMAINS)])
 
     def handle_message(self, fact: TargetLoads, sender: Member) -> None:
         """Apply the outstanding load of one node, a domain, or all nodes."""
@@ -198,6 +202,6 @@
         }
 
 
-def _loads_message(shares: Shares, whole: bool, domain: str = "") -> TargetLoads:
+def _make_loads_message(shares: Shares, whole: bool, domain: str = "") -> TargetLoads:
     loads = [message_of_load(target, share) for target, share in shares.items()]
     return TargetLoads(loads, whole, domain)
--- a/packages/runhatch-server/src/runhatch_server/gateway/_messages.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_messages.py
@@ -34,8 +34,9 @@
 
     ``attempt_id`` identifies the answered request, empty if the answer names none.
     ``is_authentic`` is whether the target confirms that the answer is its own,
-    ``not_run`` whether it did not run the request.  ``idle_timeout`` is how long the
-    connection may stay open without a request, ``None`` if it must not be reused.
+    ``not_run`` whether it did not run the request, ``encoded`` whether its body has a
+    content encoding.  ``idle_timeout`` is how long the connection may stay open without
+    a request, ``None`` if it must not be reused.
     ``draining`` is whether the target drains and takes no new work; ``backoff`` is the
     backoff that it requests of this node, ``rate_limit`` the requests per second that
     it accepts from all nodes together.
--- a/packages/runhatch-server/src/runhatch_server/gateway/_missed.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_missed.py
@@ -1,4 +1,4 @@
-"""Records since when models have been missed, for the next orderer of the targets."""
+"""Records for the next orderer since when models have been missed."""
 
 from collections.abc import Callable, Iterable
 from datetime import timedelta
@@ -28,17 +28,17 @@
                 since, _ = self._miss_times.get(share.key, (now, now))
                 self._miss_times[share.key] = since, now
         expired = [
-            wanted
-            for wanted, (_, last_missed) in self._miss_times.items()
-            if now - last_missed > MISS_RETENTION or is_held(wanted)
+            key
+            for key, (_, last_missed) in self._miss_times.items()
+            if now - last_missed > MISS_RETENTION or is_held(key)
         ]
-        for wanted in expired:
-            del self._miss_times[wanted]
+        for key in expired:
+            del self._miss_times[key]
 
     def shares(self, now: timedelta) -> list[DemandShare]:
         """Return missed models, each with the time for which it has been missed."""
         return [
-            DemandShare(wanted, 0, 0, 0.0, now - since)
-            for wanted, (since, _) in self._miss_times.items()
+            DemandShare(key, 0, 0, 0.0, now - since)
+            for key, (since, _) in self._miss_times.items()
             if since < now
         ]
--- a/packages/runhatch-server/src/runhatch_server/gateway/_node.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_node.py
@@ -50,7 +50,7 @@
 from runhatch_server.routing import RouteTable
 
 SUSPICION_TIMEOUT = timedelta(seconds=3.5)
-"""Three lost heartbeats."""
+"""Time without a heartbeat after which a peer is suspected: three are lost."""
 ORDERS_LEASE_NAME = "orders"
 LEASE_TTL = timedelta(seconds=2)
 """Allows two renewals to fail, and lets models be loaded again within a few seconds
@@ -61,8 +61,8 @@
 grow with the number of nodes."""
 SHARE_INTERVAL = timedelta(milliseconds=250)
 """Longest interval between messages with loads and demand.  A request that is sent
-causes one at once, as reading its prompt takes some 100 ms and other nodes choose
-targets by it."""
+to a target causes one at once: processing its prompt takes some 100 ms, and other nodes
+choose targets by these loads."""
 SHARE_BATCH_WINDOW = timedelta(milliseconds=25)
 """Requests sent within this time are reported in one message."""
 ORDER_INTERVAL = timedelta(milliseconds=60)
@@ -74,13 +74,14 @@
 """Interval between removals of expired state; missing targets are kept for 1.8 s."""
 MIN_DRAIN_DURATION = timedelta(seconds=4.2)
 """Shortest time for which a stopping node keeps serving.  The load balancer checks
-readiness once a second and needs two failures, and callers have open connections."""
+readiness once a second and needs two failures, and callers have open connections
+by then."""
 IDLE_BEFORE_STOP = timedelta(milliseconds=300)
 """Time without a request after which a stopping node stops serving."""
 RESIGNATION_LEAD = timedelta(milliseconds=30)
 """Time between the notice to peers and the release of the orders' lease.  A message
-takes a few milliseconds, and a successor that has received the notice can order most
-targets at once."""
+takes a few milliseconds, and a successor that has received the notice can send
+orders to most targets at once."""
 KILL_MARGIN = timedelta(milliseconds=500)
 """Time before the kill at which a stopping node ends at the latest."""
 
@@ -151,7 +152,7 @@
         """Open the listeners and start all tasks."""
         self._open_links()
         self._tables.start()
-        self._tasks.start_task("settle", CLEANUP_INTERVAL, self._remove_expired)
+        self._tasks.start_task("settle", CLEANUP_INTERVAL, self._clean_up)
         self._tasks.start_task(
             "members",
             HEARTBEAT_INTERVAL,
@@ -266,9 +267,9 @@
             lambda fact: self._peers.publish(fact),
             lambda: map(str, self._settings.seeds),
         )
-        outside = self._platform
-        tables.add(outside.configurations, self._configuration, COALESCING_WINDOW)
-        tables.add(outside.targets, self._directory, target_coalescing_window(drain))
+        platform = self._platform
+        tables.add(platform.configurations, self._configuration, COALESCING_WINDOW)
+        tables.add(platform.targets, self._directory, target_coalescing_window(drain))
         return tables
 
     def _build_orderer(self) -> Orderer:
@@ -337,17 +338,17 @@
     def _update_lease(self) -> None:
         """Renew the lease and publish the renewal, or try to acquire an expired one.
 
-        Other nodes measure expiry from the newest renewal that they received.  Sent
-        with the heartbeat, it would be up to a second old, and delay a takeover as
-        much.
+        Other nodes measure expiry from the newest renewal that they received.  If
+        renewals were sent with the heartbeat, they would be up to a second old, and
+        delay a takeover by as much.
         """
         if self._orderer.holds_lease() is None and self._peers.has_active_orderer():
             return
-        ranked = self._lease_candidates()
-        own = self._settings.name
-        if own not in ranked and self._orderer.holds_lease() is None:
+        ranked = self._choose_lease_candidates()
+        own_name = self._settings.name
+        if own_name not in ranked and self._orderer.holds_lease() is None:
             return
-        change = self._orderer.keep_lease(eager=ranked[0] == own)
+        change = self._orderer.keep_lease(eager=ranked[0] == own_name)
         if change is LeaseChange.ACQUIRED:
             self._order_wanted.set()
         resignation = self._orderer.resign_if_lapsing()
@@ -359,10 +360,10 @@
         if epoch is not None and record is not None:
             self._peers.publish_renewal(epoch.number, record.renewal)
 
-    def _lease_candidates(self) -> list[str]:
+    def _choose_lease_candidates(self) -> list[str]:
         """Return the nodes that may acquire the lease: latest started, then by rank.
 
-        During a rolling restart, these have already been restarted.
+        During a rolling restart, the latest started nodes are not restarted again.
         """
         alive = {vm.name: vm for vm in self._membership.alive()}
         ranked = rank_names(ORDERS_LEASE_NAME, alive)
@@ -387,7 +388,7 @@
         if self._orderer.has_work:
             self._clock.sleep(self._orderer.round_pause)
 
-    def _remove_expired(self) -> None:
+    def _clean_up(self) -> None:
         self._directory.remove_expired()
         known = frozenset(target.incarnation for target in self._directory.all())
         self._pool.close_expired(known)
--- a/packages/runhatch-server/src/runhatch_server/gateway/_pace.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_pace.py
@@ -9,7 +9,10 @@
 
 @dataclass(slots=True)
 class StreamPace:
-    """Times of the events of one stream, in elapsed time of the clock."""
+    """Times at which pieces of one stream were sent, in elapsed time of the clock.
+
+    A piece is what was read at once, usually one event.
+    """
 
     pieces: int = 0
     first_at: timedelta | None = None
--- a/packages/runhatch-server/src/runhatch_server/gateway/_peer_facts.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_peer_facts.py
@@ -21,8 +21,8 @@
             requests[share.key] += share.requests
             work_ms[share.key] += share.work_ms
     return [
-        DemandShare(wanted, count, 0, work_ms[wanted])
-        for wanted, count in requests.items()
+        DemandShare(key, count, 0, work_ms[key])
+        for key, count in requests.items()
         if count
     ]
 
--- a/packages/runhatch-server/src/runhatch_server/gateway/_peers.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_peers.py
@@ -53,9 +53,9 @@
 """How long demand is kept while no orderer is known: twice the time within which a
 new orderer is normally known.  Sent later, it would look like a sudden rise."""
 UNLINKED_HOLDINGS_WINDOW = timedelta(seconds=2)
-"""How long an unlinked node that missed a model or adapter is sent the holdings of
-targets.  Adapters load in some 10 ms, and the targets' entries in the store don't list
-them, so requests would be refused for a loaded adapter."""
+"""How long the orderer sends the holdings of targets to a node that has no link to it
+and missed a model or adapter.  Adapters load in some 10 ms, and the targets' entries in
+the store don't list them, so requests would be refused for a loaded adapter."""
 RECENT_DEMAND_WINDOW = timedelta(seconds=3)
 """Period of past demand that is sent to a new orderer.  It knows no demand yet, and
 would evict models that are requested all the time."""
@@ -109,9 +109,9 @@
         )
         """Exchange of the rate limits of targets and of permits for them."""
         self._demand_sent_at = clock.elapsed()
-        self._holdings_wanted_until: dict[str, timedelta] = {}
+        self._send_holdings_until: dict[str, timedelta] = {}
         self._recent_demand: deque[tuple[timedelta, list[DemandShare]]] = deque()
-        self._owes_recent_demand = False
+        self._must_send_recent_demand = False
         self._missed = MissedModels()
 
     @property
@@ -126,7 +126,8 @@
     def record_lease(self, record: LeaseRecord | None) -> None:
         """Record the holder of the orders' lease from its record in the store.
 
-        A node that has just started has received no message of a peer yet.
+        A node that has just started knows it only from the store, as it has received
+        no message of a peer yet.
         """
         if record is not None and record.holder and record.epoch > self._orderer.epoch:
             self._record_orderer(record.address, record.epoch)
@@ -146,8 +147,8 @@
             and now - self._recent_demand[0][0] > RECENT_DEMAND_WINDOW
         ):
             self._recent_demand.popleft()
-        if self._owes_recent_demand and self._orderer.address:
-            self._owes_recent_demand = False
+        if self._must_send_recent_demand and self._orderer.address:
+            self._must_send_recent_demand = False
             recent = sum_demand(self._recent_demand) + self._missed.shares(now)
             self._send_shares(recent, RECENT_DEMAND_WINDOW)
         shares = counter.pop_shares()
@@ -155,10 +156,8 @@
         self._missed.update(shares, self._is_held, now)
         self._send_shares(shares, timedelta())
 
-    def _is_held(self, wanted: DemandKey) -> bool:
-        return bool(
-            self._directory.holders(wanted.service, wanted.model, wanted.adapter)
-        )
+    def _is_held(self, key: DemandKey) -> bool:
+        return bool(self._directory.holders(key.service, key.model, key.adapter))
 
     def _send_shares(self, shares: list[DemandShare], age: timedelta) -> None:
         if not shares:
@@ -181,9 +180,9 @@
         fact = TargetHoldings(epoch, messages, next(self._holdings_numbers), own)
         self.publish(fact)
         self._tables.broadcast([fact])
-        for address, until in list(self._holdings_wanted_until.items()):
+        for address, until in list(self._send_holdings_until.items()):
             if now >= until:
-                del self._holdings_wanted_until[address]
+                del self._send_holdings_until[address]
             elif not self._tables.can_broadcast:
                 self.send(address, fact)
         self._directory.record_reports(
@@ -217,7 +216,7 @@
         """Link to the peers chosen by the membership, and to the orderer.
 
         The orderer also links to the readers of every failure domain, which broadcast
-        its messages in theirs.
+        its messages to the nodes of their domain.
         """
         super().update_links()
         if self._links is not None:
@@ -352,7 +351,7 @@
             self._tables.broadcast([fact])
 
     def _select_newer(self, fact: TargetHoldings) -> list[HoldingOfTarget]:
-        """Return the holdings in ``fact`` that are newer than those received before."""
+        """Return the holdings in ``fact`` that are newer than those received so far."""
         if not fact.number:
             return fact.holdings
         order = (fact.epoch, fact.number)
@@ -367,13 +366,11 @@
     def _send_holders(self, address: str, missed: list[DemandKey]) -> None:
         """Send an unlinked node the holders of the models that it missed."""
         now = self._clock.elapsed()
-        self._holdings_wanted_until[address] = now + UNLINKED_HOLDINGS_WINDOW
+        self._send_holdings_until[address] = now + UNLINKED_HOLDINGS_WINDOW
         holders = {
             target.incarnation: target.held
-            for wanted in missed
-            for target in self._directory.holders(
-                wanted.service, wanted.model, wanted.adapter
-            )
+            for key in missed
+            for target in self._directory.holders(key.service, key.model, key.adapter)
         }
         if not holders:
             return
@@ -387,5 +384,5 @@
     def _record_orderer(self, address: str, epoch: int) -> None:
         if self._orderer.record_holder(address, epoch):
             self._on_orderer(epoch, UNKNOWN_RENEWAL)
-            self._owes_recent_demand = True
+            self._must_send_recent_demand = True
             self._newest_holdings.clear()
--- a/packages/runhatch-server/src/runhatch_server/gateway/_permits.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_permits.py
@@ -66,18 +66,18 @@
         if seen is None or seen.rate is None:
             return
         alive = self._membership.alive()
-        allocator = self._allocator(target, alive)
+        allocator = self._choose_allocator(target, alive)
         if allocator.name == self._membership.own.name:
             wait = self._take_permit(target, tier, seen.rate, len(alive))
             self._record_answer(target, tier, wait)
             return
         self._record_use(allocator.address)
-        limit = self._limit_message(target, seen)
+        limit = self._make_limit_message(target, seen)
         self._send(allocator.address, PermitRequest(tier, limit))
 
     def publish_limit(self, target: str, seen: ObservedLimit) -> None:
         """Publish a changed limit of ``target`` to peers, which forward it."""
-        self._publish(RateLimitsUpdate([self._limit_message(target, seen)]))
+        self._publish(RateLimitsUpdate([self._make_limit_message(target, seen)]))
 
     def limit_facts(self) -> list[Fact]:
         """Return the limits in force as messages for a node that has just started."""
@@ -85,11 +85,16 @@
         if not limits:
             return []
         return [
-            RateLimitsUpdate([self._limit_message(*limit) for limit in limits.items()])
+            RateLimitsUpdate(
+                [self._make_limit_message(*limit) for limit in limits.items()]
+            )
         ]
 
     def choose_links(self, alive: list[Vm]) -> list[Vm]:
-        """Drop state of expired links; return the nodes to link to for permits."""
+        """Return the nodes to link to for permits.
+
+        Forgets buckets of targets without a limit, and links that were not used lately.
+        """
         now = self._clock.elapsed()
         limits = self._limits.all_limits()
         with self._lock:
@@ -126,9 +131,10 @@
         rate = None if known is None else known.rate
         if rate is None and known is not None:
             self._send(
-                sender.address, RateLimitsUpdate([self._limit_message(target, known)])
+                sender.address,
+                RateLimitsUpdate([self._make_limit_message(target, known)]),
             )
-        elif self._allocator(target, alive).name != self._membership.own.name:
+        elif self._choose_allocator(target, alive).name != self._membership.own.name:
             with self._lock:
                 self._buckets.pop(target, None)
         elif rate is not None:
@@ -154,7 +160,7 @@
     ) -> timedelta | None:
         """Take a permit of a target that this node allocates.
 
-        Return ``None`` if one is granted, else the time until the next may be.
+        Return ``None`` if one is granted, else the time until the next can be granted.
         """
         now = self._clock.elapsed()
         rate *= issued_rate_share(
@@ -164,7 +170,7 @@
             bucket = self._buckets.setdefault(target, PermitBucket(rate, now))
             return bucket.request_permit(tier, rate, now)
 
-    def _allocator(self, target: str, alive: list[Vm]) -> Vm:
+    def _choose_allocator(self, target: str, alive: list[Vm]) -> Vm:
         """Return the node that allocates the permits of ``target``."""
         if not alive:
             return self._membership.own
@@ -174,7 +180,7 @@
         at = self._clock.elapsed() - limit.age_ms * MILLISECOND
         self._limits.apply_report(limit.target, ObservedLimit(limit.rate, at))
 
-    def _limit_message(self, target: str, seen: ObservedLimit) -> LimitOfTarget:
+    def _make_limit_message(self, target: str, seen: ObservedLimit) -> LimitOfTarget:
         age = self._clock.elapsed() - seen.at
         return LimitOfTarget(target, seen.rate, round(age / MILLISECOND))
 
--- a/packages/runhatch-server/src/runhatch_server/gateway/_rate_limits.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_rate_limits.py
@@ -58,7 +58,10 @@
         self._apply(target, seen, "peer")
 
     def latest_limit(self, target: str) -> ObservedLimit | None:
-        """Return the latest limit seen of ``target``, ``None`` if there is none."""
+        """Return the latest limit seen of ``target``, ``None`` if there is none.
+
+        The rate of a lifted limit is ``None``.
+        """
         with self._lock:
             limited = self._limited.get(target)
             return (
@@ -196,9 +199,9 @@
             log_change("rate_limit", target=target, rate=seen.rate, source=source)
             self.on_limit(target, seen)
 
-    def _log_unreadable(self, target: str, named: InvalidRateLimit) -> None:
+    def _log_unreadable(self, target: str, limit: InvalidRateLimit) -> None:
         with self._lock:
             if target in self._unreadable:
                 return
             self._unreadable.add(target)
-        log_change("rate_limit_unreadable", target=target, found=named.value)
+        log_change("rate_limit_unreadable", target=target, found=limit.value)
--- a/packages/runhatch-server/src/runhatch_server/gateway/_records.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_records.py
@@ -46,11 +46,11 @@
         self.first_byte_latency = took
 
     def record_retry(self, reason: AttemptReason, paid: bool) -> None:
-        """Record a wanted retry, and whether the retry budget paid for it."""
+        """Record a retry that was due, and whether the retry budget allowed it."""
         self.retries.append((reason, paid))
 
     def record_answer(self, status: int) -> None:
-        """Record the status of a whole answer."""
+        """Record the status of a complete answer."""
         self.outcome = "answered"
         self.status = status
 
@@ -61,7 +61,10 @@
         self.pace = pace
 
     def is_in_time(self, now: timedelta) -> bool:
-        """Return whether a successful answer met its goal and its longest pause."""
+        """Return whether the answer succeeded and began by the goal.
+
+        No pause between its events may exceed the maximum gap of the route.
+        """
         request = self.request
         if self.outcome != "answered" or self.status >= 300:
             return False
@@ -130,40 +133,40 @@
                 f"{reason.value}:{'paid' if paid else 'no_budget'}"
                 for reason, paid in record.retries
             ],
-            predicted_ms=_rounded(record.predicted_ms),
+            predicted_ms=_round(record.predicted_ms),
             busy=None if record.busy is None else round(record.busy, 2),
-            waited_ms=_milliseconds(record.waited),
-            first_byte_ms=_milliseconds(record.first_byte_latency),
+            waited_ms=_to_milliseconds(record.waited),
+            first_byte_ms=_to_milliseconds(record.first_byte_latency),
             took_ms=round(took / timedelta(milliseconds=1)),
             pieces=record.pace.pieces,
-            began_ms=_began_ms(record),
-            goal_ms=_milliseconds(request.route.goal),
-            longest_pause_ms=_milliseconds(record.pace.longest_pause),
-            max_gap_ms=_milliseconds(request.route.max_gap),
-            predicted_pause_ms=_rounded(record.pause_ms),
+            began_ms=_compute_began_ms(record),
+            goal_ms=_to_milliseconds(request.route.goal),
+            longest_pause_ms=_to_milliseconds(record.pace.longest_pause),
+            max_gap_ms=_to_milliseconds(request.route.max_gap),
+            predicted_pause_ms=_round(record.pause_ms),
             in_time=in_time,
-            retry_after=_seconds(record.retry_after),
+            retry_after=_to_seconds(record.retry_after),
             refused_by=record.refused_by,
             configuration=request.configuration_version,
         )
 
 
-def _began_ms(record: RequestRecord) -> int | None:
+def _compute_began_ms(record: RequestRecord) -> int | None:
     first_at = record.pace.first_at
     return (
         None
         if first_at is None
-        else _milliseconds(first_at - record.request.received_at)
+        else _to_milliseconds(first_at - record.request.received_at)
     )
 
 
-def _rounded(value: float | None) -> int | None:
+def _round(value: float | None) -> int | None:
     return None if value is None else round(value)
 
 
-def _milliseconds(duration: timedelta | None) -> int | None:
+def _to_milliseconds(duration: timedelta | None) -> int | None:
     return None if duration is None else round(duration / timedelta(milliseconds=1))
 
 
-def _seconds(duration: timedelta | None) -> float | None:
+def _to_seconds(duration: timedelta | None) -> float | None:
     return None if duration is None else round(duration.total_seconds(), 2)
--- a/packages/runhatch-server/src/runhatch_server/gateway/_refusing.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_refusing.py
@@ -11,7 +11,7 @@
 LONG_GOAL_MISSING_MODEL_RETRY_DELAY = timedelta(seconds=3)
 """Retry delay for a model that no target holds; the longer one applies if the route's
 goal leaves time for a load.  A load from a target's disk takes two seconds, and
-callers wait at most a third of their time."""
+callers wait for a retry at most a third of the time that they have."""
 MIN_RETRY_DELAY = timedelta(milliseconds=250)
 MAX_RETRY_DELAY = timedelta(seconds=4)
 """Bounds of the retry delay: earlier, little has changed at a target, and callers that
--- a/packages/runhatch-server/src/runhatch_server/gateway/_relay.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_relay.py
@@ -26,7 +26,7 @@
         """Return an answer that continues after event ``after``, or ``None``."""
 
     def record_no_answer(self, grant: Grant, reason: AttemptReason) -> None:
-        """Record that the attempt of ``grant`` got no whole answer, and why."""
+        """Record that the attempt of ``grant`` got no complete answer, and why."""
 
 
 class StreamRelay:
--- a/packages/runhatch-server/src/runhatch_server/gateway/_run.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_run.py
@@ -30,8 +30,8 @@
 )
 
 MAX_UNRUN_RETRIES = 2
-"""Attempts at other targets after one that did not run the request; each is paid for
-by the retry budget."""
+"""Attempts at other targets after one that did not run the request; each needs a retry
+of the retry budget."""
 MAX_UNSENT_RETRIES = 4
 """Attempts at other targets after one that could not be reached."""
 HEAD_TIMEOUT_SHARE = 0.4
@@ -112,7 +112,7 @@
         return sent
 
     def record_no_answer(self, grant: Grant, reason: AttemptReason) -> None:
-        """Record that the attempt of ``grant`` got no whole answer, and why."""
+        """Record that the attempt of ``grant`` got no complete answer, and why."""
         crashes, fingerprint = self._parts.crashes, self._request.fingerprint
         if reason is AttemptReason.CONNECTION_BROKEN:
             crashes.record_abort(fingerprint, grant.target.incarnation)
@@ -120,7 +120,7 @@
             crashes.record_abandoned(fingerprint, grant.target.incarnation)
 
     def _record_answer(self, grant: Grant, is_success: bool = True) -> None:
-        """Record a whole answer for ``grant``, a failed one unless ``is_success``."""
+        """Record a complete answer; the request failed unless ``is_success``."""
         self._parts.crashes.record_answer(
             self._request.fingerprint,
             grant.target.incarnation,
@@ -141,11 +141,11 @@
                     if self._may_have_run
                     else suspect_refusal
                 )
-            asked_at = self._parts.clock.elapsed()
+            wait_started_at = self._parts.clock.elapsed()
             grant = self._parts.balancer.acquire(
                 self._request, self._tried_targets, self._caller_gone
             )
-            self.record.waited += self._parts.clock.elapsed() - asked_at
+            self.record.waited += self._parts.clock.elapsed() - wait_started_at
             if isinstance(grant, Refusal):
                 return grant.as_unknown() if self._may_have_run else grant
             result = self._parts.forwarder.send(
@@ -221,7 +221,10 @@
     def _apply_target_state(
         self, grant: Grant, answer: AnswerHead | RefusedNotRun
     ) -> None:
-        """Apply drain, backoff and rate limit in an answer; they override the entry."""
+        """Apply drain, backoff and rate limit in an answer.
+
+        They override the target's entry in the store.
+        """
         balancer = self._parts.balancer
         backoff = (
             answer.retry_after if isinstance(answer, RefusedNotRun) else answer.backoff
@@ -236,14 +239,14 @@
 
     def _decide_after_unrun(self, reason: AttemptReason) -> Refusal | None:
         self._unrun_count += 1
-        missing = reason is AttemptReason.MODEL_MISSING
-        refusal_reason = Reason.NO_REPLICA if missing else Reason.TARGETS_BUSY
-        unwilling = self._parts.balancer.refusal_for_retry(
+        is_missing = reason is AttemptReason.MODEL_MISSING
+        refusal_reason = Reason.NO_REPLICA if is_missing else Reason.TARGETS_BUSY
+        refusal = self._parts.balancer.refusal_for_retry(
             self._request, self._tried_targets
         )
-        if unwilling is not None:
-            return unwilling.as_unknown() if self._may_have_run else unwilling
-        if self._unrun_count > MAX_UNRUN_RETRIES or not self._withdraw_retry(reason):
+        if refusal is not None:
+            return refusal.as_unknown() if self._may_have_run else refusal
+        if self._unrun_count > MAX_UNRUN_RETRIES or not self._try_spend_retry(reason):
             return self._make_refusal(refusal_reason)
         return None
 
@@ -257,17 +260,17 @@
         return self._make_refusal(Reason.TARGETS_FAILED)
 
     def _may_retry(self, reason: AttemptReason) -> bool:
-        """Return whether a request that may have run is retried; pays for the retry."""
+        """Return whether a request that may have run is retried; spends the retry."""
         if not self._request.route.may_retry or not self._has_attempts_left():
             return False
         if self._parts.clock.elapsed() >= self._request.deadline:
             return False
-        return self._withdraw_retry(reason)
+        return self._try_spend_retry(reason)
 
-    def _withdraw_retry(self, reason: AttemptReason) -> bool:
-        is_paid = self._budget.try_spend(self._parts.balancer.node_count)
-        self.record.record_retry(reason, is_paid)
-        return is_paid
+    def _try_spend_retry(self, reason: AttemptReason) -> bool:
+        is_allowed = self._budget.try_spend(self._parts.balancer.node_count)
+        self.record.record_retry(reason, is_allowed)
+        return is_allowed
 
     def _make_refusal(self, reason: Reason) -> Refusal:
         if self._may_have_run:
@@ -314,7 +317,7 @@
     def _read_whole(
         self, grant: Grant, opened: OpenedAnswer
     ) -> CompleteAnswer | Refusal | None:
-        """Return the whole answer, a refusal, or ``None`` to try again."""
+        """Return the complete answer, a refusal, or ``None`` to try again."""
         head = opened.head
         left = self._request.deadline - self._parts.clock.elapsed()
         try:
--- a/packages/runhatch-server/src/runhatch_server/gateway/_search.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_search.py
@@ -1,4 +1,4 @@
-"""State of the search of one request for a target, and its use of permits."""
+"""State of a request's search for a target, and its use of permits."""
 
 from dataclasses import dataclass, field
 from datetime import timedelta
@@ -21,7 +21,7 @@
     tried: TriedTargets
     tier: int
     place: HeldRequest | None = None
-    """The place in this node's queue, set once the request waits."""
+    """The request in the queue of held ones, set once it waits."""
     permits_requested_at: dict[str, timedelta] = field(default_factory=dict)
     """When a permit was requested, by target."""
     no_permit_until: dict[str, timedelta] = field(default_factory=dict)
@@ -51,16 +51,16 @@
 
     Return ``None`` if the request may be sent, else the next step.
     """
-    asked_at = search.permits_requested_at.get(target)
-    if limits.use_permit(target, asked_at is not None):
+    requested_at = search.permits_requested_at.get(target)
+    if limits.use_permit(target, requested_at is not None):
         return None
     opens_at = limits.available_at(target, tier, now)
     if opens_at > now:
         return NoPermit(target, opens_at)
-    if asked_at is None:
+    if requested_at is None:
         return PermitNeeded(target, tier)
     longest_wait = min(PERMIT_REQUEST_TIMEOUT, search.request.route.goal / 2)
-    left = asked_at + longest_wait - now
+    left = requested_at + longest_wait - now
     if left > timedelta():
         return HoldDecision(
             now + 2 * PERMIT_REQUEST_TIMEOUT,
--- a/packages/runhatch-server/src/runhatch_server/gateway/_service.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_service.py
@@ -1,4 +1,4 @@
-"""Serve the requests of callers, each with its own run and service budget."""
+"""Serve the requests of callers, each by a run with its service's retry budget."""
 
 from collections.abc import Callable
 
--- a/packages/runhatch-server/src/runhatch_server/gateway/_tables.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_tables.py
@@ -58,8 +58,9 @@
 """Share of the drain time after which a reader that sends nothing is not relied on, so
 that changes it missed are still read in time."""
 HEARTBEATS_PER_SILENCE_TIMEOUT = 2
-"""Heartbeats of a reader within that time.  After a late one the nodes of its domain
-read the store themselves once, and each heartbeat wakes idle nodes."""
+"""Heartbeats that a reader sends within the silence timeout.  With fewer, a late one
+makes the nodes of its domain read the store themselves once; more wake idle nodes more
+often."""
 RECONNECT_INTERVAL = timedelta(seconds=2)
 """Interval between reconnections to a silent reader."""
 
@@ -160,7 +161,7 @@
             self._listener.close()
 
     def update_readers(self) -> None:
-        """Listen to the readers of the current membership, and update the own role."""
+        """Listen to the readers of the current membership; update this node's role."""
         own = self._membership.own
         alive = self._membership.alive()
         readers = choose_readers(own.failure_domain, alive)
@@ -191,7 +192,9 @@
             if unchanged is not None:
                 if table.reaches_store:
                     self._updated_at[name] = self._clock.elapsed()
-                facts.append(_news_message(name, unchanged, table.reaches_store))
+                facts.append(
+                    _make_changes_message(name, unchanged, table.reaches_store)
+                )
         self.broadcast(facts + extra_facts)
 
     def broadcast(self, facts: list[Fact]) -> None:
@@ -204,20 +207,20 @@
         for table in self._tables.values():
             table.read_overdue()
 
-    def apply_changes(self, news: TableUpdate, sender: Member) -> None:
+    def apply_changes(self, update: TableUpdate, sender: Member) -> None:
         """Apply the changes of a table that a reader sent."""
-        table = self._tables.get(news.table)
+        table = self._tables.get(update.table)
         if table is None:
             return
         self._received_at[sender.name] = self._clock.elapsed()
-        self._updated_at[news.table] = self._clock.elapsed()
+        self._updated_at[update.table] = self._clock.elapsed()
         try:
-            changes = _decode_news(news)
+            changes = _decode_changes(update)
         except ValueError as error:
             self._metrics.peer_messages.labels("unreadable").inc()
             log_change("news_unreadable", sender=sender.name, why=str(error))
             return
-        table.apply_changes(sender.name, changes, news.reachable)
+        table.apply_changes(sender.name, changes, update.reachable)
 
     def record_version(self, fact: TableVersion) -> bool:
         """Record a version of a table; return whether it is new to this node."""
@@ -235,7 +238,7 @@
                 None if version == UNKNOWN_VERSION else version
             )
             if changes is not None:
-                facts.append(_news_message(name, changes, table.reaches_store))
+                facts.append(_make_changes_message(name, changes, table.reaches_store))
         return facts
 
     # Implementation of TablePeers.
@@ -247,7 +250,8 @@
     def request_changes(self, table: str, version: StoreVersion | None) -> bool:
         """Request the changes of a table from a reader, or else from a seed.
 
-        A node that is a seed itself requests none, as the others request them of it.
+        A node that is a seed itself requests none, as the others request theirs
+        from it.
         Return whether a request was sent.
         """
         addresses = self.reader_addresses or list(self._seeds())
@@ -262,7 +266,7 @@
     def publish(self, table: str, changes: TableChanges, reachable: bool) -> None:
         """Broadcast changes that were read to the nodes of this failure domain."""
         self._updated_at[table] = self._clock.elapsed()
-        self.broadcast([_news_message(table, changes, reachable)])
+        self.broadcast([_make_changes_message(table, changes, reachable)])
 
     def publish_version(self, table: str, version: StoreVersion) -> None:
         """Publish ``version`` of the table to the nodes of all failure domains."""
@@ -321,7 +325,9 @@
     return f"tcp://{host}:{vm.broadcast_port}"
 
 
-def _news_message(name: str, changes: TableChanges, reachable: bool) -> TableUpdate:
+def _make_changes_message(
+    name: str, changes: TableChanges, reachable: bool
+) -> TableUpdate:
     rows = [(entry.key, entry.value) for entry in changes.entries]
     return TableUpdate(
         name,
@@ -333,11 +339,11 @@
     )
 
 
-def _decode_news(news: TableUpdate) -> TableChanges:
-    """Decode ``news``; raise ``ValueError`` if its rows cannot be read."""
-    rows = unpack_rows(news.rows) if news.rows else []
+def _decode_changes(update: TableUpdate) -> TableChanges:
+    """Decode ``update``; raise ``ValueError`` if its rows cannot be read."""
+    rows = unpack_rows(update.rows) if update.rows else []
     entries = tuple(Entry(key, value) for key, value in rows)
-    return TableChanges(news.after, news.version, entries, news.whole)
+    return TableChanges(update.after, update.version, entries, update.whole)
 
 
 def _log_failure(error: Exception) -> None:
--- a/packages/runhatch-server/tests/gateway_cases.py
+++ b/packages/runhatch-server/tests/gateway_cases.py
@@ -94,7 +94,7 @@
 
 
 class FakeTargets:
-    """Targets for crash detection: all work, except where a test sets otherwise."""
+    """Targets for crash detection: all run, except where a test sets otherwise."""
 
     def __init__(self):
         self.standings = {}
--- a/packages/runhatch-server/tests/test_admission.py
+++ b/packages/runhatch-server/tests/test_admission.py
@@ -83,7 +83,7 @@
     def test_prompt_that_would_delay_streams_is_refused(
         self, clock, waiting_ms, busy, route, is_admitted
     ):
-        """Its own answer would be on time, but not those of the streams it delays."""
+        """The prompt's own answer would be in time, but not the streams it delays."""
         case = BalancerCase(clock, "t1")
         case.report_peer_load("t1", waiting_ms, busy=busy)
         if not is_admitted:
--- a/packages/runhatch-server/tests/test_gateway_peers.py
+++ b/packages/runhatch-server/tests/test_gateway_peers.py
@@ -123,7 +123,7 @@
         assert links.sent == []
 
     def test_new_orderer_gets_recent_demand(self, clock):
-        """Without it, a new orderer takes models in constant use for idle ones."""
+        """Without recent demand, it takes models in constant use for idle ones."""
         peers, links = make_peers(clock)
         peers.record_lease(LeaseRecord("c", 2, 0, "10.0.0.9:1"))
         demand = DemandCounter()
@@ -147,7 +147,7 @@
         [pytest.param("m5", [10_000], id="missed"), pytest.param("m0", [], id="held")],
     )
     def test_new_orderer_gets_time_missed_of_models(self, clock, model, missed_for):
-        """Without it, each change of orderer delays the load of a missed model."""
+        """Otherwise each change of orderer delays the load of a missed model."""
         peers, links = make_peers(clock, make_target("t1", models=["m0"]))
         peers.record_lease(LeaseRecord("c", 2, 0, "10.0.0.9:1"))
         demand = DemandCounter()
@@ -248,7 +248,7 @@
         assert len(self.sent_directly(links)) == times
 
     def test_only_orderer_sends_holders(self, clock):
-        """Receivers would take another node that sends holdings for the orderer."""
+        """Receivers take the sender of holdings for the orderer."""
         peers, links = make_peers(clock, make_target("t1", adapters=["a1"]))
         self.receive_miss(peers)
         assert self.sent_directly(links) == []
--- a/packages/runhatch-server/tests/test_gateway_run.py
+++ b/packages/runhatch-server/tests/test_gateway_run.py
@@ -189,7 +189,7 @@
     def test_target_that_refused_is_not_tried_again(
         self, clock, result, count, sent, reason
     ):
-        """The only holder of a model once got the same request three times in 3 ms."""
+        """The only holder of a model would get the same request three times in 3 ms."""
         outcome, forwarder, _ = run(clock, NON_IDEMPOTENT, [result] * 5, count=count)
 
         assert len(forwarder.targets) == sent
--- a/packages/runhatch-server/tests/test_load_exchange.py
+++ b/packages/runhatch-server/tests/test_load_exchange.py
@@ -1,8 +1,8 @@
 """Exchange of outstanding loads through the readers of failure domains.
 
-Each of 63 nodes once received the loads of only six others, and sent prompts to targets
-that the remaining nodes kept busy: 1,229 of 5,561 answers of the most urgent route were
-late, and targets refused 685 of 5,877 requests.
+A node that receives the loads of only some others sends prompts to targets that the
+remaining nodes keep busy.  Of 63 nodes that each received those of six, 1,229 of 5,561
+answers of the most urgent route were late, and targets refused 685 of 5,877 requests.
 """
 
 import pytest
@@ -219,7 +219,7 @@
 
 
 class TestLoadChanges:
-    """Selection of the changed shares to send."""
+    """Selection of the changed loads to send."""
 
     def test_changes_are_sent_and_all_shares_periodically(self):
         news, one, two = LoadChanges(), LoadShare(running=1), LoadShare(running=2)
