--- a/packages/runhatch-server/tests/test_target_state.py
+++ b/packages/runhatch-server/tests/test_target_state.py
@@ -53,7 +53,9 @@
         """The excess decays, so that a slow target is tried again."""
         state.record_success(USUAL * 10, USUAL, START)
         initial_excess = state.estimate_excess(START)
-        assert state.estimate_excess(START + timedelta(seconds=30)) < initial_excess / 500
+        assert (
+            state.estimate_excess(START + timedelta(seconds=30)) < initial_excess / 500
+        )
 
 
 class TestSlowTarget:
