--- a/packages/runhatch-server/src/runhatch_server/_caller_side.py
+++ b/packages/runhatch-server/src/runhatch_server/_caller_side.py
@@ -12,9 +12,9 @@
 )
 from runhatch_server._progress import RequestCounter
 from runhatch_server.crashes import CrashDetector
+from runhatch_server.external_services import ExternalServices
 from runhatch_server.http import HttpServer, ServerLimits
 from runhatch_server.observability import LogLevel, Metrics, TraceLog
-from runhatch_server.outside import ExternalServices
 from runhatch_server.serving import (
     AnswerStore,
     Attempter,
--- a/packages/runhatch-server/src/runhatch_server/_node.py
+++ b/packages/runhatch-server/src/runhatch_server/_node.py
@@ -27,10 +27,10 @@
     parse_deployment,
 )
 from runhatch_server.crashes import CHECK_INTERVAL, DIGEST_INTERVAL, CrashDetector
+from runhatch_server.external_services import ExternalServices
 from runhatch_server.http import HttpServer, ServerLimits
 from runhatch_server.observability import Metrics, TraceLog, log_change
 from runhatch_server.operations import Access, CommandService, Inventory, OperatorApp
-from runhatch_server.outside import ExternalServices
 from runhatch_server.peers import PeerLinks, PlannerNotice
 from runhatch_server.placement import PlacementService
 from runhatch_server.serving import Hosting, PlacementCache, TargetIncarnations
--- a/packages/runhatch-server/src/runhatch_server/configuration/_deployment.py
+++ b/packages/runhatch-server/src/runhatch_server/configuration/_deployment.py
@@ -8,7 +8,7 @@
 
 from pydantic import AfterValidator, Field
 
-from runhatch_server.border import StrictModel
+from runhatch_server.validation import StrictModel
 
 Name = Annotated[str, Field(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$")]
 Version = Annotated[str, Field(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,30}$")]
--- a/packages/runhatch-server/src/runhatch_server/configuration/_parse.py
+++ b/packages/runhatch-server/src/runhatch_server/configuration/_parse.py
@@ -6,9 +6,9 @@
 from pydantic import ValidationError
 
 from runhatch_server._errors import DeploymentError
-from runhatch_server.border import format_validation_errors
 from runhatch_server.configuration._deployment import Deployment
 from runhatch_server.configuration._fit import find_memory_shortfalls
+from runhatch_server.validation import format_validation_errors
 
 
 def parse_deployment(body: bytes) -> Deployment:
--- a/packages/runhatch-server/src/runhatch_server/daemon.py
+++ b/packages/runhatch-server/src/runhatch_server/daemon.py
@@ -13,8 +13,8 @@
     exit_on_invariant_error,
     report_faults,
 )
+from runhatch_server.external_services import ExternalServices
 from runhatch_server.observability import configure_logs
-from runhatch_server.outside import ExternalServices
 from runhatch_server.settings import Settings, load_settings
 
 ConnectServices = Callable[[Settings], ExternalServices]
--- a/packages/runhatch-server/src/runhatch_server/gateway/__init__.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/__init__.py
@@ -8,14 +8,14 @@
     InvalidHeader,
 )
 from runhatch_server.gateway._node import GatewayNode
-from runhatch_server.gateway._outside import GatewayPlatform
+from runhatch_server.gateway._platform import GatewayPlatform
 from runhatch_server.gateway._settings import (
     Endpoint,
     GatewaySettings,
     OrderBounds,
     RetryBounds,
 )
-from runhatch_server.gateway._watched import WatchedTable, decode_rows
+from runhatch_server.gateway._watched_tables import WatchedTable, decode_rows
 
 __all__ = [
     "AnswerHead",
--- a/packages/runhatch-server/src/runhatch_server/gateway/_balancer.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_balancer.py
@@ -33,7 +33,10 @@
 from runhatch_server.gateway._grant import Grant
 from runhatch_server.gateway._held import HeldRequests, HoldDecision
 from runhatch_server.gateway._rate_limits import RateLimits
-from runhatch_server.gateway._refusing import RefusalBuilder, missing_model_retry_delay
+from runhatch_server.gateway._refusal_builder import (
+    RefusalBuilder,
+    missing_model_retry_delay,
+)
 from runhatch_server.gateway._search import (
     NoPermit,
     PermitNeeded,
--- a/packages/runhatch-server/src/runhatch_server/gateway/_load_exchange.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_load_exchange.py
@@ -18,7 +18,7 @@
     choose_readers,
 )
 from runhatch_server.decisions import LoadShare
-from runhatch_server.gateway._peer_facts import load_of_message, message_of_load
+from runhatch_server.gateway._peer_conversions import load_of_message, message_of_load
 from runhatch_server.gateway._shared_loads import SharedLoads, Shares
 from runhatch_server.gateway._tables import GatewayTables
 from runhatch_server.peers import ALL_DOMAINS, Fact, Member, TargetLoads
--- a/packages/runhatch-server/src/runhatch_server/gateway/_node.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_node.py
@@ -32,8 +32,8 @@
     open_links,
     server_limits,
 )
-from runhatch_server.gateway._outside import GatewayPlatform
 from runhatch_server.gateway._peers import GatewayPeers
+from runhatch_server.gateway._platform import GatewayPlatform
 from runhatch_server.gateway._rate_limits import RateLimits
 from runhatch_server.gateway._records import RequestRecorder
 from runhatch_server.gateway._run import RunParts
--- a/packages/runhatch-server/src/runhatch_server/gateway/_peers.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_peers.py
@@ -18,8 +18,8 @@
 from runhatch_server.gateway._demand import DemandCounter
 from runhatch_server.gateway._known_orderer import UNKNOWN_RENEWAL, KnownOrderer
 from runhatch_server.gateway._load_exchange import LoadExchange
-from runhatch_server.gateway._missed import MissedModels
-from runhatch_server.gateway._peer_facts import (
+from runhatch_server.gateway._missed_models import MissedModels
+from runhatch_server.gateway._peer_conversions import (
     demand_of_message,
     holding_of_message,
     message_of_demand,
--- a/packages/runhatch-server/src/runhatch_server/gateway/_outside.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_platform.py
@@ -5,7 +5,7 @@
 from runhatch_coordination import Clock, Table
 from runhatch_server.fleet import Target
 from runhatch_server.gateway._messages import HeaderCodec
-from runhatch_server.gateway._watched import WatchedTable
+from runhatch_server.gateway._watched_tables import WatchedTable
 from runhatch_server.residency import OrderClient
 from runhatch_server.routing import RoutingConfiguration
 
--- a/packages/runhatch-server/src/runhatch_server/gateway/_tables.py
+++ b/packages/runhatch-server/src/runhatch_server/gateway/_tables.py
@@ -29,7 +29,7 @@
     choose_readers,
     choose_role,
 )
-from runhatch_server.gateway._watched import DecodingListener, WatchedTable
+from runhatch_server.gateway._watched_tables import DecodingListener, WatchedTable
 from runhatch_server.observability import Metrics, log_change
 from runhatch_server.peers import (
     UNKNOWN_VERSION,
--- a/packages/runhatch-server/src/runhatch_server/operations/_app.py
+++ b/packages/runhatch-server/src/runhatch_server/operations/_app.py
@@ -9,7 +9,6 @@
 from pydantic import Field, TypeAdapter, ValidationError
 
 from runhatch_coordination import Revision, Unavailable, Unknown
-from runhatch_server.border import StrictModel, format_validation_errors
 from runhatch_server.configuration import (
     Applied,
     ApplyOutcome,
@@ -25,6 +24,7 @@
 from runhatch_server.operations._query import Query, QueryError, run_query
 from runhatch_server.placement import PlacementService, explain_placement, plan
 from runhatch_server.settings import OperatorRole
+from runhatch_server.validation import StrictModel, format_validation_errors
 
 MAX_BODY_BYTES = 16_777_216
 PROBLEM_CONTENT_TYPE = "application/problem+json"
--- a/packages/runhatch-server/src/runhatch_server/operations/_commands.py
+++ b/packages/runhatch-server/src/runhatch_server/operations/_commands.py
@@ -10,13 +10,13 @@
 from pydantic import Field, TypeAdapter
 
 from runhatch_coordination import Unavailable
-from runhatch_server.border import StrictModel
 from runhatch_server.configuration import (
     Applied,
     ApplyOutcome,
     ConfigurationService,
     Invalid,
 )
+from runhatch_server.validation import StrictModel
 
 Document = dict[str, Any]
 
--- a/packages/runhatch-server/src/runhatch_server/operations/_query.py
+++ b/packages/runhatch-server/src/runhatch_server/operations/_query.py
@@ -9,8 +9,8 @@
 from pydantic import Field
 
 from runhatch_server._errors import RunhatchError
-from runhatch_server.border import StrictModel
 from runhatch_server.operations._nouns import Noun, Record
+from runhatch_server.validation import StrictModel
 
 MAX_RECORDS = 10_000
 
--- a/packages/runhatch-server/src/runhatch_server/residency/__init__.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/__init__.py
@@ -17,6 +17,7 @@
     DemandShare,
     priority_weight,
 )
+from runhatch_server.residency._fleet_view import FleetView
 from runhatch_server.residency._handover import OrderTimes, Resignation
 from runhatch_server.residency._needs import OVERDUE
 from runhatch_server.residency._orderer import Orderer
@@ -33,8 +34,7 @@
     ModelPlan,
     plan_models,
 )
-from runhatch_server.residency._telling import Holding
-from runhatch_server.residency._view import FleetView
+from runhatch_server.residency._publishing import Holding
 
 __all__ = [
     "AdapterDeferralReason",
--- a/packages/runhatch-server/src/runhatch_server/residency/_adapter_policy.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_adapter_policy.py
@@ -5,7 +5,7 @@
 from enum import Enum
 
 from runhatch_server.residency._control import TargetControl
-from runhatch_server.residency._view import (
+from runhatch_server.residency._fleet_view import (
     MIN_DEMAND_RATE,
     UNMET_WEIGHT,
     FleetView,
--- a/packages/runhatch-server/src/runhatch_server/residency/_copies.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_copies.py
@@ -9,8 +9,8 @@
 from datetime import timedelta
 
 from runhatch_server.residency._control import ControlState, TargetControl
+from runhatch_server.residency._fleet_view import FleetView
 from runhatch_server.residency._policy import ModelLoad
-from runhatch_server.residency._view import FleetView
 from runhatch_server.routing import EngineModel
 
 MIN_IDLE_TIME = timedelta(seconds=2)
--- a/packages/runhatch-server/src/runhatch_server/residency/_load_runner.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_load_runner.py
@@ -7,7 +7,7 @@
 from runhatch_server.observability import log_change
 from runhatch_server.residency._adapter_policy import AdapterLoad
 from runhatch_server.residency._control import Intent, TargetControl
-from runhatch_server.residency._left_log import DeferralLog
+from runhatch_server.residency._deferral_log import DeferralLog
 from runhatch_server.residency._permits import LoadPermits
 from runhatch_server.residency._policy import ModelLoad
 from runhatch_server.residency._sending import OrderSender
--- a/packages/runhatch-server/src/runhatch_server/residency/_needs.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_needs.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-from runhatch_server.residency._view import (
+from runhatch_server.residency._fleet_view import (
     MIN_DEMAND_RATE,
     REPLICA_LOAD,
     UNMET_WEIGHT,
--- a/packages/runhatch-server/src/runhatch_server/residency/_orderer.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_orderer.py
@@ -32,15 +32,15 @@
 from runhatch_server.residency._copies import CopyPlanner
 from runhatch_server.residency._demand import DemandBook, DemandShare
 from runhatch_server.residency._demand_inbox import DemandInbox, DemandMessage
+from runhatch_server.residency._fleet_view import FleetView, group_by_service
 from runhatch_server.residency._handover import MAX_ORDER_DELAY, OrderTimes, Resignation
 from runhatch_server.residency._lease_log import LeaseLog
 from runhatch_server.residency._load_runner import DeclaredModels, LoadRunner
 from runhatch_server.residency._orders import OrderClient
 from runhatch_server.residency._policy import plan_models
+from runhatch_server.residency._publishing import HoldingsPublisher, OnHoldings
 from runhatch_server.residency._round_log import RoundLog
 from runhatch_server.residency._sending import OrderSender
-from runhatch_server.residency._telling import HoldingsPublisher, OnHoldings
-from runhatch_server.residency._view import FleetView, group_by_service
 from runhatch_server.routing import ServiceSpec
 
 RESIGN_MARGIN = timedelta(milliseconds=700)
--- a/packages/runhatch-server/src/runhatch_server/residency/_places.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_places.py
@@ -18,8 +18,8 @@
 from functools import cached_property
 
 from runhatch_server.residency._control import TargetControl
+from runhatch_server.residency._fleet_view import EVICTION_MISS_SECONDS, FleetView
 from runhatch_server.residency._needs import MIN_LOAD_ADVANCE, NOT_HELD, OVERDUE, Need
-from runhatch_server.residency._view import EVICTION_MISS_SECONDS, FleetView
 from runhatch_server.routing import EngineModel
 
 STORE_LOAD_COST = 1.0
--- a/packages/runhatch-server/src/runhatch_server/residency/_policy.py
+++ b/packages/runhatch-server/src/runhatch_server/residency/_policy.py
@@ -9,9 +9,9 @@
 from dataclasses import dataclass
 from enum import Enum
 
+from runhatch_server.residency._fleet_view import FleetView
 from runhatch_server.residency._needs import NOT_HELD, OVERDUE, Need, find_needs
 from runhatch_server.residency._places import PlacementDraft, PlacementOption
-from runhatch_server.residency._view import FleetView
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/runhatch-server/src/runhatch_server/serving/_app.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_app.py
@@ -23,9 +23,9 @@
     WholeAnswer,
     build_refusal_answer,
 )
-from runhatch_server.serving._picture import PlacementCache
-from runhatch_server.serving._reading import MODELS_PATH, RequestReader
+from runhatch_server.serving._placement_cache import PlacementCache
 from runhatch_server.serving._request import RouteKind
+from runhatch_server.serving._request_reader import MODELS_PATH, RequestReader
 from runhatch_server.serving._service import ServingService
 
 JSON_HEADERS = (("Content-Type", "application/json"),)
--- a/packages/runhatch-server/src/runhatch_server/serving/_attempts.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_attempts.py
@@ -15,9 +15,9 @@
 )
 from runhatch_server.refusals import Executed, Reason, Refusal
 from runhatch_server.serving._dispatch import Dispatcher, Grant
-from runhatch_server.serving._lives import TargetIncarnations
-from runhatch_server.serving._picture import PlacementCache
+from runhatch_server.serving._placement_cache import PlacementCache
 from runhatch_server.serving._request import CallerRequest
+from runhatch_server.serving._target_incarnations import TargetIncarnations
 from runhatch_server.serving._target_requests import build_target_request
 from runhatch_server.targets import (
     AttemptReason,
--- a/packages/runhatch-server/src/runhatch_server/serving/_cache_intake.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_cache_event_reader.py
@@ -11,7 +11,7 @@
 from runhatch_coordination import Unavailable
 from runhatch_server.observability import Metrics
 from runhatch_server.serving._dispatch import Dispatcher
-from runhatch_server.serving._picture import PlacementCache
+from runhatch_server.serving._placement_cache import PlacementCache
 from runhatch_server.targets import CacheEvents, EngineClient
 
 MAX_EVENTS_PER_READ = 250
--- a/packages/runhatch-server/src/runhatch_server/serving/_caller_answers.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_caller_answers.py
@@ -9,7 +9,7 @@
     problem_document,
     retry_after_header,
 )
-from runhatch_server.serving._stored import StoredAnswer
+from runhatch_server.serving._answer_store import StoredAnswer
 from runhatch_server.targets import Answer, OpenAnswer
 
 REQUEST_ID_HEADER = "X-Request-Id"
--- a/packages/runhatch-server/src/runhatch_server/serving/_dispatch.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_dispatch.py
@@ -11,7 +11,7 @@
 from runhatch_coordination import Clock
 from runhatch_server.decisions._prefixes import PrefixIndex
 from runhatch_server.refusals import Executed, Reason, Refusal
-from runhatch_server.serving._picture import Host, PlacementCache
+from runhatch_server.serving._placement_cache import Host, PlacementCache
 from runhatch_server.serving._queue import Waiter, WaitingRequests
 from runhatch_server.serving._rates import CompletionRate, MeanServiceTime
 from runhatch_server.serving._request import CallerRequest, Route
--- a/packages/runhatch-server/src/runhatch_server/serving/_once.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_once_guard.py
@@ -24,8 +24,8 @@
 )
 from runhatch_server.observability import Metrics, log_change
 from runhatch_server.refusals import Executed, Reason, Refusal
+from runhatch_server.serving._answer_store import AnswerStore, StoredAnswer
 from runhatch_server.serving._request import CallerRequest
-from runhatch_server.serving._stored import AnswerStore, StoredAnswer
 
 CLAIM_POLL_INTERVAL = timedelta(milliseconds=100)
 MAX_RECORD_ATTEMPTS = 64
--- a/packages/runhatch-server/src/runhatch_server/serving/_relay.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_relay.py
@@ -12,7 +12,7 @@
 from runhatch_server.observability import Metrics
 from runhatch_server.refusals import Executed, Reason, Refusal
 from runhatch_server.serving._attempts import Attempter, OpenedAnswer, RequestContext
-from runhatch_server.serving._cancel import Canceller
+from runhatch_server.serving._canceller import Canceller
 from runhatch_server.serving._continuation import build_continuation
 from runhatch_server.serving._target_requests import attempt_id, build_resume_request
 from runhatch_server.targets import (
--- a/packages/runhatch-server/src/runhatch_server/serving/_reading.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_request_reader.py
@@ -11,7 +11,6 @@
 from pydantic import ValidationError
 
 from runhatch_coordination import Clock
-from runhatch_server.border import format_validation_errors
 from runhatch_server.configuration import PathSpec, PlainServiceSpec
 from runhatch_server.decisions._prefixes import prefix_blocks
 from runhatch_server.refusals import Executed, Reason, Refusal
@@ -21,9 +20,10 @@
     CallerHeaders,
     read_headers,
 )
-from runhatch_server.serving._picture import PlacementCache
+from runhatch_server.serving._placement_cache import PlacementCache
 from runhatch_server.serving._request import CallerRequest, Route, RouteKind
 from runhatch_server.settings import ServingSettings
+from runhatch_server.validation import format_validation_errors
 
 SERVICES_PREFIX = "/services/"
 MODELS_PATH = "/v1/models"
--- a/packages/runhatch-server/src/runhatch_server/serving/_router.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_router.py
@@ -7,7 +7,7 @@
 
 from runhatch_coordination import compute_weight
 from runhatch_server.decisions._prefixes import PrefixIndex
-from runhatch_server.serving._picture import Host
+from runhatch_server.serving._placement_cache import Host
 from runhatch_server.serving._target_state import TargetState
 
 SAMPLE_SIZE = 3
--- a/packages/runhatch-server/src/runhatch_server/serving/_service.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_service.py
@@ -14,6 +14,7 @@
     TraceLog,
 )
 from runhatch_server.refusals import Executed, Refusal
+from runhatch_server.serving._answer_store import StoredAnswer
 from runhatch_server.serving._attempts import Attempter, OpenedAnswer, RequestContext
 from runhatch_server.serving._caller_answers import (
     EVENT_STREAM,
@@ -24,12 +25,11 @@
     build_whole_answer,
     select_forwarded_headers,
 )
-from runhatch_server.serving._cancel import Canceller
+from runhatch_server.serving._canceller import Canceller
 from runhatch_server.serving._demand import DemandCounter
-from runhatch_server.serving._once import OnceGuard
+from runhatch_server.serving._once_guard import OnceGuard
 from runhatch_server.serving._relay import StreamRelay
 from runhatch_server.serving._request import CallerRequest
-from runhatch_server.serving._stored import StoredAnswer
 from runhatch_server.serving._target_requests import attempt_id
 from runhatch_server.targets import AttemptReason, TargetClient, UnknownResult
 
--- a/packages/runhatch-server/src/runhatch_server/serving/_target_requests.py
+++ b/packages/runhatch-server/src/runhatch_server/serving/_target_requests.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from runhatch_server.serving._picture import Host
+from runhatch_server.serving._placement_cache import Host
 from runhatch_server.serving._request import CallerRequest
 from runhatch_server.targets import TargetRequest
 
--- a/packages/runhatch-server/src/runhatch_server/settings/_load.py
+++ b/packages/runhatch-server/src/runhatch_server/settings/_load.py
@@ -7,8 +7,8 @@
 from pydantic import ValidationError
 
 from runhatch_server._errors import SettingsError
-from runhatch_server.border import format_validation_errors
 from runhatch_server.settings._models import Settings
+from runhatch_server.validation import format_validation_errors
 
 SECRET_FIELDS = frozenset({"token"})
 
--- a/packages/runhatch-server/src/runhatch_server/settings/_models.py
+++ b/packages/runhatch-server/src/runhatch_server/settings/_models.py
@@ -8,8 +8,8 @@
 
 from pydantic import AfterValidator, Field, SecretStr, model_validator
 
-from runhatch_server.border import StrictModel
 from runhatch_server.observability import LogLevel
+from runhatch_server.validation import StrictModel
 
 Name = Annotated[str, Field(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$")]
 Seconds = Annotated[float, Field(gt=0, le=86_400)]
--- a/packages/runhatch-server/tests/test_stored.py
+++ b/packages/runhatch-server/tests/test_answer_store.py
@@ -3,7 +3,7 @@
 import pytest
 
 from runhatch_coordination.testing import MemoryObjectStore
-from runhatch_server.serving._stored import AnswerStore, StoredAnswer
+from runhatch_server.serving._answer_store import AnswerStore, StoredAnswer
 
 SMALL = StoredAnswer(201, (("Content-Type", "text/plain"),), b"\x00booked")
 LARGE = StoredAnswer(200, (), b"x" * 10_000)
--- a/packages/runhatch-server/tests/test_cache_intake.py
+++ b/packages/runhatch-server/tests/test_cache_event_reader.py
@@ -5,7 +5,7 @@
 from runhatch_coordination import SystemClock, Unavailable
 from runhatch_server.observability import Metrics
 from runhatch_server.serving import CacheEventReader, Dispatcher, PlacementCache
-from runhatch_server.serving._cache_intake import MAX_EVENTS_PER_READ
+from runhatch_server.serving._cache_event_reader import MAX_EVENTS_PER_READ
 from runhatch_server.targets import CacheEvent, CacheEvents
 
 BLOCKS = tuple(f"b{i}" for i in range(4))
--- a/packages/runhatch-server/tests/test_late_permits.py
+++ b/packages/runhatch-server/tests/test_late_permits.py
@@ -4,8 +4,8 @@
 from datetime import timedelta
 
 import pytest
+from delayed_cluster import LATE_DELAYS, PROMPT_DELAYS, DelayedCluster
 from gateway_cases import seconds
-from late_world import LATE_DELAYS, PROMPT_DELAYS, DelayedCluster
 from rate_limit_cases import count_busiest_window, max_requests_in_window
 
 from runhatch_server.gateway._rate_limits import RateLimits
--- a/packages/runhatch-server/tests/test_once.py
+++ b/packages/runhatch-server/tests/test_once_guard.py
@@ -21,8 +21,8 @@
     TableFault,
 )
 from runhatch_server.observability import Metrics
-from runhatch_server.serving._once import OnceGuard
-from runhatch_server.serving._stored import AnswerStore, StoredAnswer
+from runhatch_server.serving._answer_store import AnswerStore, StoredAnswer
+from runhatch_server.serving._once_guard import OnceGuard
 
 ANSWER = StoredAnswer(200, (), b"booked")
 CLAIM_WAIT = seconds(0.3)
--- a/packages/runhatch-server/tests/test_store_clock.py
+++ b/packages/runhatch-server/tests/test_store_clock.py
@@ -6,7 +6,7 @@
 
 from runhatch_coordination import Claims, commit
 from runhatch_coordination.testing import ManualClock, MemoryTable
-from runhatch_server.outside import StoreClock
+from runhatch_server.external_services import StoreClock
 
 DATE = "Wed, 02 Dec 2026 16:00:00 GMT"
 DATE_TIME = datetime(2026, 12, 2, 16, tzinfo=UTC)
--- a/standins/src/runhatch_standins/_cluster.py
+++ b/standins/src/runhatch_standins/_cluster.py
@@ -23,7 +23,7 @@
     Write,
 )
 from runhatch_platform import Store, StoreTable
-from runhatch_server.outside import VMS_PARTITION
+from runhatch_server.external_services import VMS_PARTITION
 from runhatch_standins._launch import Launched, launch
 from runhatch_standins._tcp_relay import TcpRelay
 
